--- a/app/src/main/java/wharfhinge/app/LabCommand.java
+++ b/app/src/main/java/wharfhinge/app/LabCommand.java
@@ -78,7 +78,7 @@
         private boolean loadsOnCall;
 
         @Option(names = "--load-ms", defaultValue = "400", description = "A load's fetch. Default ${DEFAULT-VALUE}.")
-        private int loadMs;
+        private int loadMillis;
 
         @Option(
                 names = "--store",
@@ -158,7 +158,7 @@
                     .gateways(gateways)
                     .loadsOnCall(loadsOnCall)
                     .load(calm, peak)
-                    .loading(loadMs, store)
+                    .loading(loadMillis, store)
                     .tries(tries)
                     .ration(ration)
                     .large(large)
--- a/app/src/main/java/wharfhinge/app/PackageCommand.java
+++ b/app/src/main/java/wharfhinge/app/PackageCommand.java
@@ -93,13 +93,13 @@
         private String effect;
 
         @Option(names = "--call-ms", defaultValue = "10000", description = "A call's limit; default ${DEFAULT-VALUE}.")
-        private int callMs;
+        private int callMillis;
 
         @Option(
                 names = "--start-ms",
                 defaultValue = "10000",
                 description = "A start's limit; default ${DEFAULT-VALUE}.")
-        private int startMs;
+        private int startMillis;
 
         @Option(names = "--sign", paramLabel = "KEY", description = "Signs with this private key.")
         private Path key;
@@ -116,7 +116,7 @@
             Path part = out.resolveSibling(out.getFileName() + ".building");
             try (OutputStream to = Files.newOutputStream(part)) {
                 PackageBuilder.write(
-                        new Manifest(name, version, entry, memoryMb, lanes, effect, callMs, startMs, Map.of()),
+                        new Manifest(name, version, entry, memoryMb, lanes, effect, callMillis, startMillis, Map.of()),
                         PackageBuilder.classes(classes),
                         key == null ? null : Keys.privateKey(key),
                         to);
--- a/app/src/main/java/wharfhinge/app/ReplayCommand.java
+++ b/app/src/main/java/wharfhinge/app/ReplayCommand.java
@@ -20,8 +20,6 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wharfhinge.Choice;
-import wharfhinge.Dispatcher;
 import wharfhinge.capture.Account;
 import wharfhinge.capture.Act;
 import wharfhinge.capture.CaptureReader;
@@ -34,6 +32,8 @@
 import wharfhinge.capture.Text;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.config.InvalidFileException;
+import wharfhinge.policy.CacheAwareDispatcher;
+import wharfhinge.policy.Dispatcher;
 
 /** Replays what a gateway captured. */
 @Command(
@@ -222,7 +222,7 @@
         long[] first = {-1};
         long[] differ = {0};
         List<String> shown = new ArrayList<>();
-        Replayer.Result result = new Replayer(Choice::new, captured -> other.settings())
+        Replayer.Result result = new Replayer(CacheAwareDispatcher::new, captured -> other.settings())
                 .counterfactual(frames, end, new Replayer.Watcher() {
                     @Override
                     public void before(long index, Frame frame, Dispatcher dispatcher) {}
@@ -305,7 +305,7 @@
         }
         return CaptureReader.index(at).stream()
                 .filter(b -> b.names().mayHold(call))
-                .mapToLong(CaptureReader.BlockHead::lastNs)
+                .mapToLong(CaptureReader.BlockHead::lastNanos)
                 .max()
                 .orElse(Long.MAX_VALUE);
     }
@@ -320,8 +320,8 @@
                             "%s at byte %d: %s, %.1f s, %d frames%n",
                             b.segment(),
                             b.offset(),
-                            Instant.ofEpochMilli(b.wallMs()),
-                            (b.lastNs() - b.firstNs()) / 1e9,
+                            Instant.ofEpochMilli(b.wallMillis()),
+                            (b.lastNanos() - b.firstNanos()) / 1e9,
                             b.frames());
                 }
             }
--- a/app/src/main/java/wharfhinge/app/StandInCommand.java
+++ b/app/src/main/java/wharfhinge/app/StandInCommand.java
@@ -67,7 +67,7 @@
                 spec.cell(),
                 RosterEntry.State.UP,
                 spec.cores(),
-                2 * spec.coldMs(),
+                2 * spec.coldMillis(),
                 "b0"));
     }
 
@@ -96,7 +96,7 @@
             Scenario day = Scenarios.load(scenario, "bad-day");
             Trace trace = new Trace(System::nanoTime);
             EventLoopGroup group = Net.group(4);
-            RosterStandIn roster = new RosterStandIn(group, port, day.roster().lagMs(), trace);
+            RosterStandIn roster = new RosterStandIn(group, port, day.roster().lagMillis(), trace);
             StoreStandIn store = new StoreStandIn(
                     group, port + 1, day.store().fullPace(), day.store().most(), trace);
             List<WorkerStandIn> workers =
--- a/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
@@ -51,7 +51,7 @@
                             e.of("failed"),
                             e.of("late"),
                             e.tries(),
-                            e.slowestMs());
+                            e.slowestMillis());
                     all += restart ? e.all() : 0;
                     wanting += restart ? e.of("failed") + e.of("late") : 0;
                 }
@@ -75,15 +75,15 @@
                         "wh-class",
                         type.name(),
                         "wh-deadline-ms",
-                        Long.toString(type.giveUpMs()),
+                        Long.toString(type.giveUpMillis()),
                         "wh-memory-mb",
                         Double.toString(type.memoryMb()),
                         "wh-lanes",
                         Integer.toString(type.lanes()),
                         "wh-load-ms",
-                        Double.toString(type.loadMs()),
+                        Double.toString(type.loadMillis()),
                         "wh-cost-us",
-                        Long.toString((long) (type.workMs() * 1000)));
+                        Long.toString((long) (type.workMillis() * 1000)));
                 gateway.call(HttpMethod.POST, "/v1/call/" + function, headers, new byte[0], new HttpCaller.Reply() {
                     @Override
                     public void answered(int status, HttpHeaders h, byte[] body) {
@@ -133,18 +133,18 @@
                         s -> s >= before && s < before + storm ? 1.5 * capacityPerS : 0.5 * capacityPerS);
                 client.close();
                 List<Ended> during = all.stream()
-                        .filter(e -> e.dueMs() >= before * 1000 && e.dueMs() < (before + storm) * 1000)
+                        .filter(e -> e.dueMillis() >= before * 1000 && e.dueMillis() < (before + storm) * 1000)
                         .toList();
                 List<Ended> later = all.stream()
-                        .filter(e -> e.dueMs() >= (before + storm) * 1000)
+                        .filter(e -> e.dueMillis() >= (before + storm) * 1000)
                         .toList();
                 double usual = inTime(
-                        all.stream().filter(e -> e.dueMs() < before * 1000).toList());
+                        all.stream().filter(e -> e.dueMillis() < before * 1000).toList());
                 int well = 0; // the first second from which on all are as before
                 for (int second = (int) after - 1; second >= 0; second--) {
                     int from = (int) ((before + storm) * 1000) + 1000 * second;
                     if (inTime(later.stream()
-                                    .filter(e -> e.dueMs() >= from && e.dueMs() < from + 1000)
+                                    .filter(e -> e.dueMillis() >= from && e.dueMillis() < from + 1000)
                                     .toList())
                             < WELL * usual) {
                         well = second + 1;
@@ -200,7 +200,7 @@
                     other.close();
                     List<Long> took = got.stream()
                             .filter(e -> e.answer().kind().equals("served"))
-                            .map(Ended::tookMs)
+                            .map(Ended::tookMillis)
                             .sorted()
                             .toList();
                     System.out.printf(
--- a/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
@@ -39,7 +39,7 @@
     private static final int CONNECT_MS = 500;
 
     /** What became of the calls of one library. */
-    record Ends(String library, Map<String, Long> byKind, long tries, long slowestMs) {
+    record Ends(String library, Map<String, Long> byKind, long tries, long slowestMillis) {
         long of(String kind) {
             return byKind.getOrDefault(kind, 0L);
         }
@@ -65,7 +65,7 @@
     ClientFleet(Scenario scenario, Path folder, String more) throws IOException, InterruptedException {
         this.scenario = scenario;
         this.folder = Files.createDirectories(folder);
-        roster = new RosterStandIn(group, 0, scenario.roster().lagMs(), trace);
+        roster = new RosterStandIn(group, 0, scenario.roster().lagMillis(), trace);
         store = new StoreStandIn(
                 group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
         HttpCaller fetches = new HttpCaller(group, store.port());
@@ -80,7 +80,7 @@
                     spec.cell(),
                     State.UP,
                     spec.cores(),
-                    2 * spec.coldMs(),
+                    2 * spec.coldMillis(),
                     worker.model().boot()));
         }
         FreePorts ports = new FreePorts();
@@ -146,21 +146,21 @@
     record Answer(String kind, int tries) {}
 
     /** One call that ended; {@code tookMs} counts from when it was due. */
-    record Ended(long dueMs, CallClass type, String tenant, Answer answer, long tookMs) {
+    record Ended(long dueMillis, CallClass type, String tenant, Answer answer, long tookMillis) {
         boolean inTime() {
-            return answer.kind.equals("served") && tookMs <= type.aimMs();
+            return answer.kind.equals("served") && tookMillis <= type.aimMillis();
         }
     }
 
     static Caller caller(WharfhingeClient client) {
         return (function, type, tenant, ended) -> {
-            Duration deadline = Duration.ofMillis(type.giveUpMs());
+            Duration deadline = Duration.ofMillis(type.giveUpMillis());
             Call.Builder call = type.effect().equals("idempotent")
                     ? Call.safe(function, type.name(), deadline)
                     : Call.once(function, type.name(), deadline);
             client.call(call.tenant(tenant)
-                            .copy(type.memoryMb(), type.lanes(), type.loadMs())
-                            .costUs((long) (type.workMs() * 1000))
+                            .copy(type.memoryMb(), type.lanes(), type.loadMillis())
+                            .costUs((long) (type.workMillis() * 1000))
                             .build())
                     .thenAccept(r ->
                             ended.accept(new Answer(r.getClass().getSimpleName().toLowerCase(Locale.ROOT), r.tries())));
@@ -212,10 +212,10 @@
             String function = "f"
                     + (int) (Math.pow(random.nextDouble(), 2)
                             * scenario.offered().functions());
-            long dueMs = (long) (at * 1000);
+            long dueMillis = (long) (at * 1000);
             open.increment();
             caller.call(function, type, tenant, answer -> {
-                all.add(new Ended(dueMs, type, tenant, answer, (System.nanoTime() - due) / 1_000_000));
+                all.add(new Ended(dueMillis, type, tenant, answer, (System.nanoTime() - due) / 1_000_000));
                 open.decrement();
             });
             at += 1 / perS.applyAsDouble(at);
@@ -241,7 +241,7 @@
                 library,
                 byKind,
                 all.stream().mapToLong(e -> e.answer.tries).sum(),
-                all.stream().mapToLong(Ended::tookMs).max().orElse(0));
+                all.stream().mapToLong(Ended::tookMillis).max().orElse(0));
     }
 
     @Override
--- a/app/src/main/java/wharfhinge/app/drill/Day.java
+++ b/app/src/main/java/wharfhinge/app/drill/Day.java
@@ -84,7 +84,7 @@
     Judge.Verdict play() throws IOException, InterruptedException {
         GatewayProcess.startAll(gateways);
         Thread.sleep(500);
-        roster.lag(scenario.roster().lagMs());
+        roster.lag(scenario.roster().lagMillis());
         Map<String, Integer> ports = new LinkedHashMap<>();
         gateways.forEach(g -> ports.put(g.name(), g.port()));
         clients = new LoadClients(group, ports, scenario.offered(), scenario.seed(), trace);
@@ -94,7 +94,7 @@
         clients.start(scenario.seconds());
         Thread.sleep((long) (scenario.seconds() * 1000));
         long most = scenario.offered().classes().stream()
-                .mapToLong(LoadClients.CallClass::giveUpMs)
+                .mapToLong(LoadClients.CallClass::giveUpMillis)
                 .max()
                 .orElse(0);
         for (long waited = 0; clients.open() > 0 && waited < most + 500; waited += 50) {
@@ -143,7 +143,7 @@
     private void report(int i, State state, boolean fresh) {
         Member worker = workers.get(i);
         WorkerModel.Spec spec = scenario.worker(i, false);
-        long age = fresh ? 0 : 2 * spec.coldMs();
+        long age = fresh ? 0 : 2 * spec.coldMillis();
         roster.report(new RosterEntry(
                 worker.id(), spec.zone(), spec.kind(), spec.cell(), state, spec.cores(), age, worker.boot()));
     }
@@ -232,8 +232,8 @@
             case "shift" -> at(t.at(), () -> clients.shift(t.size()));
             case "discovery_stale" -> during(
                     t,
-                    () -> roster.lag(scenario.roster().lagMs() + (long) (t.size() * 1000)),
-                    () -> roster.lag(scenario.roster().lagMs()));
+                    () -> roster.lag(scenario.roster().lagMillis() + (long) (t.size() * 1000)),
+                    () -> roster.lag(scenario.roster().lagMillis()));
             case "roster_lost" -> during(t, () -> roster.lost(true), () -> roster.lost(false));
             case "roster_silent" -> during(t, () -> roster.mute(true), () -> roster.mute(false));
             case "store_shut" -> during(t, () -> shut(true), () -> shut(false));
--- a/app/src/main/java/wharfhinge/app/drill/RealFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/RealFleet.java
@@ -49,7 +49,7 @@
                         (int) type.memoryMb(),
                         type.lanes(),
                         type.effect(),
-                        (long) (type.loadMs() * START_SHARE));
+                        (long) (type.loadMillis() * START_SHARE));
             }
         }
         store = new Store(group, 0, folder.resolve("packages"), most);
@@ -65,14 +65,14 @@
     }
 
     /** Packs {@link Work} as a function. */
-    static void publish(Path folder, String function, int memoryMb, int lanes, String effect, long startMs)
+    static void publish(Path folder, String function, int memoryMb, int lanes, String effect, long startMillis)
             throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
         String path = Work.class.getName().replace('.', '/') + ".class";
         try (InputStream in = Work.class.getClassLoader().getResourceAsStream(path)) {
             files.put("classes/" + path, in.readAllBytes());
         }
-        files.put("classes/start-ms", Long.toString(startMs).getBytes(StandardCharsets.US_ASCII));
+        files.put("classes/start-ms", Long.toString(startMillis).getBytes(StandardCharsets.US_ASCII));
         files.put(
                 "classes/told",
                 folder.resolve("told").toAbsolutePath().toString().getBytes(StandardCharsets.UTF_8));
@@ -107,12 +107,12 @@
                 w.queue(),
                 w.notLoaded(),
                 w.notLoaded().equals("load") ? "own" : "order",
-                w.keepMs(),
+                w.keepMillis(),
                 w.loadsAtOnce(),
                 2 * w.loadsAtOnce(),
                 storePort,
                 name,
-                w.reportMs(),
+                w.reportMillis(),
                 name);
     }
 
--- a/app/src/main/java/wharfhinge/app/drill/StormDrill.java
+++ b/app/src/main/java/wharfhinge/app/drill/StormDrill.java
@@ -31,7 +31,7 @@
         this.capacityPerS = scenario.workers().count()
                 * scenario.workers().cores()
                 * 1000.0
-                / scenario.offered().classes().get(0).workMs();
+                / scenario.offered().classes().get(0).workMillis();
     }
 
     /** Plays it; whether all was as before within the seconds after it that count as soon. */
@@ -98,7 +98,7 @@
 
     private static List<Ended> between(List<Ended> all, double fromS, double toS) {
         return all.stream()
-                .filter(e -> e.dueMs() >= fromS * 1000 && e.dueMs() < toS * 1000)
+                .filter(e -> e.dueMillis() >= fromS * 1000 && e.dueMillis() < toS * 1000)
                 .toList();
     }
 
--- a/app/src/main/java/wharfhinge/app/measure/ColdStartCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ColdStartCommand.java
@@ -47,7 +47,7 @@
                     long from = System.nanoTime();
                     Bench.Started gateway = bench.gateway(
                             way + round, null, "", "info", 1, way.equals("none") ? " rehearse-ms=\"0\"" : "");
-                    long startMs = (System.nanoTime() - from) / 1_000_000;
+                    long startMillis = (System.nanoTime() - from) / 1_000_000;
                     int[] wanting = play(new HttpCaller(bench.group, gateway.port()));
                     int further = 0;
                     for (int i = 3; i < seconds; i++) {
@@ -56,7 +56,7 @@
                     System.out.printf(
                             "| %s | %d | %d | %d | %d | %d | %d |%n",
                             way,
-                            startMs,
+                            startMillis,
                             wanting[0],
                             wanting[1],
                             wanting[2],
--- a/capture/src/main/java/wharfhinge/capture/Account.java
+++ b/capture/src/main/java/wharfhinge/capture/Account.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import wharfhinge.Dispatcher;
-import wharfhinge.Dispatcher.Belief;
-import wharfhinge.Dispatcher.Request;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.Request;
+import wharfhinge.policy.WorkerSnapshot;
 
 /**
  * Why a call went where it went: what the dispatcher believed of each worker just before each decision on it, and what it
@@ -22,7 +22,7 @@
     private final Map<String, String> outer = new HashMap<>();
     private final Map<String, Request> calls = new HashMap<>();
     private final List<String> lines = new ArrayList<>();
-    private List<Belief> beliefs = List.of();
+    private List<WorkerSnapshot> beliefs = List.of();
     private long begun;
 
     /** An account of one call. */
@@ -47,7 +47,7 @@
             calls.put(q.call().id(), q.call());
         }
         Request call = calls.get(decidedOn(frame));
-        beliefs = call == null || dispatcher == null ? List.of() : dispatcher.beliefs(frame.at(), call.function());
+        beliefs = call == null || dispatcher == null ? List.of() : dispatcher.workerStates(frame.at(), call.function());
     }
 
     /** The call of which the frame tells or on which it decides, if it is the one wanted. */
@@ -78,7 +78,7 @@
                     outer.getOrDefault(id, "-"),
                     call.function(),
                     call.requestClass(),
-                    call.remainingNs() / MS));
+                    call.remainingNanos() / MS));
         }
         lines.add(String.format(
                 Locale.ROOT, "+%.1f ms, frame %d: %s", (frame.at() - begun) / MS, index, told(frame.event())));
@@ -107,8 +107,8 @@
                     c.how().attempt(),
                     c.how().worker(),
                     c.how().outcome(),
-                    c.how().note(),
-                    c.how().tookNs() / MS);
+                    c.how().cacheStatus(),
+                    c.how().tookNanos() / MS);
         }
         if (event instanceof Event.Query) {
             return "it came";
@@ -117,25 +117,25 @@
     }
 
     private void reason(String worker, String function) {
-        Belief chosen = beliefs.stream()
+        WorkerSnapshot chosen = beliefs.stream()
                 .filter(b -> b.worker().equals(worker))
                 .findFirst()
                 .orElse(null);
         if (chosen == null) {
             return;
         }
-        List<Belief> warm = beliefs.stream()
-                .filter(b -> b.up() && !b.ejected() && b.standing())
+        List<WorkerSnapshot> warm = beliefs.stream()
+                .filter(b -> b.up() && !b.ejected() && b.loaded())
                 .toList();
-        long room = warm.stream().filter(Belief::belowLimit).count();
+        long room = warm.stream().filter(WorkerSnapshot::belowLimit).count();
         String why;
         if (chosen.ejected()) {
             why = "a trial of an ejected worker";
-        } else if (chosen.standing()
-                && warm.stream().filter(Belief::belowLimit).allMatch(b -> b.inFlight() >= chosen.inFlight())) {
+        } else if (chosen.loaded()
+                && warm.stream().filter(WorkerSnapshot::belowLimit).allMatch(b -> b.inFlight() >= chosen.inFlight())) {
             why = "believed warm, with the fewest own calls in flight of the " + room
                     + " warm ones that are not saturated";
-        } else if (chosen.standing()) {
+        } else if (chosen.loaded()) {
             why = "believed warm; others with fewer in flight were tried before, had no free lane, or may not get it";
         } else if (chosen.loading()) {
             why = "a copy is being loaded there";
@@ -150,23 +150,23 @@
     private void candidates() {
         lines.add("    believed then of " + beliefs.size() + " workers (warm and least loaded first):");
         beliefs.stream()
-                .sorted(Comparator.comparing((Belief b) -> !b.standing())
+                .sorted(Comparator.comparing((WorkerSnapshot b) -> !b.loaded())
                         .thenComparing(b -> !b.loading())
-                        .thenComparingInt(Belief::inFlight)
-                        .thenComparing(Belief::worker))
+                        .thenComparingInt(WorkerSnapshot::inFlight)
+                        .thenComparing(WorkerSnapshot::worker))
                 .limit(SHOWN)
                 .forEach(b -> lines.add(String.format(
                         Locale.ROOT,
                         "      %-22s %s%s%s%s%s in flight %d, limit %.2f, load %.2f, failures %.2f",
                         b.worker(),
-                        b.standing() ? "warm " : b.loading() ? "loading " : "",
+                        b.loaded() ? "warm " : b.loading() ? "loading " : "",
                         b.up() ? "" : "leaving ",
                         b.ejected() ? "ejected " : "",
-                        b.cold() ? "cold " : "",
+                        b.warmingUp() ? "cold " : "",
                         b.belowLimit() ? "" : "saturated ",
                         b.inFlight(),
-                        b.limit(),
-                        b.load(),
-                        b.failures())));
+                        b.concurrencyLimit(),
+                        b.reportedLoad(),
+                        b.failureRate())));
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/Act.java
+++ b/capture/src/main/java/wharfhinge/capture/Act.java
@@ -11,7 +11,7 @@
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
 public record Act(Kind kind, String request, String worker, String function, String text, long number, String payload) {
-    /** The methods of {@link wharfhinge.Dispatcher.Actions}. */
+    /** The methods of {@link wharfhinge.policy.DispatcherActions}. */
     public enum Kind {
         ATTEMPT,
         CANCEL,
--- a/capture/src/main/java/wharfhinge/capture/Acts.java
+++ b/capture/src/main/java/wharfhinge/capture/Acts.java
@@ -3,16 +3,16 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
-import wharfhinge.Dispatcher;
 import wharfhinge.capture.Act.Kind;
+import wharfhinge.policy.DispatcherActions;
 
 /** Takes down what a dispatcher decides, and hands it on where there is somebody to do it. One thread. */
-public final class Acts implements Dispatcher.Actions {
-    private final Dispatcher.Actions doing;
+public final class Acts implements DispatcherActions {
+    private final DispatcherActions doing;
     private List<Act> taken = new ArrayList<>();
 
     /** {@code doing} does it, or null where nobody does. */
-    public Acts(Dispatcher.Actions doing) {
+    public Acts(DispatcherActions doing) {
         this.doing = doing;
     }
 
@@ -29,23 +29,23 @@
     }
 
     @Override
-    public void attempt(String request, String worker, long timeoutNs) {
-        if (note(Kind.ATTEMPT, request, worker, "", "", timeoutNs)) {
-            doing.attempt(request, worker, timeoutNs);
+    public void sendAttempt(String request, String worker, long timeoutNanos) {
+        if (note(Kind.ATTEMPT, request, worker, "", "", timeoutNanos)) {
+            doing.sendAttempt(request, worker, timeoutNanos);
         }
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         if (note(Kind.CANCEL, request, "", "", "", attempt)) {
-            doing.cancel(request, attempt);
+            doing.cancelAttempt(request, attempt);
         }
     }
 
     @Override
-    public void refuse(String request, long coolDownNs) {
-        if (note(Kind.REFUSE, request, "", "", "", coolDownNs)) {
-            doing.refuse(request, coolDownNs);
+    public void reject(String request, long coolDownNanos) {
+        if (note(Kind.REFUSE, request, "", "", "", coolDownNanos)) {
+            doing.reject(request, coolDownNanos);
         }
     }
 
@@ -57,9 +57,9 @@
     }
 
     @Override
-    public void hold(String worker, String function, int count) {
+    public void ensureLoaded(String worker, String function, int count) {
         if (note(Kind.HOLD, "", worker, function, "", count)) {
-            doing.hold(worker, function, count);
+            doing.ensureLoaded(worker, function, count);
         }
     }
 
@@ -78,46 +78,46 @@
     }
 
     @Override
-    public void timer(String token, long delayNs) {
-        if (note(Kind.TIMER, "", "", "", token, delayNs)) {
-            doing.timer(token, delayNs);
+    public void scheduleTimer(String token, long delayNanos) {
+        if (note(Kind.TIMER, "", "", "", token, delayNanos)) {
+            doing.scheduleTimer(token, delayNanos);
         }
     }
 
     @Override
-    public void publish(int peer, byte[] payload) {
+    public void sendToPeers(int peer, byte[] payload) {
         taken.add(
                 new Act(Kind.PUBLISH, "", "", "", "", peer, Base64.getEncoder().encodeToString(payload)));
         if (doing != null) {
-            doing.publish(peer, payload);
+            doing.sendToPeers(peer, payload);
         }
     }
 
     @Override
-    public void listen(boolean on) {
+    public void watchEndpoints(boolean on) {
         if (note(Kind.LISTEN, "", "", "", "", on ? 1 : 0)) {
-            doing.listen(on);
+            doing.watchEndpoints(on);
         }
     }
 
     @Override
-    public void reload() {
+    public void refreshEndpoints() {
         if (note(Kind.RELOAD, "", "", "", "", 0)) {
-            doing.reload();
+            doing.refreshEndpoints();
         }
     }
 
     @Override
-    public void hangUp(String worker) {
+    public void closeIdleConnections(String worker) {
         if (note(Kind.HANG_UP, "", worker, "", "", 0)) {
-            doing.hangUp(worker);
+            doing.closeIdleConnections(worker);
         }
     }
 
     @Override
-    public void remark(String text) {
+    public void logDiagnostic(String text) {
         if (note(Kind.REMARK, "", "", "", text, 0)) {
-            doing.remark(text);
+            doing.logDiagnostic(text);
         }
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/CaptureFile.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureFile.java
@@ -33,14 +33,14 @@
     }
 
     /** The head line of a segment; wall and loop time were read together. */
-    static String head(String gateway, long wallMs, long nanos, boolean hashed) {
+    static String head(String gateway, long wallMillis, long nanos, boolean hashed) {
         return MAGIC
                 + ' '
                 + VERSION
                 + ' '
                 + gateway
                 + ' '
-                + wallMs
+                + wallMillis
                 + ' '
                 + nanos
                 + ' '
--- a/capture/src/main/java/wharfhinge/capture/CaptureReader.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureReader.java
@@ -23,22 +23,28 @@
     /**
      * What was read of one gateway.
      *
-     * @param wallMs   wall clock at {@code nanos} of the gateway's own clock
+     * @param wallMillis   wall clock at {@code nanos} of the gateway's own clock
      * @param troubles where it was cut or damaged; a {@link Event.Gap} stands there
      */
     public record Capture(
-            String gateway, long wallMs, long nanos, boolean hashed, List<Frame> frames, List<String> troubles) {
+            String gateway, long wallMillis, long nanos, boolean hashed, List<Frame> frames, List<String> troubles) {
         /** A frame's time on the wall clock, microseconds. */
         public long wallUs(Frame frame) {
-            return wallMs * 1000 + (frame.at() - nanos) / 1000;
+            return wallMillis * 1000 + (frame.at() - nanos) / 1000;
         }
     }
 
     /** A block as its head tells it. */
     public record BlockHead(
-            Path segment, long offset, long wallMs, long firstNs, long lastNs, int frames, NameFilter names) {}
+            Path segment,
+            long offset,
+            long wallMillis,
+            long firstNanos,
+            long lastNanos,
+            int frames,
+            NameFilter names) {}
 
-    private record Head(int version, String gateway, long wallMs, long nanos, boolean hashed, int length) {
+    private record Head(int version, String gateway, long wallMillis, long nanos, boolean hashed, int length) {
         int blockHead() {
             return 4 + CaptureFile.headBytes(version);
         }
@@ -76,7 +82,7 @@
         if (first == null) {
             throw new IOException(at + ": holds no capture");
         }
-        return new Capture(first.gateway, first.wallMs, first.nanos, first.hashed, frames, troubles);
+        return new Capture(first.gateway, first.wallMillis, first.nanos, first.hashed, frames, troubles);
     }
 
     private static Head read(Path segment, List<Frame> frames, List<String> troubles) throws IOException {
@@ -209,7 +215,7 @@
                     heads.add(new BlockHead(
                             segment,
                             offset,
-                            head.wallMs + (first - head.nanos) / 1_000_000,
+                            head.wallMillis + (first - head.nanos) / 1_000_000,
                             first,
                             last,
                             frames,
--- a/capture/src/main/java/wharfhinge/capture/CaptureWriter.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureWriter.java
@@ -43,13 +43,13 @@
     public record Figures(long frames, long lost, long bytes, long segments) {}
 
     /** Wall clock and the frames' clock, read together. */
-    private record Clocks(long wallMs, long nanos) {}
+    private record Clocks(long wallMillis, long nanos) {}
 
     private final Path folder;
     private final String gateway;
     private final long segmentBytes;
     private final long mostBytes;
-    private final long mostAgeMs;
+    private final long mostAgeMillis;
     private final boolean hashed;
     private final LinkedBlockingQueue<List<Frame>> waiting = new LinkedBlockingQueue<>();
     private final AtomicInteger framesWaiting = new AtomicInteger();
@@ -75,13 +75,14 @@
      * @param segmentBytes a segment is closed beyond so many
      * @param mostBytes    of all segments of this gateway in the folder
      */
-    public CaptureWriter(Path folder, String gateway, long segmentBytes, long mostBytes, long mostAgeMs, boolean hashed)
+    public CaptureWriter(
+            Path folder, String gateway, long segmentBytes, long mostBytes, long mostAgeMillis, boolean hashed)
             throws IOException {
         this.folder = Files.createDirectories(folder);
         this.gateway = gateway;
         this.segmentBytes = segmentBytes;
         this.mostBytes = mostBytes;
-        this.mostAgeMs = mostAgeMs;
+        this.mostAgeMillis = mostAgeMillis;
         this.hashed = hashed;
         this.thread = new Thread(this::run, "capture");
         thread.setDaemon(true);
@@ -242,7 +243,8 @@
         Path path = folder.resolve(String.format("%s-%015d-%06d%s", gateway, wall, segments, CaptureFile.SUFFIX));
         file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         Clocks both = clocks;
-        byte[] head = CaptureFile.head(gateway, both.wallMs, both.nanos, hashed).getBytes(StandardCharsets.US_ASCII);
+        byte[] head =
+                CaptureFile.head(gateway, both.wallMillis, both.nanos, hashed).getBytes(StandardCharsets.US_ASCII);
         file.write(ByteBuffer.wrap(head));
         inSegment = head.length;
         bytes += head.length;
@@ -264,7 +266,7 @@
             sum += Files.size(all.get(i));
             boolean old = System.currentTimeMillis()
                             - Files.getLastModifiedTime(all.get(i)).toMillis()
-                    > mostAgeMs;
+                    > mostAgeMillis;
             if (sum > mostBytes || old) {
                 Files.deleteIfExists(all.get(i));
             }
--- a/capture/src/main/java/wharfhinge/capture/Event.java
+++ b/capture/src/main/java/wharfhinge/capture/Event.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import java.util.List;
 import java.util.Map;
-import wharfhinge.Dispatcher;
-import wharfhinge.Dispatcher.Completion;
-import wharfhinge.Dispatcher.ListMode;
-import wharfhinge.Dispatcher.Outcome;
-import wharfhinge.Dispatcher.Request;
-import wharfhinge.Dispatcher.Settings;
-import wharfhinge.Dispatcher.Worker;
+import wharfhinge.policy.AttemptCompletion;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherSettings;
+import wharfhinge.policy.Endpoint;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.Outcome;
+import wharfhinge.policy.Request;
 
 /** What a dispatcher was told; one record for each method, and a few marks. Immutable. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.SIMPLE_NAME, property = "event")
@@ -28,7 +28,7 @@
     }
 
     /** A new dispatcher begins; {@code number} counts those of one process. */
-    record Life(int number, long seed, Settings settings) implements Event {}
+    record Life(int number, long seed, DispatcherSettings settings) implements Event {}
 
     /** So many frames were lost here. */
     record Gap(long lost) implements Event {}
@@ -37,10 +37,10 @@
     record Named(String request, String outer) implements Event {}
 
     /** A list or its change. */
-    record Members(ListMode mode, long revision, List<Worker> workers) implements Event {
+    record Members(EndpointUpdateMode mode, long revision, List<Endpoint> workers) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.members(now, mode, revision, workers);
+            to.onEndpointUpdate(now, mode, revision, workers);
         }
     }
 
@@ -48,7 +48,7 @@
     record Query(Request call) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.query(now, call);
+            to.onRequest(now, call);
         }
 
         @Override
@@ -61,7 +61,7 @@
     record Expected(Request call) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.expected(now, call);
+            to.onRequestExpected(now, call);
         }
     }
 
@@ -69,7 +69,7 @@
     record AskedWarm(String function, boolean warm) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.believedWarm(now, function);
+            to.isCached(now, function);
         }
     }
 
@@ -77,15 +77,15 @@
     record ClientLeft(String request) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.clientLeft(now, request);
+            to.onClientCancelled(now, request);
         }
     }
 
     /** A probe ended. */
-    record Probed(String worker, Outcome outcome, long tookNs, Map<String, Double> report) implements Event {
+    record Probed(String worker, Outcome outcome, long tookNanos, Map<String, Double> report) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.probed(now, worker, outcome, tookNs, report);
+            to.onProbeCompleted(now, worker, outcome, tookNanos, report);
         }
     }
 
@@ -93,7 +93,7 @@
     record Established(String request, int attempt, String worker) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.established(now, request, attempt, worker);
+            to.onStreamStarted(now, request, attempt, worker);
         }
     }
 
@@ -101,7 +101,7 @@
     record Inbox(int peer, byte[] payload) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.inbox(now, peer, payload);
+            to.onPeerMessage(now, peer, payload);
         }
     }
 
@@ -109,7 +109,7 @@
     record Due(String token) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.due(now, token);
+            to.onTimer(now, token);
         }
 
         @Override
@@ -120,10 +120,10 @@
     }
 
     /** An attempt ended. */
-    record Completed(Completion how) implements Event {
+    record Completed(AttemptCompletion how) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.completed(now, how);
+            to.onAttemptCompleted(now, how);
         }
 
         @Override
@@ -138,10 +138,10 @@
     }
 
     /** An order ended. */
-    record Resident(String worker, String function, int count, Outcome outcome, long tookNs) implements Event {
+    record Resident(String worker, String function, int count, Outcome outcome, long tookNanos) implements Event {
         @Override
         public void tell(long now, Dispatcher to) {
-            to.resident(now, worker, function, count, outcome, tookNs);
+            to.onLoadCompleted(now, worker, function, count, outcome, tookNanos);
         }
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/Forwarding.java
+++ b/capture/src/main/java/wharfhinge/capture/Forwarding.java
@@ -2,7 +2,13 @@
 
 import java.util.List;
 import java.util.Map;
-import wharfhinge.Dispatcher;
+import wharfhinge.policy.AttemptCompletion;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.Endpoint;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.Outcome;
+import wharfhinge.policy.Request;
+import wharfhinge.policy.WorkerSnapshot;
 
 /** Hands every event on to other decisions; those who stand before them change what they must. */
 public class Forwarding implements Dispatcher {
@@ -14,62 +20,62 @@
     }
 
     @Override
-    public void members(long now, ListMode mode, long revision, List<Worker> entries) {
-        to.members(now, mode, revision, entries);
+    public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {
+        to.onEndpointUpdate(now, mode, revision, entries);
     }
 
     @Override
-    public void query(long now, Request request) {
-        to.query(now, request);
+    public void onRequest(long now, Request request) {
+        to.onRequest(now, request);
     }
 
     @Override
-    public void clientLeft(long now, String request) {
-        to.clientLeft(now, request);
+    public void onClientCancelled(long now, String request) {
+        to.onClientCancelled(now, request);
     }
 
     @Override
-    public void probed(long now, String worker, Outcome outcome, long tookNs, Map<String, Double> report) {
-        to.probed(now, worker, outcome, tookNs, report);
+    public void onProbeCompleted(long now, String worker, Outcome outcome, long tookNanos, Map<String, Double> report) {
+        to.onProbeCompleted(now, worker, outcome, tookNanos, report);
     }
 
     @Override
-    public void established(long now, String request, int attempt, String worker) {
-        to.established(now, request, attempt, worker);
+    public void onStreamStarted(long now, String request, int attempt, String worker) {
+        to.onStreamStarted(now, request, attempt, worker);
     }
 
     @Override
-    public void inbox(long now, int peer, byte[] payload) {
-        to.inbox(now, peer, payload);
+    public void onPeerMessage(long now, int peer, byte[] payload) {
+        to.onPeerMessage(now, peer, payload);
     }
 
     @Override
-    public void due(long now, String token) {
-        to.due(now, token);
+    public void onTimer(long now, String token) {
+        to.onTimer(now, token);
     }
 
     @Override
-    public void completed(long now, Completion completion) {
-        to.completed(now, completion);
+    public void onAttemptCompleted(long now, AttemptCompletion completion) {
+        to.onAttemptCompleted(now, completion);
     }
 
     @Override
-    public void resident(long now, String worker, String function, int count, Outcome outcome, long tookNs) {
-        to.resident(now, worker, function, count, outcome, tookNs);
+    public void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos) {
+        to.onLoadCompleted(now, worker, function, count, outcome, tookNanos);
     }
 
     @Override
-    public boolean believedWarm(long now, String function) {
-        return to.believedWarm(now, function);
+    public boolean isCached(long now, String function) {
+        return to.isCached(now, function);
     }
 
     @Override
-    public void expected(long now, Request request) {
-        to.expected(now, request);
+    public void onRequestExpected(long now, Request request) {
+        to.onRequestExpected(now, request);
     }
 
     @Override
-    public List<Belief> beliefs(long now, String function) {
-        return to.beliefs(now, function);
+    public List<WorkerSnapshot> workerStates(long now, String function) {
+        return to.workerStates(now, function);
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/ForwardingActions.java
+++ b/capture/src/main/java/wharfhinge/capture/ForwardingActions.java
@@ -1,29 +1,29 @@
 package wharfhinge.capture;
 
-import wharfhinge.Dispatcher.Actions;
+import wharfhinge.policy.DispatcherActions;
 
 /** Hands every action on; those who stand between change what they must. */
-public class ForwardingActions implements Actions {
-    private final Actions to;
+public class ForwardingActions implements DispatcherActions {
+    private final DispatcherActions to;
 
     /** Hands on to {@code to}. */
-    protected ForwardingActions(Actions to) {
+    protected ForwardingActions(DispatcherActions to) {
         this.to = to;
     }
 
     @Override
-    public void attempt(String request, String worker, long timeoutNs) {
-        to.attempt(request, worker, timeoutNs);
+    public void sendAttempt(String request, String worker, long timeoutNanos) {
+        to.sendAttempt(request, worker, timeoutNanos);
     }
 
     @Override
-    public void cancel(String request, int attempt) {
-        to.cancel(request, attempt);
+    public void cancelAttempt(String request, int attempt) {
+        to.cancelAttempt(request, attempt);
     }
 
     @Override
-    public void refuse(String request, long coolDownNs) {
-        to.refuse(request, coolDownNs);
+    public void reject(String request, long coolDownNanos) {
+        to.reject(request, coolDownNanos);
     }
 
     @Override
@@ -32,8 +32,8 @@
     }
 
     @Override
-    public void hold(String worker, String function, int count) {
-        to.hold(worker, function, count);
+    public void ensureLoaded(String worker, String function, int count) {
+        to.ensureLoaded(worker, function, count);
     }
 
     @Override
@@ -47,32 +47,32 @@
     }
 
     @Override
-    public void timer(String token, long delayNs) {
-        to.timer(token, delayNs);
+    public void scheduleTimer(String token, long delayNanos) {
+        to.scheduleTimer(token, delayNanos);
     }
 
     @Override
-    public void publish(int peer, byte[] payload) {
-        to.publish(peer, payload);
+    public void sendToPeers(int peer, byte[] payload) {
+        to.sendToPeers(peer, payload);
     }
 
     @Override
-    public void listen(boolean on) {
-        to.listen(on);
+    public void watchEndpoints(boolean on) {
+        to.watchEndpoints(on);
     }
 
     @Override
-    public void reload() {
-        to.reload();
+    public void refreshEndpoints() {
+        to.refreshEndpoints();
     }
 
     @Override
-    public void hangUp(String worker) {
-        to.hangUp(worker);
+    public void closeIdleConnections(String worker) {
+        to.closeIdleConnections(worker);
     }
 
     @Override
-    public void remark(String text) {
-        to.remark(text);
+    public void logDiagnostic(String text) {
+        to.logDiagnostic(text);
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/HashedNames.java
+++ b/capture/src/main/java/wharfhinge/capture/HashedNames.java
@@ -9,7 +9,13 @@
 import java.util.Map;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
-import wharfhinge.Dispatcher;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherActions;
+import wharfhinge.policy.DispatcherSettings;
+import wharfhinge.policy.Outcome;
+import wharfhinge.policy.Request;
+import wharfhinge.policy.Tenant;
+import wharfhinge.policy.WorkerSnapshot;
 
 /**
  * Stands before a dispatcher and has it know functions and tenants by keyed hashes alone (HMAC-SHA-256, 16 digits), so that
@@ -30,52 +36,57 @@
 
     /** Makes the dispatcher that stands behind. {@code key} is any secret; it is not kept in captures. */
     public static HashedNames before(
-            Recorder.Maker maker, byte[] key, long now, long seed, Settings settings, Actions actions) {
+            Recorder.Maker maker,
+            byte[] key,
+            long now,
+            long seed,
+            DispatcherSettings settings,
+            DispatcherActions actions) {
         Table table = new Table(key);
         return new HashedNames(table, maker.create(now, seed, table.hashed(settings), new Named(table, actions)));
     }
 
     @Override
-    public void query(long now, Request request) {
-        super.query(now, table.hashed(request));
+    public void onRequest(long now, Request request) {
+        super.onRequest(now, table.hashed(request));
     }
 
     @Override
-    public void expected(long now, Request request) {
-        super.expected(now, table.hashed(request));
+    public void onRequestExpected(long now, Request request) {
+        super.onRequestExpected(now, table.hashed(request));
     }
 
     @Override
-    public boolean believedWarm(long now, String function) {
-        return super.believedWarm(now, table.hash(function));
+    public boolean isCached(long now, String function) {
+        return super.isCached(now, table.hash(function));
     }
 
     @Override
-    public List<Belief> beliefs(long now, String function) {
-        return super.beliefs(now, table.hash(function));
+    public List<WorkerSnapshot> workerStates(long now, String function) {
+        return super.workerStates(now, table.hash(function));
     }
 
     @Override
-    public void resident(long now, String worker, String function, int count, Outcome outcome, long tookNs) {
-        super.resident(now, worker, table.hash(function), count, outcome, tookNs);
+    public void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos) {
+        super.onLoadCompleted(now, worker, table.hash(function), count, outcome, tookNanos);
     }
 
     /** Tells functions by their names again. */
     private static final class Named extends ForwardingActions {
         private final Table table;
 
-        Named(Table table, Actions doing) {
+        Named(Table table, DispatcherActions doing) {
             super(doing);
             this.table = table;
         }
 
         @Override
-        public void hold(String worker, String function, int count) {
+        public void ensureLoaded(String worker, String function, int count) {
             String name = table.names.get(function);
             if (name == null) {
-                remark("order for a function whose name was forgotten is left out: " + function);
+                logDiagnostic("order for a function whose name was forgotten is left out: " + function);
             } else {
-                super.hold(worker, name, count);
+                super.ensureLoaded(worker, name, count);
             }
         }
 
@@ -123,46 +134,46 @@
             return hash;
         }
 
-        Settings hashed(Settings s) {
-            List<Realm> realms = s.realms() == null
+        DispatcherSettings hashed(DispatcherSettings s) {
+            List<Tenant> realms = s.tenants() == null
                     ? null
-                    : s.realms().stream()
-                            .map(r -> new Realm(hash(r.name()), r.share(), r.quotaPerS()))
+                    : s.tenants().stream()
+                            .map(r -> new Tenant(hash(r.name()), r.share(), r.quotaPerSecond()))
                             .toList();
-            return new Settings(
+            return new DispatcherSettings(
                     s.groupSize(),
-                    s.myNumber(),
-                    s.tickNs(),
+                    s.dispatcherNumber(),
+                    s.tickNanos(),
                     s.zone(),
                     s.zones(),
                     s.kinds(),
                     s.discovery(),
-                    s.weights(),
-                    s.worthBy(),
-                    s.overShareWorth(),
+                    s.weightReporting(),
+                    s.priorityUnit(),
+                    s.overQuotaPriorityWeight(),
                     s.classes(),
                     realms,
-                    s.familyInfo(),
+                    s.functionLoading(),
                     s.feedback(),
-                    s.goal(),
+                    s.objectiveWeights(),
                     s.limits(),
-                    s.obligations(),
+                    s.protectionRules(),
                     s.prices(),
-                    s.callers());
+                    s.clientBehavior());
         }
 
         Request hashed(Request r) {
             return new Request(
                     r.id(),
                     hash(r.tenant()),
-                    r.remainingNs(),
+                    r.remainingNanos(),
                     r.memoryMb(),
                     hash(r.function()),
-                    r.costNs(),
-                    r.lanes(),
-                    r.loadMs(),
+                    r.costNanos(),
+                    r.concurrencyPerCopy(),
+                    r.loadMillis(),
                     r.requestClass(),
-                    r.repeat(),
+                    r.retry(),
                     r.write());
         }
     }
--- a/capture/src/main/java/wharfhinge/capture/Recorder.java
+++ b/capture/src/main/java/wharfhinge/capture/Recorder.java
@@ -3,7 +3,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import wharfhinge.Dispatcher;
+import wharfhinge.policy.AttemptCompletion;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherActions;
+import wharfhinge.policy.DispatcherSettings;
+import wharfhinge.policy.Endpoint;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.Outcome;
+import wharfhinge.policy.Request;
 
 /**
  * Stands before a dispatcher and takes down what it is told and what it decides, in the order in which it happens. Each
@@ -17,12 +24,18 @@
     /** Makes a dispatcher. */
     public interface Maker {
         /** A new one. */
-        Dispatcher create(long now, long seed, Settings settings, Actions actions);
+        Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
     }
 
     /** Makes a dispatcher that is recorded; its making is the first frame. */
     public Recorder(
-            Maker maker, long now, int life, long seed, Settings settings, Actions actions, Consumer<Frame> sink) {
+            Maker maker,
+            long now,
+            int life,
+            long seed,
+            DispatcherSettings settings,
+            DispatcherActions actions,
+            Consumer<Frame> sink) {
         this.sink = sink;
         this.acts = new Acts(actions);
         this.to = maker.create(now, seed, settings, acts);
@@ -47,59 +60,59 @@
     }
 
     @Override
-    public void members(long now, ListMode mode, long revision, List<Worker> entries) {
+    public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {
         told(now, new Event.Members(mode, revision, List.copyOf(entries)));
     }
 
     @Override
-    public void query(long now, Request request) {
+    public void onRequest(long now, Request request) {
         told(now, new Event.Query(request));
     }
 
     @Override
-    public void clientLeft(long now, String request) {
+    public void onClientCancelled(long now, String request) {
         told(now, new Event.ClientLeft(request));
     }
 
     @Override
-    public void probed(long now, String worker, Outcome outcome, long tookNs, Map<String, Double> report) {
-        told(now, new Event.Probed(worker, outcome, tookNs, report));
+    public void onProbeCompleted(long now, String worker, Outcome outcome, long tookNanos, Map<String, Double> report) {
+        told(now, new Event.Probed(worker, outcome, tookNanos, report));
     }
 
     @Override
-    public void established(long now, String request, int attempt, String worker) {
+    public void onStreamStarted(long now, String request, int attempt, String worker) {
         told(now, new Event.Established(request, attempt, worker));
     }
 
     @Override
-    public void inbox(long now, int peer, byte[] payload) {
+    public void onPeerMessage(long now, int peer, byte[] payload) {
         told(now, new Event.Inbox(peer, payload));
     }
 
     @Override
-    public void due(long now, String token) {
+    public void onTimer(long now, String token) {
         told(now, new Event.Due(token));
     }
 
     @Override
-    public void completed(long now, Completion completion) {
+    public void onAttemptCompleted(long now, AttemptCompletion completion) {
         told(now, new Event.Completed(completion));
     }
 
     @Override
-    public void resident(long now, String worker, String function, int count, Outcome outcome, long tookNs) {
-        told(now, new Event.Resident(worker, function, count, outcome, tookNs));
+    public void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos) {
+        told(now, new Event.Resident(worker, function, count, outcome, tookNanos));
     }
 
     @Override
-    public boolean believedWarm(long now, String function) {
-        boolean warm = to.believedWarm(now, function);
+    public boolean isCached(long now, String function) {
+        boolean warm = to.isCached(now, function);
         sink.accept(new Frame(now, new Event.AskedWarm(function, warm), acts.take(), ""));
         return warm;
     }
 
     @Override
-    public void expected(long now, Request request) {
+    public void onRequestExpected(long now, Request request) {
         told(now, new Event.Expected(request));
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/Reducer.java
+++ b/capture/src/main/java/wharfhinge/capture/Reducer.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
-import wharfhinge.Dispatcher.Worker;
+import wharfhinge.policy.Endpoint;
 
 /**
  * Cuts one life of a capture down to the fewest workers, calls and other events that still show a symptom when they are
@@ -114,7 +114,7 @@
 
     private static Frame only(Frame frame, Set<String> kept) {
         if (frame.event() instanceof Event.Members m) {
-            List<Worker> workers =
+            List<Endpoint> workers =
                     m.workers().stream().filter(w -> kept.contains(w.id())).toList();
             return new Frame(
                     frame.at(), new Event.Members(m.mode(), m.revision(), workers), frame.acts(), frame.thrown());
@@ -159,7 +159,7 @@
         List<Frame> decided = new ArrayList<>();
         new Replayer().counterfactual(story, Long.MAX_VALUE, new Replayer.Watcher() {
             @Override
-            public void before(long index, Frame frame, wharfhinge.Dispatcher dispatcher) {}
+            public void before(long index, Frame frame, wharfhinge.policy.Dispatcher dispatcher) {}
 
             @Override
             public void after(long index, Frame frame, List<Act> replayed) {
--- a/capture/src/main/java/wharfhinge/capture/Replayer.java
+++ b/capture/src/main/java/wharfhinge/capture/Replayer.java
@@ -5,9 +5,9 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.function.UnaryOperator;
-import wharfhinge.Choice;
-import wharfhinge.Dispatcher;
-import wharfhinge.Dispatcher.Settings;
+import wharfhinge.policy.CacheAwareDispatcher;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherSettings;
 
 /**
  * Tells a capture's events to fresh dispatchers and holds what they decide against what was decided. From a gap on nothing can
@@ -53,15 +53,15 @@
     }
 
     private final Recorder.Maker maker;
-    private final UnaryOperator<Settings> settings;
+    private final UnaryOperator<DispatcherSettings> settings;
 
-    /** Replays into {@link Choice}. */
+    /** Replays into {@link CacheAwareDispatcher}. */
     public Replayer() {
-        this(Choice::new, UnaryOperator.identity());
+        this(CacheAwareDispatcher::new, UnaryOperator.identity());
     }
 
     /** Replays into another dispatcher, or with other settings. */
-    public Replayer(Recorder.Maker maker, UnaryOperator<Settings> settings) {
+    public Replayer(Recorder.Maker maker, UnaryOperator<DispatcherSettings> settings) {
         this.maker = maker;
         this.settings = settings;
     }
@@ -69,19 +69,19 @@
     /**
      * Replays until the first difference.
      *
-     * @param untilNs frames later than this on the capture's clock are left out
+     * @param untilNanos frames later than this on the capture's clock are left out
      * @param watcher may be null
      */
-    public Result replay(List<Frame> frames, long untilNs, Watcher watcher) {
-        return run(frames, untilNs, watcher, true);
+    public Result replay(List<Frame> frames, long untilNanos, Watcher watcher) {
+        return run(frames, untilNanos, watcher, true);
     }
 
     /** Replays to the end whatever differs; what was captured is not compared. */
-    public Result counterfactual(List<Frame> frames, long untilNs, Watcher watcher) {
-        return run(frames, untilNs, watcher, false);
+    public Result counterfactual(List<Frame> frames, long untilNanos, Watcher watcher) {
+        return run(frames, untilNanos, watcher, false);
     }
 
-    private Result run(List<Frame> frames, long untilNs, Watcher watcher, boolean compare) {
+    private Result run(List<Frame> frames, long untilNanos, Watcher watcher, boolean compare) {
         Dispatcher dispatcher = null;
         Acts acts = new Acts(null);
         Deque<Frame> before = new ArrayDeque<>();
@@ -91,7 +91,7 @@
         long gaps = 0;
         for (int i = 0; i < frames.size(); i++) {
             Frame frame = frames.get(i);
-            if (frame.at() > untilNs) {
+            if (frame.at() > untilNanos) {
                 break;
             }
             String thrown = "";
--- a/capture/src/main/java/wharfhinge/capture/Skew.java
+++ b/capture/src/main/java/wharfhinge/capture/Skew.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import wharfhinge.Dispatcher.ListMode;
 import wharfhinge.capture.CaptureReader.Capture;
+import wharfhinge.policy.EndpointUpdateMode;
 
 /**
  * How far one gateway's wall clock is ahead of another's, estimated from the changes of the list that both were told: a roster
@@ -41,7 +41,9 @@
     private static Map<Long, Long> changes(Capture capture) {
         Map<Long, Long> at = new HashMap<>();
         for (Frame f : capture.frames()) {
-            if (f.event() instanceof Event.Members m && m.mode() == ListMode.CHANGES && m.revision() > 0) {
+            if (f.event() instanceof Event.Members m
+                    && m.mode() == EndpointUpdateMode.INCREMENTAL
+                    && m.revision() > 0) {
                 at.putIfAbsent(m.revision(), capture.wallUs(f));
             }
         }
--- a/capture/src/main/java/wharfhinge/capture/Text.java
+++ b/capture/src/main/java/wharfhinge/capture/Text.java
@@ -1,20 +1,40 @@
 package wharfhinge.capture;
 
+import com.fasterxml.jackson.core.JsonGenerator;
+import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
+import com.fasterxml.jackson.databind.DeserializationContext;
 import com.fasterxml.jackson.databind.DeserializationFeature;
+import com.fasterxml.jackson.databind.JsonMappingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.PropertyNamingStrategy;
 import com.fasterxml.jackson.databind.SerializationFeature;
+import com.fasterxml.jackson.databind.SerializerProvider;
+import com.fasterxml.jackson.databind.cfg.MapperConfig;
+import com.fasterxml.jackson.databind.deser.std.StdDeserializer;
+import com.fasterxml.jackson.databind.introspect.AnnotatedField;
+import com.fasterxml.jackson.databind.introspect.AnnotatedMethod;
+import com.fasterxml.jackson.databind.introspect.AnnotatedParameter;
 import com.fasterxml.jackson.databind.json.JsonMapper;
+import com.fasterxml.jackson.databind.module.SimpleModule;
+import com.fasterxml.jackson.databind.ser.std.StdSerializer;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
-import wharfhinge.Dispatcher.Settings;
+import wharfhinge.policy.Availability;
+import wharfhinge.policy.CacheStatus;
+import wharfhinge.policy.DispatcherSettings;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.Outcome;
+import wharfhinge.settings.StoredNames;
 
 /** Frames as lines of JSON: what decision logs and fixtures hold. The same frame gives the same line. */
 public final class Text {
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
+            .propertyNamingStrategy(new StoredKeys())
+            .addModule(words())
             .build();
 
     static {
@@ -23,6 +43,52 @@
 
     private Text() {}
 
+    private static SimpleModule words() {
+        SimpleModule words = new SimpleModule("stored words");
+        word(words, Outcome.class);
+        word(words, Availability.class);
+        word(words, EndpointUpdateMode.class);
+        word(words, CacheStatus.class);
+        return words;
+    }
+
+    private static <E extends Enum<E>> void word(SimpleModule words, Class<E> type) {
+        words.addSerializer(type, new StdSerializer<E>(type) {
+            @Override
+            public void serialize(E constant, JsonGenerator to, SerializerProvider provider) throws IOException {
+                to.writeString(StoredNames.word(constant));
+            }
+        });
+        words.addDeserializer(type, new StdDeserializer<E>(type) {
+            @Override
+            public E deserialize(JsonParser from, DeserializationContext context) throws IOException {
+                try {
+                    return StoredNames.constant(type, from.getText());
+                } catch (IllegalArgumentException e) {
+                    throw new JsonMappingException(from, e.getMessage(), e);
+                }
+            }
+        });
+    }
+
+    /** Records are stored under the names of {@link StoredNames}. */
+    private static final class StoredKeys extends PropertyNamingStrategy {
+        @Override
+        public String nameForField(MapperConfig<?> config, AnnotatedField field, String name) {
+            return StoredNames.key(field.getDeclaringClass(), name);
+        }
+
+        @Override
+        public String nameForGetterMethod(MapperConfig<?> config, AnnotatedMethod method, String name) {
+            return StoredNames.key(method.getDeclaringClass(), name);
+        }
+
+        @Override
+        public String nameForConstructorParameter(MapperConfig<?> config, AnnotatedParameter parameter, String name) {
+            return StoredNames.key(parameter.getDeclaringClass(), name);
+        }
+    }
+
     /** A frame as a line. */
     public static String line(Frame frame) {
         return json(frame);
@@ -41,8 +107,8 @@
         }
     }
 
-    static Settings settings(String json) throws IOException {
-        return JSON.readValue(json, Settings.class);
+    static DispatcherSettings settings(String json) throws IOException {
+        return JSON.readValue(json, DispatcherSettings.class);
     }
 
     /** All frames of a fixture; lines that begin with {@code #} say what it is about. */
--- a/capture/src/main/java/wharfhinge/capture/WireCodec.java
+++ b/capture/src/main/java/wharfhinge/capture/WireCodec.java
@@ -7,13 +7,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wharfhinge.Dispatcher.Availability;
-import wharfhinge.Dispatcher.Completion;
-import wharfhinge.Dispatcher.ListMode;
-import wharfhinge.Dispatcher.Note;
-import wharfhinge.Dispatcher.Outcome;
-import wharfhinge.Dispatcher.Request;
-import wharfhinge.Dispatcher.Worker;
+import wharfhinge.policy.AttemptCompletion;
+import wharfhinge.policy.Availability;
+import wharfhinge.policy.CacheStatus;
+import wharfhinge.policy.Endpoint;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.Outcome;
+import wharfhinge.policy.Request;
+import wharfhinge.settings.StoredNames;
 
 /** Frames to and from their form on disk, {@code capture.proto}. */
 final class WireCodec {
@@ -65,8 +66,8 @@
         } else if (event instanceof Event.Probed e) {
             to.setProbed(wharfhinge.capture.wire.Probed.newBuilder()
                     .setWorker(e.worker())
-                    .setOutcome(e.outcome().name())
-                    .setTookNs(e.tookNs())
+                    .setOutcome(StoredNames.word(e.outcome()))
+                    .setTookNs(e.tookNanos())
                     .addAllReport(report(e.report())));
         } else if (event instanceof Event.Established e) {
             to.setEstablished(wharfhinge.capture.wire.Established.newBuilder()
@@ -86,14 +87,14 @@
                     .setWorker(e.worker())
                     .setFunction(e.function())
                     .setCount(e.count())
-                    .setOutcome(e.outcome().name())
-                    .setTookNs(e.tookNs()));
+                    .setOutcome(StoredNames.word(e.outcome()))
+                    .setTookNs(e.tookNanos()));
         }
     }
 
     private static wharfhinge.capture.wire.Members.Builder members(Event.Members e) {
         var members = wharfhinge.capture.wire.Members.newBuilder()
-                .setMode(e.mode().name())
+                .setMode(StoredNames.word(e.mode()))
                 .setRevision(e.revision());
         e.workers()
                 .forEach(w -> members.addWorkers(wharfhinge.capture.wire.Worker.newBuilder()
@@ -101,36 +102,36 @@
                         .setZone(w.zone())
                         .setKind(w.kind())
                         .setCell(w.cell())
-                        .setAvailability(w.availability().name())
+                        .setAvailability(StoredNames.word(w.availability()))
                         .setWeight(w.weight())
                         .setStartedAt(w.startedAt())));
         return members;
     }
 
-    private static wharfhinge.capture.wire.Completed.Builder completed(Completion c) {
+    private static wharfhinge.capture.wire.Completed.Builder completed(AttemptCompletion c) {
         return wharfhinge.capture.wire.Completed.newBuilder()
                 .setRequest(c.request())
-                .setOutcome(c.outcome().name())
+                .setOutcome(StoredNames.word(c.outcome()))
                 .setAttempt(c.attempt())
-                .setTookNs(c.tookNs())
+                .setTookNs(c.tookNanos())
                 .setWorker(c.worker())
-                .setNote(c.note().name())
-                .setCompany(c.company())
-                .setSettled(c.settled())
+                .setNote(StoredNames.word(c.cacheStatus()))
+                .setCompany(c.concurrentOnWorker())
+                .setSettled(c.answered())
                 .addAllReport(report(c.report()));
     }
 
     private static wharfhinge.capture.wire.Request request(Request r) {
         var to = wharfhinge.capture.wire.Request.newBuilder()
                 .setId(r.id())
-                .setRemainingNs(r.remainingNs())
+                .setRemainingNs(r.remainingNanos())
                 .setMemoryMb(r.memoryMb())
                 .setFunction(r.function())
-                .setCostNs(r.costNs())
-                .setLanes(r.lanes())
-                .setLoadMs(r.loadMs())
+                .setCostNs(r.costNanos())
+                .setLanes(r.concurrencyPerCopy())
+                .setLoadMs(r.loadMillis())
                 .setRequestClass(r.requestClass())
-                .setRepeat(r.repeat())
+                .setRepeat(r.retry())
                 .setWrite(r.write());
         return (r.tenant() == null ? to : to.setTenant(r.tenant())).build();
     }
@@ -179,15 +180,16 @@
             case GAP -> new Event.Gap(f.getGap().getLost());
             case NAMED -> new Event.Named(f.getNamed().getId(), f.getNamed().getOuter());
             case MEMBERS -> new Event.Members(
-                    ListMode.valueOf(f.getMembers().getMode()),
+                    StoredNames.constant(
+                            EndpointUpdateMode.class, f.getMembers().getMode()),
                     f.getMembers().getRevision(),
                     f.getMembers().getWorkersList().stream()
-                            .map(w -> new Worker(
+                            .map(w -> new Endpoint(
                                     w.getId(),
                                     w.getZone(),
                                     w.getKind(),
                                     w.getCell(),
-                                    Availability.valueOf(w.getAvailability()),
+                                    StoredNames.constant(Availability.class, w.getAvailability()),
                                     w.getWeight(),
                                     w.getStartedAt()))
                             .toList());
@@ -198,7 +200,7 @@
             case CLIENT_LEFT -> new Event.ClientLeft(f.getClientLeft().getRequest());
             case PROBED -> new Event.Probed(
                     f.getProbed().getWorker(),
-                    Outcome.valueOf(f.getProbed().getOutcome()),
+                    StoredNames.constant(Outcome.class, f.getProbed().getOutcome()),
                     f.getProbed().getTookNs(),
                     report(f.getProbed().getReportList()));
             case ESTABLISHED -> new Event.Established(
@@ -213,20 +215,20 @@
                     f.getResident().getWorker(),
                     f.getResident().getFunction(),
                     f.getResident().getCount(),
-                    Outcome.valueOf(f.getResident().getOutcome()),
+                    StoredNames.constant(Outcome.class, f.getResident().getOutcome()),
                     f.getResident().getTookNs());
             case EVENT_NOT_SET -> throw new IOException("an event that this version does not know");
         };
     }
 
     private static Event completed(wharfhinge.capture.wire.Completed c) {
-        return new Event.Completed(new Completion(
+        return new Event.Completed(new AttemptCompletion(
                 c.getRequest(),
-                Outcome.valueOf(c.getOutcome()),
+                StoredNames.constant(Outcome.class, c.getOutcome()),
                 c.getAttempt(),
                 c.getTookNs(),
                 c.getWorker(),
-                Note.valueOf(c.getNote()),
+                StoredNames.constant(CacheStatus.class, c.getNote()),
                 c.getCompany(),
                 c.getSettled(),
                 report(c.getReportList())));
--- a/client-core/src/main/java/wharfhinge/client/core/CallEnd.java
+++ b/client-core/src/main/java/wharfhinge/client/core/CallEnd.java
@@ -4,11 +4,11 @@
  * A call's one final answer.
  *
  * @param mayHaveRun whether some worker may have run it
- * @param comeBackNs with REFUSED, when a repeat may be of use; 0 where nobody said
+ * @param comeBackNanos with REFUSED, when a repeat may be of use; 0 where nobody said
  * @param tries      how many there were
  * @param reason     why, in a word, for logs
  */
-public record CallEnd(Kind kind, boolean mayHaveRun, long comeBackNs, int tries, Reason reason) {
+public record CallEnd(Kind kind, boolean mayHaveRun, long comeBackNanos, int tries, Reason reason) {
     /** What the caller may do next. */
     public enum Kind {
         /** Nothing, it has its answer. */
--- a/client-core/src/main/java/wharfhinge/client/core/CallPlan.java
+++ b/client-core/src/main/java/wharfhinge/client/core/CallPlan.java
@@ -3,15 +3,15 @@
 /**
  * What a client's decisions need to know of a call.
  *
- * @param deadlineNs how long the caller waits, for all tries together
+ * @param deadlineNanos how long the caller waits, for all tries together
  * @param safe       a repeat is harmless even where the call may have run
  * @param hedge      a second copy may be sent while the first is still out; only of safe calls
  */
-public record CallPlan(long deadlineNs, boolean safe, boolean hedge) {
+public record CallPlan(long deadlineNanos, boolean safe, boolean hedge) {
     /** Checks it. */
     public CallPlan {
-        if (deadlineNs <= 0) {
-            throw new IllegalArgumentException("deadline: found " + deadlineNs + " ns, allowed: above 0");
+        if (deadlineNanos <= 0) {
+            throw new IllegalArgumentException("deadline: found " + deadlineNanos + " ns, allowed: above 0");
         }
         if (hedge && !safe) {
             throw new IllegalArgumentException(
--- a/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
+++ b/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
@@ -19,7 +19,7 @@
     /** What it may do. */
     public interface Actions {
         /** Sends a try; {@code remainingNs} is what is left of the deadline. */
-        void send(long call, int index, String gateway, long remainingNs, boolean repeat);
+        void send(long call, int index, String gateway, long remainingNanos, boolean repeat);
 
         /** Nobody waits for this try any more; its end, if told, is ignored. */
         void abandon(long call, int index);
@@ -28,7 +28,7 @@
         void finish(long call, CallEnd end, int index);
 
         /** Asks for {@link ClientDecisions#due} after a delay. */
-        void timer(long call, int token, long delayNs);
+        void timer(long call, int token, long delayNanos);
     }
 
     private static final int DEADLINE = -1;
@@ -106,16 +106,16 @@
         if (calls.size() >= policy.maxOpen()) {
             actions.finish(
                     id,
-                    new CallEnd(CallEnd.Kind.REFUSED, false, policy.backoffNs(), 0, CallEnd.Reason.TOO_MANY_OPEN),
+                    new CallEnd(CallEnd.Kind.REFUSED, false, policy.backoffNanos(), 0, CallEnd.Reason.TOO_MANY_OPEN),
                     -1);
             return;
         }
         tokens = Math.min(policy.retryBurst(), tokens + policy.retryShare());
-        Call c = new Call(id, plan, now + plan.deadlineNs());
+        Call c = new Call(id, plan, now + plan.deadlineNanos());
         calls.put(id, c);
-        actions.timer(id, DEADLINE, plan.deadlineNs());
+        actions.timer(id, DEADLINE, plan.deadlineNanos());
         if (plan.hedge()) {
-            actions.timer(id, HEDGE, policy.hedgeNs());
+            actions.timer(id, HEDGE, policy.hedgeNanos());
         }
         send(now, c);
     }
@@ -160,7 +160,7 @@
     }
 
     /** A try ended; {@code adviceNs} is when to come back, 0 where nobody said. */
-    public void ended(long now, long id, int index, TryEnd end, long adviceNs) {
+    public void ended(long now, long id, int index, TryEnd end, long adviceNanos) {
         Call c = calls.get(id);
         if (c == null || c.tries.get(index).over) {
             return;
@@ -176,7 +176,7 @@
         switch (end) {
             case SERVED -> finish(now, c, CallEnd.Kind.SERVED, CallEnd.Reason.ANSWERED, 0, index);
             case INVALID -> finish(now, c, CallEnd.Kind.INVALID, CallEnd.Reason.ANSWERED, 0, index);
-            case REFUSED, NOT_SENT -> again(now, c, index, end, adviceNs);
+            case REFUSED, NOT_SENT -> again(now, c, index, end, adviceNanos);
             case FAILED, BROKEN -> {
                 c.mayHaveRun = true;
                 again(now, c, index, end, 0);
@@ -188,20 +188,20 @@
         c.waits = false;
         String gateway = gateways.choose(now, c.tried, c.plan.safe());
         if (gateway == null) {
-            finish(now, c, CallEnd.Kind.REFUSED, CallEnd.Reason.NO_GATEWAY, policy.backoffNs(), -1);
+            finish(now, c, CallEnd.Kind.REFUSED, CallEnd.Reason.NO_GATEWAY, policy.backoffNanos(), -1);
             return;
         }
         c.tried.add(gateway);
         c.tries.add(new Try(gateway, now));
         int index = c.tries.size() - 1;
-        if (c.plan.safe() && now + policy.silentNs() < c.deadline) {
-            actions.timer(c.id, index, policy.silentNs());
+        if (c.plan.safe() && now + policy.silentNanos() < c.deadline) {
+            actions.timer(c.id, index, policy.silentNanos());
         }
         actions.send(c.id, index, gateway, c.deadline - now, index > 0);
     }
 
     /** A try ended without an answer. */
-    private void again(long now, Call c, int index, TryEnd end, long adviceNs) {
+    private void again(long now, Call c, int index, TryEnd end, long adviceNanos) {
         if (c.live() > 0 || c.waits) {
             return; // another copy may still serve it, or its turn is set
         }
@@ -212,15 +212,15 @@
         }
         CallEnd.Kind kind = ran ? CallEnd.Kind.FAILED : CallEnd.Kind.REFUSED;
         if (tokens < 1) {
-            finish(now, c, kind, CallEnd.Reason.BUDGET_SPENT, adviceNs, index);
+            finish(now, c, kind, CallEnd.Reason.BUDGET_SPENT, adviceNanos, index);
             return;
         }
         boolean elsewhere = end == TryEnd.NOT_SENT && c.failures == 0; // the connection's fault, not load: at once
-        long most = Math.min(policy.backoffMostNs(), policy.backoffNs() << Math.min(c.failures, MOST_DOUBLINGS));
+        long most = Math.min(policy.backoffMostNanos(), policy.backoffNanos() << Math.min(c.failures, MOST_DOUBLINGS));
         c.failures++;
-        long wait = elsewhere ? 0 : adviceNs + (long) (random.nextDouble() * most);
+        long wait = elsewhere ? 0 : adviceNanos + (long) (random.nextDouble() * most);
         if (now + wait >= c.deadline) {
-            finish(now, c, kind, CallEnd.Reason.NO_TIME_TO_COME_BACK, adviceNs, index);
+            finish(now, c, kind, CallEnd.Reason.NO_TIME_TO_COME_BACK, adviceNanos, index);
             return;
         }
         tokens--;
@@ -267,7 +267,7 @@
             if (!t.over && i != but) {
                 t.over = true;
                 out = true;
-                boolean silent = late && now - t.sentAt >= policy.silentNs(); // it owed an answer by now
+                boolean silent = late && now - t.sentAt >= policy.silentNanos(); // it owed an answer by now
                 gateways.ended(now, t.gateway, silent ? Boolean.FALSE : null);
                 actions.abandon(c.id, i);
             }
@@ -275,10 +275,10 @@
         return out;
     }
 
-    private void finish(long now, Call c, CallEnd.Kind kind, CallEnd.Reason reason, long comeBackNs, int index) {
+    private void finish(long now, Call c, CallEnd.Kind kind, CallEnd.Reason reason, long comeBackNanos, int index) {
         boolean out = giveUp(now, c, -1, kind == CallEnd.Kind.LATE);
         calls.remove(c.id);
         boolean ran = kind != CallEnd.Kind.INVALID && (c.mayHaveRun || out || kind == CallEnd.Kind.SERVED);
-        actions.finish(c.id, new CallEnd(kind, ran, comeBackNs, c.tries.size(), reason), index);
+        actions.finish(c.id, new CallEnd(kind, ran, comeBackNanos, c.tries.size(), reason), index);
     }
 }
--- a/client-core/src/main/java/wharfhinge/client/core/Gateways.java
+++ b/client-core/src/main/java/wharfhinge/client/core/Gateways.java
@@ -104,7 +104,7 @@
             if (s.onTrial || !s.ejected && s.inARow >= policy.ejectAfter()) {
                 s.ejected = true;
                 s.onTrial = false;
-                s.trialAt = now + (policy.ejectNs() << s.pauses);
+                s.trialAt = now + (policy.ejectNanos() << s.pauses);
                 s.pauses = Math.min(MOST_PAUSES, s.pauses + 1);
             }
         } else {
--- a/client-grpc/src/main/java/wharfhinge/client/grpc/GrpcTransport.java
+++ b/client-grpc/src/main/java/wharfhinge/client/grpc/GrpcTransport.java
@@ -69,9 +69,9 @@
     }
 
     @Override
-    public Try send(String gateway, Call call, long remainingNs, boolean repeat, Listener listener) {
+    public Try send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener) {
         Exchange exchange = new Exchange(gateway, listener);
-        exchange.begin(call, remainingNs, repeat);
+        exchange.begin(call, remainingNanos, repeat);
         return exchange;
     }
 
@@ -90,10 +90,10 @@
             this.listener = listener;
         }
 
-        void begin(Call call, long remainingNs, boolean repeat) {
+        void begin(Call call, long remainingNanos, boolean repeat) {
             CallOptions timed = call.streams()
                     ? CallOptions.DEFAULT // its parts may come for as long as they like
-                    : CallOptions.DEFAULT.withDeadlineAfter(remainingNs, TimeUnit.NANOSECONDS);
+                    : CallOptions.DEFAULT.withDeadlineAfter(remainingNanos, TimeUnit.NANOSECONDS);
             CallOptions options = timed.withStreamTracerFactory(new ClientStreamTracer.Factory() {
                 @Override
                 public ClientStreamTracer newClientStreamTracer(ClientStreamTracer.StreamInfo info, Metadata headers) {
@@ -117,7 +117,7 @@
             }
             rpc.start(new Answers(), headers);
             rpc.request(streams ? 1 : 2); // parts are asked for one by one
-            rpc.sendMessage(request(call, repeat, remainingNs));
+            rpc.sendMessage(request(call, repeat, remainingNanos));
             rpc.halfClose();
             if (connected) {
                 return; // it is on its way: no timer for each call
@@ -211,30 +211,30 @@
                                 default -> sent ? TryEnd.BROKEN : TryEnd.NOT_SENT;
                             };
             String advice = trailers.get(GrpcProtocol.RETRY_AFTER_MS);
-            long adviceNs = advice != null && advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
+            long adviceNanos = advice != null && advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
             String reason = trailers.get(GrpcProtocol.REASON);
             return new Transport.Reply(
                     end,
                     new byte[0],
                     null,
                     null,
-                    adviceNs,
+                    adviceNanos,
                     reason != null
                             ? reason
                             : end == TryEnd.INVALID ? status.getDescription() : gateway + ": " + status);
         }
     }
 
-    private static CallRequest request(Call call, boolean repeat, long remainingNs) {
+    private static CallRequest request(Call call, boolean repeat, long remainingNanos) {
         CallRequest.Builder to = CallRequest.newBuilder()
                 .setFunction(call.function())
                 .setRequestClass(call.requestClass())
                 .setCostUs(call.costUs())
                 .setMemoryMb(call.memoryMb())
                 .setLanes(call.lanes())
-                .setLoadMs(call.loadMs())
+                .setLoadMs(call.loadMillis())
                 .setRepeat(repeat)
-                .setDeadlineMs(call.streams() ? Math.max(1, remainingNs / MS) : 0)
+                .setDeadlineMs(call.streams() ? Math.max(1, remainingNanos / MS) : 0)
                 .setWrite(call.write())
                 .setBody(ByteString.copyFrom(call.body()));
         if (call.tenant() != null) {
--- a/client-http/src/main/java/wharfhinge/client/http/Exchange.java
+++ b/client-http/src/main/java/wharfhinge/client/http/Exchange.java
@@ -45,7 +45,7 @@
     Exchange(
             String gateway,
             Call call,
-            long remainingNs,
+            long remainingNanos,
             boolean repeat,
             int mostAnswerBytes,
             String token,
@@ -53,7 +53,7 @@
         this.token = token;
         this.gateway = gateway;
         this.call = call;
-        this.deadline = System.nanoTime() + remainingNs;
+        this.deadline = System.nanoTime() + remainingNanos;
         this.repeat = repeat;
         this.mostAnswerBytes = mostAnswerBytes;
         this.listener = listener;
@@ -128,7 +128,7 @@
         set(h, ClientProtocol.COST_US, call.costUs() > 0 ? Long.toString(call.costUs()) : null);
         set(h, ClientProtocol.MEMORY_MB, call.memoryMb() > 0 ? Double.toString(call.memoryMb()) : null);
         set(h, ClientProtocol.LANES, call.lanes() > 0 ? Integer.toString(call.lanes()) : null);
-        set(h, ClientProtocol.LOAD_MS, call.loadMs() > 0 ? Double.toString(call.loadMs()) : null);
+        set(h, ClientProtocol.LOAD_MS, call.loadMillis() > 0 ? Double.toString(call.loadMillis()) : null);
         set(h, ClientProtocol.REPEAT, repeat ? "1" : null);
         set(h, ClientProtocol.WRITE, call.write() ? "1" : null);
         return request;
@@ -196,8 +196,8 @@
         String reason =
                 end == TryEnd.INVALID ? new String(body, StandardCharsets.UTF_8).strip() : h.get(ClientProtocol.REASON);
         String advice = h.get(ClientProtocol.RETRY_AFTER_MS, "");
-        long adviceNs = advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
+        long adviceNanos = advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
         return new Transport.Reply(
-                end, body, h.get(HttpHeaderNames.CONTENT_TYPE), h.get(ClientProtocol.WORKER), adviceNs, reason);
+                end, body, h.get(HttpHeaderNames.CONTENT_TYPE), h.get(ClientProtocol.WORKER), adviceNanos, reason);
     }
 }
--- a/client-http/src/main/java/wharfhinge/client/http/HttpTransport.java
+++ b/client-http/src/main/java/wharfhinge/client/http/HttpTransport.java
@@ -65,8 +65,8 @@
     }
 
     @Override
-    public Try send(String gateway, Call call, long remainingNs, boolean repeat, Listener listener) {
-        Exchange exchange = new Exchange(gateway, call, remainingNs, repeat, mostAnswerBytes, token.get(), listener);
+    public Try send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener) {
+        Exchange exchange = new Exchange(gateway, call, remainingNanos, repeat, mostAnswerBytes, token.get(), listener);
         peers.computeIfAbsent(gateway, name -> new Peer(name, this)).send(exchange);
         return exchange;
     }
--- a/client/src/main/java/wharfhinge/client/Call.java
+++ b/client/src/main/java/wharfhinge/client/Call.java
@@ -29,7 +29,7 @@
         long costUs,
         double memoryMb,
         int lanes,
-        double loadMs,
+        double loadMillis,
         boolean write) {
 
     /** Checks what is needed. */
@@ -72,7 +72,7 @@
         private long costUs;
         private double memoryMb;
         private int lanes;
-        private double loadMs;
+        private double loadMillis;
         private boolean write;
 
         private Builder(String function, String requestClass, Duration deadline, boolean safe) {
@@ -120,10 +120,10 @@
         }
 
         /** What a copy of the function needs. */
-        public Builder copy(double megabytes, int lanesOfCopy, double usualLoadMs) {
+        public Builder copy(double megabytes, int lanesOfCopy, double usualLoadMillis) {
             this.memoryMb = megabytes;
             this.lanes = lanesOfCopy;
-            this.loadMs = usualLoadMs;
+            this.loadMillis = usualLoadMillis;
             return this;
         }
 
@@ -149,7 +149,7 @@
                     costUs,
                     memoryMb,
                     lanes,
-                    loadMs,
+                    loadMillis,
                     write);
         }
     }
--- a/client/src/main/java/wharfhinge/client/Transport.java
+++ b/client/src/main/java/wharfhinge/client/Transport.java
@@ -8,10 +8,10 @@
     /**
      * How a try ended.
      *
-     * @param adviceNs when to come back, 0 where nobody said
+     * @param adviceNanos when to come back, 0 where nobody said
      * @param reason   for people; the body's place where there is none
      */
-    record Reply(TryEnd end, byte[] body, String contentType, String worker, long adviceNs, String reason) {
+    record Reply(TryEnd end, byte[] body, String contentType, String worker, long adviceNanos, String reason) {
         /** One without an answer. */
         public static Reply without(TryEnd end, String reason) {
             return new Reply(end, new byte[0], null, null, 0, reason);
@@ -39,7 +39,7 @@
     }
 
     /** Sends a try to a gateway, {@code host:port}. Never blocks. */
-    Try send(String gateway, Call call, long remainingNs, boolean repeat, Listener listener);
+    Try send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener);
 
     @Override
     void close();
--- a/client/src/main/java/wharfhinge/client/WharfhingeClient.java
+++ b/client/src/main/java/wharfhinge/client/WharfhingeClient.java
@@ -156,9 +156,9 @@
     /** What the decisions ask for; on the client's thread. */
     private final class Doing implements ClientDecisions.Actions {
         @Override
-        public void send(long id, int index, String gateway, long remainingNs, boolean repeat) {
+        public void send(long id, int index, String gateway, long remainingNanos, boolean repeat) {
             Open open = calls.get(id);
-            open.out.put(index, transport.send(gateway, open.call, remainingNs, repeat, new Told(id, index, open)));
+            open.out.put(index, transport.send(gateway, open.call, remainingNanos, repeat, new Told(id, index, open)));
         }
 
         @Override
@@ -178,7 +178,7 @@
         }
 
         @Override
-        public void timer(long id, int token, long delayNs) {
+        public void timer(long id, int token, long delayNanos) {
             calls.get(id)
                     .timers
                     .add(thread.schedule(
@@ -189,7 +189,7 @@
                                     LOG.error("client's decisions", e);
                                 }
                             },
-                            delayNs,
+                            delayNanos,
                             TimeUnit.NANOSECONDS));
         }
     }
@@ -213,7 +213,7 @@
                 if (calls.get(id) == open) {
                     open.replies.put(index, reply);
                     open.out.remove(index);
-                    decisions.ended(now(), id, index, reply.end(), reply.adviceNs());
+                    decisions.ended(now(), id, index, reply.end(), reply.adviceNanos());
                 }
             });
         }
@@ -255,7 +255,7 @@
                                         .replace('_', '-') + ")");
         return switch (end.kind()) {
             case SERVED -> new Result.Served(reply.body(), reply.contentType(), reply.worker(), end.tries());
-            case REFUSED -> new Result.Refused(Duration.ofNanos(end.comeBackNs()), reason.strip(), end.tries());
+            case REFUSED -> new Result.Refused(Duration.ofNanos(end.comeBackNanos()), reason.strip(), end.tries());
             case FAILED -> new Result.Failed(reason.strip(), end.tries());
             case LATE -> new Result.Late(end.mayHaveRun(), end.tries());
             case INVALID -> new Result.Invalid(reason.strip(), end.tries());
--- a/config/src/main/java/wharfhinge/config/ChainConfig.java
+++ b/config/src/main/java/wharfhinge/config/ChainConfig.java
@@ -12,14 +12,14 @@
 /**
  * What chains are set to. Times are nanoseconds, sizes bytes.
  *
- * @param giveUpNs   longest deadline of a chain, and its default
+ * @param giveUpNanos   longest deadline of a chain, and its default
  * @param resumeFile where finished steps are kept over restarts, or null
  * @param named      chains that clients call by name
  */
 public record ChainConfig(
         ChainSettings settings,
-        long giveUpNs,
-        long resumeWindowNs,
+        long giveUpNanos,
+        long resumeWindowNanos,
         int resumeKeys,
         long resumeBytes,
         Path resumeFile,
@@ -28,7 +28,7 @@
     private static final long MB = 1 << 20;
 
     /** A chain set by name. */
-    public record Named(long aimNs, List<NamedStep> steps) {}
+    public record Named(long aimNanos, List<NamedStep> steps) {}
 
     /** A step of such a chain; its input is the client's or steps' answers, by their names. */
     public record NamedStep(
@@ -38,7 +38,7 @@
             List<String> input,
             double memoryMb,
             int lanes,
-            double loadMs,
+            double loadMillis,
             long costUs) {}
 
     static void check(SettingsXml x, XmlFile.Faults faults) {
@@ -59,7 +59,7 @@
                         s.id,
                         s.function,
                         s.requestClass,
-                        wharfhinge.Dispatcher.Effect.IDEMPOTENT,
+                        wharfhinge.policy.Effect.IDEMPOTENT,
                         s.input.stream().filter(i -> !i.equals("client")).toList(),
                         0,
                         0));
@@ -77,15 +77,15 @@
                             .mapToLong(i -> ends.getOrDefault(i, 0L))
                             .max()
                             .orElse(0);
-                    ends.put(s.id, begin + s.leastMs);
-                    least = Math.max(least, begin + s.leastMs);
+                    ends.put(s.id, begin + s.leastMillis);
+                    least = Math.max(least, begin + s.leastMillis);
                 }
             }
-            if (least > chain.aimMs) {
+            if (least > chain.aimMillis) {
                 faults.accept(
                         chain,
                         "chain " + chain.name + ": found least times that add up to " + least
-                                + " ms along its longest path, allowed: at most aim-ms, " + chain.aimMs);
+                                + " ms along its longest path, allowed: at most aim-ms, " + chain.aimMillis);
             }
         }
     }
@@ -96,7 +96,7 @@
         c.chains.forEach(chain -> named.put(
                 chain.name,
                 new Named(
-                        chain.aimMs * MS,
+                        chain.aimMillis * MS,
                         chain.steps.stream()
                                 .map(s -> new NamedStep(
                                         s.id,
@@ -105,7 +105,7 @@
                                         List.copyOf(s.input),
                                         s.memoryMb,
                                         s.lanes,
-                                        s.loadMs,
+                                        s.loadMillis,
                                         (long) s.costUs))
                                 .toList())));
         return new ChainConfig(
@@ -118,9 +118,9 @@
                         c.maxSteps,
                         c.tenantShare,
                         c.maxHeldMb * MB,
-                        2 * x.gateway.tickMs * MS),
-                c.giveUpMs * MS,
-                c.resumeWindowMs * MS,
+                        2 * x.gateway.tickMillis * MS),
+                c.giveUpMillis * MS,
+                c.resumeWindowMillis * MS,
                 c.resumeKeys,
                 c.resumeMb * MB,
                 c.resumeFile.isEmpty() ? null : folder.resolve(c.resumeFile),
--- a/config/src/main/java/wharfhinge/config/GatewayConfig.java
+++ b/config/src/main/java/wharfhinge/config/GatewayConfig.java
@@ -10,12 +10,27 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import wharfhinge.Dispatcher;
-import wharfhinge.Dispatcher.Settings;
 import wharfhinge.decisions.chain.ChainSettings;
 import wharfhinge.decisions.door.DoorDecisions;
 import wharfhinge.decisions.door.DoorSettings;
 import wharfhinge.decisions.door.TenantLimit;
+import wharfhinge.policy.ClientBehavior;
+import wharfhinge.policy.DeduplicationScope;
+import wharfhinge.policy.Discovery;
+import wharfhinge.policy.DispatchLimits;
+import wharfhinge.policy.DispatcherSettings;
+import wharfhinge.policy.Effect;
+import wharfhinge.policy.FunctionLoading;
+import wharfhinge.policy.LoadFeedback;
+import wharfhinge.policy.LoadReporting;
+import wharfhinge.policy.ObjectiveWeights;
+import wharfhinge.policy.OnMissBehavior;
+import wharfhinge.policy.Prices;
+import wharfhinge.policy.PriorityUnit;
+import wharfhinge.policy.ProtectionRules;
+import wharfhinge.policy.RequestClass;
+import wharfhinge.policy.Tenant;
+import wharfhinge.policy.WeightReporting;
 
 /**
  * All that one gateway is set to, checked. Times are nanoseconds, sizes bytes.
@@ -31,7 +46,7 @@
 public record GatewayConfig(
         String name,
         long seed,
-        Settings settings,
+        DispatcherSettings settings,
         Clients clients,
         Workers workers,
         Roster roster,
@@ -60,8 +75,8 @@
                 peers,
                 new ChainConfig(
                         changed.apply(c.settings()),
-                        c.giveUpNs(),
-                        c.resumeWindowNs(),
+                        c.giveUpNanos(),
+                        c.resumeWindowNanos(),
                         c.resumeKeys(),
                         c.resumeBytes(),
                         c.resumeFile(),
@@ -85,12 +100,12 @@
                         "127.0.0.1",
                         0,
                         c.maxConnections,
-                        c.idleNs,
+                        c.idleNanos,
                         c.maxBodyBytes,
                         c.maxHeaderBytes,
                         c.maxOpen,
                         c.handOver,
-                        c.stopWithinNs,
+                        c.stopWithinNanos,
                         false,
                         0),
                 workers,
@@ -110,14 +125,14 @@
             String address,
             int port,
             int maxConnections,
-            long idleNs,
+            long idleNanos,
             int maxBodyBytes,
             int maxHeaderBytes,
             int maxOpen,
             int handOver,
-            long stopWithinNs,
+            long stopWithinNanos,
             boolean reusePort,
-            long rehearseNs) {}
+            long rehearseNanos) {}
 
     /**
      * The gateway's certificate (PEM, the chain) and key (PKCS 8), and the authorities that clients' certificates come from.
@@ -141,19 +156,24 @@
 
     /** The workers' side. */
     public record Workers(
-            long dialTimeoutNs,
-            long idleNs,
-            long probeTimeoutNs,
+            long dialTimeoutNanos,
+            long idleNanos,
+            long probeTimeoutNanos,
             int streamsPerConnection,
             int maxConnections,
             int maxAnswerBytes) {}
 
     /** The source of the list. */
     public record Roster(
-            String host, int port, Path remembered, long silentAfterNs, long reconnectLeastNs, long reconnectMostNs) {}
+            String host,
+            int port,
+            Path remembered,
+            long silentAfterNanos,
+            long reconnectLeastNanos,
+            long reconnectMostNanos) {}
 
     /** Where what the decisions are told and decide is captured, and the key that names are hashed with, or null. */
-    public record Capture(Path folder, Path hashKey, long segmentBytes, long mostBytes, long mostAgeMs) {}
+    public record Capture(Path folder, Path hashKey, long segmentBytes, long mostBytes, long mostAgeMillis) {}
 
     /** Logs. */
     public record Log(boolean json, String level, int remarksPerS) {}
@@ -187,29 +207,30 @@
     }
 
     private static void checkClass(SettingsXml x, SettingsXml.CallClass c, XmlFile.Faults faults) {
-        if (c.aimMs > c.giveUpMs) {
+        if (c.aimMillis > c.giveUpMillis) {
             faults.accept(
                     c,
-                    "class " + c.name + ": found aim-ms " + c.aimMs + ", allowed: at most give-up-ms, " + c.giveUpMs);
+                    "class " + c.name + ": found aim-ms " + c.aimMillis + ", allowed: at most give-up-ms, "
+                            + c.giveUpMillis);
         }
-        if (x.workers.dialTimeoutMs >= c.aimMs) {
+        if (x.workers.dialTimeoutMillis >= c.aimMillis) {
             faults.accept(
                     x.workers,
-                    "found dial-timeout-ms " + x.workers.dialTimeoutMs + ", allowed: less than the aim of class "
-                            + c.name + ", " + c.aimMs);
+                    "found dial-timeout-ms " + x.workers.dialTimeoutMillis + ", allowed: less than the aim of class "
+                            + c.name + ", " + c.aimMillis);
         }
         boolean keyed = c.effect.equals("deduplicated");
-        if (keyed && c.windowMs == 0 || !keyed && c.windowMs != 0) {
+        if (keyed && c.windowMillis == 0 || !keyed && c.windowMillis != 0) {
             faults.accept(
                     c,
-                    "class " + c.name + ": found effect " + c.effect + " and window-ms " + c.windowMs
+                    "class " + c.name + ": found effect " + c.effect + " and window-ms " + c.windowMillis
                             + ", allowed: a window with deduplicated, and only there");
         }
-        if (c.giveUpMs <= 4 * x.gateway.tickMs) {
+        if (c.giveUpMillis <= 4 * x.gateway.tickMillis) {
             faults.accept(
                     c,
-                    "class " + c.name + ": found give-up-ms " + c.giveUpMs + ", allowed: over four times tick-ms, "
-                            + x.gateway.tickMs);
+                    "class " + c.name + ": found give-up-ms " + c.giveUpMillis + ", allowed: over four times tick-ms, "
+                            + x.gateway.tickMillis);
         }
     }
 
@@ -237,18 +258,21 @@
                     "found not-loaded miss without orders, allowed: miss with orders only, "
                             + "for nothing else would ever load");
         }
-        if (x.clients.maxRetryAfterMs
-                > x.classes.classes.stream().mapToLong(c -> c.giveUpMs).max().orElse(0)) {
+        if (x.clients.maxRetryAfterMillis
+                > x.classes.classes.stream()
+                        .mapToLong(c -> c.giveUpMillis)
+                        .max()
+                        .orElse(0)) {
             faults.accept(
                     x.clients,
-                    "found max-retry-after-ms " + x.clients.maxRetryAfterMs
+                    "found max-retry-after-ms " + x.clients.maxRetryAfterMillis
                             + ", allowed: at most the longest give-up-ms");
         }
-        if (x.roster.reconnectLeastMs > x.roster.reconnectMostMs) {
+        if (x.roster.reconnectLeastMillis > x.roster.reconnectMostMillis) {
             faults.accept(
                     x.roster,
-                    "found reconnect-least-ms " + x.roster.reconnectLeastMs + ", allowed: at most reconnect-most-ms, "
-                            + x.roster.reconnectMostMs);
+                    "found reconnect-least-ms " + x.roster.reconnectLeastMillis
+                            + ", allowed: at most reconnect-most-ms, " + x.roster.reconnectMostMillis);
         }
         URI url = URI.create(x.roster.url);
         if (url.getPort() < 1 || url.getPort() > 65_535) {
@@ -281,18 +305,18 @@
                         c.address,
                         c.port,
                         c.maxConnections,
-                        c.idleMs * MS,
+                        c.idleMillis * MS,
                         c.maxBodyKb * KB,
                         c.maxHeaderKb * KB,
                         c.maxOpen,
                         c.handOver,
-                        c.stopWithinMs * MS,
+                        c.stopWithinMillis * MS,
                         x.clients.reusePort,
-                        c.rehearseMs * MS),
+                        c.rehearseMillis * MS),
                 new Workers(
-                        w.dialTimeoutMs * MS,
-                        w.idleMs * MS,
-                        w.probeTimeoutMs * MS,
+                        w.dialTimeoutMillis * MS,
+                        w.idleMillis * MS,
+                        w.probeTimeoutMillis * MS,
                         w.streamsPerConnection,
                         w.maxConnections,
                         w.maxAnswerKb * KB),
@@ -300,9 +324,9 @@
                         url.getHost(),
                         url.getPort(),
                         folder.resolve(x.roster.remembered),
-                        x.roster.silentAfterMs * MS,
-                        x.roster.reconnectLeastMs * MS,
-                        x.roster.reconnectMostMs * MS),
+                        x.roster.silentAfterMillis * MS,
+                        x.roster.reconnectLeastMillis * MS,
+                        x.roster.reconnectMostMillis * MS),
                 peers,
                 ChainConfig.of(x, folder),
                 capture(x.capture, folder),
@@ -353,56 +377,56 @@
                         c.mostHours * 3_600_000L);
     }
 
-    private static Settings settings(SettingsXml x) {
+    private static DispatcherSettings settings(SettingsXml x) {
         SettingsXml.Workers w = x.workers;
         SettingsXml.Rules r = x.rules;
-        return new Settings(
+        return new DispatcherSettings(
                 x.gateway.group,
                 x.gateway.number,
-                x.gateway.tickMs * MS,
+                x.gateway.tickMillis * MS,
                 x.gateway.zone,
                 x.zones.names,
                 w.kinds.stream().map(k -> k.name).toList(),
-                word(Dispatcher.Discovery.class, x.roster.discovery),
-                word(Dispatcher.Weights.class, w.weights),
-                word(Dispatcher.WorthBy.class, x.classes.worthBy),
+                word(Discovery.class, x.roster.discovery),
+                word(WeightReporting.class, w.weights),
+                word(PriorityUnit.class, x.classes.worthBy),
                 x.tenants.overShareWorth,
                 classes(x),
                 x.tenants.tenants.stream()
-                        .map(t -> new Dispatcher.Realm(t.name, t.share, t.quotaPerS))
+                        .map(t -> new Tenant(t.name, t.share, t.quotaPerS))
                         .toList(),
                 family(w),
-                new Dispatcher.Feedback(word(Dispatcher.Reports.class, w.reports), w.reportNames),
-                new Dispatcher.Goal(x.goal.whole, x.goal.worstWindow, x.goal.worstClass, x.goal.worstTenant),
+                new LoadFeedback(word(LoadReporting.class, w.reports), w.reportNames),
+                new ObjectiveWeights(x.goal.whole, x.goal.worstWindow, x.goal.worstClass, x.goal.worstTenant),
                 limits(x),
-                new Dispatcher.Obligations(
-                        r.askWithinMs * MS,
+                new ProtectionRules(
+                        r.askWithinMillis * MS,
                         r.coldFrom,
-                        r.warmAfterMs * MS,
+                        r.warmAfterMillis * MS,
                         r.overloadFactor,
-                        r.tipAfterMs * MS,
-                        r.stopSendingWithinMs * MS,
-                        r.graceToAnswerMs * MS),
-                new Dispatcher.Prices(
+                        r.tipAfterMillis * MS,
+                        r.stopSendingWithinMillis * MS,
+                        r.graceToAnswerMillis * MS),
+                new Prices(
                         x.prices.crossZone,
                         x.prices.waste,
                         x.prices.origin,
                         x.prices.probe,
                         x.prices.peer,
                         x.prices.lateFail),
-                new Dispatcher.Callers(x.clients.marksRetry));
+                new ClientBehavior(x.clients.marksRetry));
     }
 
-    private static List<Dispatcher.RequestClass> classes(SettingsXml x) {
-        List<Dispatcher.RequestClass> classes = new ArrayList<>();
+    private static List<RequestClass> classes(SettingsXml x) {
+        List<RequestClass> classes = new ArrayList<>();
         for (SettingsXml.CallClass c : x.classes.classes) {
-            classes.add(new Dispatcher.RequestClass(
+            classes.add(new RequestClass(
                     c.name,
-                    word(Dispatcher.Effect.class, c.effect),
-                    word(Dispatcher.Group.class, c.group),
-                    c.windowMs * MS,
-                    c.aimMs * MS,
-                    c.giveUpMs * MS,
+                    word(Effect.class, c.effect),
+                    word(DeduplicationScope.class, c.group),
+                    c.windowMillis * MS,
+                    c.aimMillis * MS,
+                    c.giveUpMillis * MS,
                     c.worth,
                     c.lateWorth,
                     c.stream,
@@ -411,15 +435,15 @@
         return classes;
     }
 
-    private static Dispatcher.FamilyInfo family(SettingsXml.Workers w) {
+    private static FunctionLoading family(SettingsXml.Workers w) {
         SettingsXml.Loading l = w.loading;
         SettingsXml.Ration ration = l.ration == null ? new SettingsXml.Ration() : l.ration;
-        return new Dispatcher.FamilyInfo(
-                l.keepMs * MS,
+        return new FunctionLoading(
+                l.keepMillis * MS,
                 l.orders,
-                word(Dispatcher.NotLoaded.class, l.notLoaded),
-                l.waitMs * MS,
-                ration.periodMs * MS,
+                word(OnMissBehavior.class, l.notLoaded),
+                l.waitMillis * MS,
+                ration.periodMillis * MS,
                 ration.ratio,
                 ration.anyway,
                 l.priceOfIdle,
@@ -430,9 +454,9 @@
                 l.notes);
     }
 
-    private static Dispatcher.Limits limits(SettingsXml x) {
+    private static DispatchLimits limits(SettingsXml x) {
         SettingsXml.Workers w = x.workers;
-        return new Dispatcher.Limits(
+        return new DispatchLimits(
                 w.cancelling,
                 !x.peers.peers.isEmpty(),
                 w.probes,
@@ -440,9 +464,9 @@
                 x.clients.retryAfter,
                 w.maxAttempts,
                 x.clients.maxOpen,
-                x.clients.maxRetryAfterMs * MS,
-                w.dialTimeoutMs * MS,
-                w.idleMs * MS,
+                x.clients.maxRetryAfterMillis * MS,
+                w.dialTimeoutMillis * MS,
+                w.idleMillis * MS,
                 w.streamsPerConnection,
                 0,
                 0);
--- a/config/src/main/java/wharfhinge/config/SettingsXml.java
+++ b/config/src/main/java/wharfhinge/config/SettingsXml.java
@@ -88,7 +88,7 @@
         long seed;
 
         @XmlAttribute(name = "tick-ms")
-        long tickMs = 2;
+        long tickMillis = 2;
     }
 
     @XmlAccessorType(XmlAccessType.FIELD)
@@ -106,7 +106,7 @@
         int maxConnections = 10000;
 
         @XmlAttribute(name = "idle-ms")
-        long idleMs = 60000;
+        long idleMillis = 60000;
 
         @XmlAttribute(name = "max-body-kb")
         int maxBodyKb = 1024;
@@ -121,16 +121,16 @@
         int handOver = 4096;
 
         @XmlAttribute(name = "stop-within-ms")
-        long stopWithinMs = 5000;
+        long stopWithinMillis = 5000;
 
         @XmlAttribute(name = "rehearse-ms")
-        long rehearseMs = 3000;
+        long rehearseMillis = 3000;
 
         @XmlAttribute(name = "retry-after")
         boolean retryAfter = true;
 
         @XmlAttribute(name = "max-retry-after-ms")
-        long maxRetryAfterMs = 2000;
+        long maxRetryAfterMillis = 2000;
 
         @XmlAttribute(name = "marks-retry")
         boolean marksRetry = true;
@@ -148,7 +148,7 @@
     @XmlAccessorType(XmlAccessType.FIELD)
     static final class Ration {
         @XmlAttribute(name = "period-ms")
-        long periodMs;
+        long periodMillis;
 
         @XmlAttribute(name = "anyway")
         double anyway;
@@ -163,13 +163,13 @@
         String notLoaded;
 
         @XmlAttribute(name = "keep-ms")
-        long keepMs;
+        long keepMillis;
 
         @XmlAttribute(name = "orders")
         boolean orders = true;
 
         @XmlAttribute(name = "wait-ms")
-        long waitMs = 10000;
+        long waitMillis = 10000;
 
         @XmlAttribute(name = "price-of-idle")
         double priceOfIdle;
@@ -200,13 +200,13 @@
         boolean probes = true;
 
         @XmlAttribute(name = "probe-timeout-ms")
-        long probeTimeoutMs = 250;
+        long probeTimeoutMillis = 250;
 
         @XmlAttribute(name = "dial-timeout-ms")
-        long dialTimeoutMs = 250;
+        long dialTimeoutMillis = 250;
 
         @XmlAttribute(name = "idle-ms")
-        long idleMs = 15000;
+        long idleMillis = 15000;
 
         @XmlAttribute(name = "streams-per-connection")
         int streamsPerConnection = 100;
@@ -252,13 +252,13 @@
         String group = "all";
 
         @XmlAttribute(name = "window-ms")
-        long windowMs;
+        long windowMillis;
 
         @XmlAttribute(name = "aim-ms")
-        long aimMs;
+        long aimMillis;
 
         @XmlAttribute(name = "give-up-ms")
-        long giveUpMs;
+        long giveUpMillis;
 
         @XmlAttribute(name = "worth")
         double worth = 1;
@@ -306,25 +306,25 @@
     @XmlAccessorType(XmlAccessType.FIELD)
     static final class Rules {
         @XmlAttribute(name = "stop-sending-within-ms")
-        long stopSendingWithinMs;
+        long stopSendingWithinMillis;
 
         @XmlAttribute(name = "cold-from")
         double coldFrom;
 
         @XmlAttribute(name = "warm-after-ms")
-        long warmAfterMs;
+        long warmAfterMillis;
 
         @XmlAttribute(name = "overload-factor")
         double overloadFactor;
 
         @XmlAttribute(name = "tip-after-ms")
-        long tipAfterMs;
+        long tipAfterMillis;
 
         @XmlAttribute(name = "grace-to-answer-ms")
-        long graceToAnswerMs = 16;
+        long graceToAnswerMillis = 16;
 
         @XmlAttribute(name = "ask-within-ms")
-        long askWithinMs = 10000;
+        long askWithinMillis = 10000;
     }
 
     @XmlAccessorType(XmlAccessType.FIELD)
@@ -375,13 +375,13 @@
         String discovery = "pushed";
 
         @XmlAttribute(name = "silent-after-ms")
-        long silentAfterMs = 5000;
+        long silentAfterMillis = 5000;
 
         @XmlAttribute(name = "reconnect-least-ms")
-        long reconnectLeastMs = 100;
+        long reconnectLeastMillis = 100;
 
         @XmlAttribute(name = "reconnect-most-ms")
-        long reconnectMostMs = 5000;
+        long reconnectMostMillis = 5000;
     }
 
     @XmlAccessorType(XmlAccessType.FIELD)
@@ -519,7 +519,7 @@
         int maxHeldMb = 64;
 
         @XmlAttribute(name = "give-up-ms")
-        long giveUpMs = 2500;
+        long giveUpMillis = 2500;
 
         @XmlAttribute(name = "early-refusal")
         boolean earlyRefusal = true;
@@ -531,7 +531,7 @@
         boolean loadAhead = true;
 
         @XmlAttribute(name = "resume-window-ms")
-        long resumeWindowMs = 30_000;
+        long resumeWindowMillis = 30_000;
 
         @XmlAttribute(name = "resume-keys")
         int resumeKeys = 1000;
@@ -549,7 +549,7 @@
         String name;
 
         @XmlAttribute(name = "aim-ms")
-        long aimMs;
+        long aimMillis;
 
         @XmlElement(name = "step")
         List<ChainStep> steps = new ArrayList<>();
@@ -571,7 +571,7 @@
         List<String> input = new ArrayList<>(List.of("client"));
 
         @XmlAttribute(name = "least-ms")
-        long leastMs;
+        long leastMillis;
 
         @XmlAttribute(name = "memory-mb")
         double memoryMb;
@@ -580,7 +580,7 @@
         int lanes;
 
         @XmlAttribute(name = "load-ms")
-        double loadMs;
+        double loadMillis;
 
         @XmlAttribute(name = "cost-us")
         double costUs;
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainDecisions.java
@@ -7,11 +7,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wharfhinge.Dispatcher.Effect;
 import wharfhinge.decisions.chain.ChainEnd.Kind;
 import wharfhinge.decisions.chain.ChainEnd.StepState;
 import wharfhinge.decisions.chain.ChainPlan.Step;
 import wharfhinge.decisions.chain.ChainSettings.Clock;
+import wharfhinge.policy.Effect;
 
 /**
  * The decisions on all chains of one gateway. Told events and time, answers with {@link Actions}, which may not call back
@@ -51,7 +51,7 @@
     /** What becomes of decisions. */
     public interface Actions {
         /** Starts a step as a call that may take so long. */
-        void start(long chain, int step, long mayTakeNs);
+        void start(long chain, int step, long mayTakeNanos);
 
         /** Gives up on a step that is out. */
         void cancel(long chain, int step);
@@ -103,8 +103,8 @@
         private final ChainPlan plan;
         private final String tenant;
         private final long deadline;
-        private final long aimNs;
-        private final long untoldNs; // what a step may take of it where nothing is known
+        private final long aimNanos;
+        private final long untoldNanos; // what a step may take of it where nothing is known
         private final StepState[] states;
         private final int[] missing;
         private final long[] startedAt;
@@ -118,8 +118,8 @@
             this.plan = plan;
             this.tenant = tenant;
             this.deadline = deadline;
-            this.aimNs = deadline - now;
-            this.untoldNs = aimNs / plan.depth();
+            this.aimNanos = deadline - now;
+            this.untoldNanos = aimNanos / plan.depth();
             int n = plan.size();
             states = new StepState[n];
             Arrays.fill(states, StepState.NOT_STARTED);
@@ -205,7 +205,7 @@
     }
 
     /** A step's call ended; {@code loaded} tells whether it met a load. */
-    public void stepEnded(long now, long id, int step, StepEnd how, long tookNs, boolean loaded) {
+    public void stepEnded(long now, long id, int step, StepEnd how, long tookNanos, boolean loaded) {
         Chain c = chains.get(id);
         if (c == null || c.states[step] != StepState.RUNNING) {
             return;
@@ -215,7 +215,7 @@
         Step s = c.plan.steps().get(step);
         switch (how) {
             case SERVED -> {
-                times.learn(now, s.function(), loaded, c.believed[step], tookNs);
+                times.learn(now, s.function(), loaded, c.believed[step], tookNanos);
                 if (c.ahead[step]) {
                     add(loaded ? Count.AHEAD_LATE : Count.AHEAD_USED);
                     c.ahead[step] = false;
@@ -362,7 +362,7 @@
         }
         Spread rest = longest(now, c);
         Spread saved = estimate(c, step, false);
-        Spread warm = times.warm(s.function(), s.costNs(), c.untoldNs);
+        Spread warm = times.warm(s.function(), s.costNanos(), c.untoldNanos);
         long left = c.deadline - now;
         long gain = saved.median() - warm.median();
         boolean matters = rest.within(left) < 0.9 && rest.within(left + gain) > rest.within(left);
@@ -383,9 +383,9 @@
     /** What a step may take: what is left, less the least that the rest needs after it. */
     long mayTake(long now, Chain c, int step) {
         if (settings.clock() == Clock.EACH_STEP) {
-            return c.aimNs - settings.reserveNs();
+            return c.aimNanos - settings.reserveNanos();
         }
-        return c.deadline - now - settings.reserveNs() - leastAfter(c, step);
+        return c.deadline - now - settings.reserveNanos() - leastAfter(c, step);
     }
 
     private long leastAfter(Chain c, int step) {
@@ -394,19 +394,20 @@
         for (int k = order.length - 1; k >= 0; k--) {
             for (int next : c.plan.dependents(order[k])) {
                 Step s = c.plan.steps().get(next);
-                long needs = times.warm(s.function(), s.costNs(), c.untoldNs).low();
+                long needs =
+                        times.warm(s.function(), s.costNanos(), c.untoldNanos).low();
                 least[order[k]] = Math.max(least[order[k]], least[next] + needs);
             }
         }
         // estimates that ask for more than there is must not stop a step that was found worth starting
-        return Math.min(least[step], Math.max(0, c.aimNs / 2));
+        return Math.min(least[step], Math.max(0, c.aimNanos / 2));
     }
 
     private Spread estimate(Chain c, int step, boolean believed) {
         Step s = c.plan.steps().get(step);
         return believed
-                ? times.warm(s.function(), s.costNs(), c.untoldNs)
-                : times.unsure(s.function(), s.costNs(), s.loadNs(), c.untoldNs);
+                ? times.warm(s.function(), s.costNanos(), c.untoldNanos)
+                : times.unsure(s.function(), s.costNanos(), s.loadNanos(), c.untoldNanos);
     }
 
     /** The longest path of what is not yet served, by medians. */
@@ -444,7 +445,7 @@
             return refused(c, as, "too-many-for-the-fleet");
         }
         double least = LEAST_CHANCE + CHANCE_UNDER_PRESSURE * Math.min(1, pressure / FULL_PRESSURE);
-        if (longest(now, c).within(c.deadline - settings.reserveNs() - now) >= least) {
+        if (longest(now, c).within(c.deadline - settings.reserveNanos() - now) >= least) {
             return false;
         }
         return refused(c, as, "too-little-time");
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wharfhinge.Dispatcher.Effect;
+import wharfhinge.policy.Effect;
 
 /** The steps of a chain and what each waits for: a graph without cycles, checked when it is made. */
 public final class ChainPlan {
@@ -17,8 +17,8 @@
      * One step.
      *
      * @param needs  ids of the steps whose answers it waits for
-     * @param costNs expected work, 0 untold
-     * @param loadNs usual time of a load, 0 untold
+     * @param costNanos expected work, 0 untold
+     * @param loadNanos usual time of a load, 0 untold
      */
     public record Step(
             String id,
@@ -26,8 +26,8 @@
             String requestClass,
             Effect effect,
             List<String> needs,
-            long costNs,
-            long loadNs) {}
+            long costNanos,
+            long loadNanos) {}
 
     /** A plan that is no chain; names the place, what was found and what is allowed. */
     public static final class InvalidPlanException extends Exception {
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
@@ -11,7 +11,7 @@
  * @param mostSteps     steps open at most, of all chains
  * @param tenantShare   of those, the part that one tenant's chains may have
  * @param mostBytes     bytes of answers held between steps, of all chains
- * @param reserveNs     kept back at a deadline for the answer's way
+ * @param reserveNanos     kept back at a deadline for the answer's way
  */
 public record ChainSettings(
         Clock clock,
@@ -22,7 +22,7 @@
         int mostSteps,
         double tenantShare,
         long mostBytes,
-        long reserveNs) {
+        long reserveNanos) {
     /** What the time of a step is cut from. */
     public enum Clock {
         ONE,
--- a/decisions/src/main/java/wharfhinge/decisions/chain/FinishedSteps.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/FinishedSteps.java
@@ -26,14 +26,14 @@
         }
     }
 
-    private final long windowNs;
+    private final long windowNanos;
     private final int mostKeys;
     private final long mostBytes;
     private final Map<String, LinkedHashMap<String, Entry>> byTenant = new HashMap<>();
 
     /** Keeps answers for {@code windowNs}, and for each tenant so many keys and bytes at most. */
-    public FinishedSteps(long windowNs, int mostKeys, long mostBytes) {
-        this.windowNs = windowNs;
+    public FinishedSteps(long windowNanos, int mostKeys, long mostBytes) {
+        this.windowNanos = windowNanos;
         this.mostKeys = mostKeys;
         this.mostBytes = mostBytes;
     }
@@ -52,7 +52,7 @@
         }
         entry.answers[step] = answer;
         entry.bytes += answer.body().length;
-        entry.expires = now + windowNs;
+        entry.expires = now + windowNanos;
         keys.put(key, entry);
         while (keys.size() > mostKeys
                 || keys.values().stream().mapToLong(e -> e.bytes).sum() > mostBytes) {
