--- a/decisions/src/main/java/wharfhinge/decisions/chain/LearnedTimes.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/LearnedTimes.java
@@ -25,7 +25,7 @@
         private int unread;
         private Spread read;
 
-        void add(long now, long tookNs) {
+        void add(long now, long tookNanos) {
             if (recent.getTotalCount() >= TURN_SAMPLES || now - turnedAt > TURN_NS && recent.getTotalCount() > 0) {
                 IntCountsHistogram oldest = former;
                 former = recent;
@@ -33,7 +33,7 @@
                 recent.reset();
                 turnedAt = now;
             }
-            recent.recordValue(Math.max(1, Math.min(LONGEST, tookNs / UNIT)));
+            recent.recordValue(Math.max(1, Math.min(LONGEST, tookNanos / UNIT)));
             if (read == null || ++unread >= READ_EVERY) {
                 unread = 0;
                 read = read();
@@ -77,44 +77,45 @@
     }
 
     /** An answer came; {@code believed} tells whether a copy was believed to stand when the call began. */
-    public void learn(long now, String function, boolean didLoad, boolean believed, long tookNs) {
-        (didLoad ? loaded : warm).computeIfAbsent(function, f -> new Series()).add(now, tookNs);
-        (didLoad ? anyLoaded : anyWarm).add(now, tookNs);
+    public void learn(long now, String function, boolean didLoad, boolean believed, long tookNanos) {
+        (didLoad ? loaded : warm).computeIfAbsent(function, f -> new Series()).add(now, tookNanos);
+        (didLoad ? anyLoaded : anyWarm).add(now, tookNanos);
         if (!believed) {
             loadsUnbelieved += SMOOTH * ((didLoad ? 1 : 0) - loadsUnbelieved);
         }
     }
 
     /** A call where a copy stands: as learned for the function, else as its cost tells, else as for any function. */
-    public Spread warm(String function, long costNs, long untoldNs) {
+    public Spread warm(String function, long costNanos, long untoldNanos) {
         Series own = warm.get(function);
         if (own != null && own.read != null) {
             return own.read;
         }
-        if (costNs > 0) {
-            return new Spread(costNs / 2, costNs, 3 * costNs);
+        if (costNanos > 0) {
+            return new Spread(costNanos / 2, costNanos, 3 * costNanos);
         }
-        return anyWarm.read != null ? anyWarm.read : new Spread(untoldNs / 8, untoldNs / 4, untoldNs);
+        return anyWarm.read != null ? anyWarm.read : new Spread(untoldNanos / 8, untoldNanos / 4, untoldNanos);
     }
 
     /** A call that loads: as learned, else a warm one and the told time of a load, else as for any function. */
-    public Spread load(String function, long costNs, long loadNs, long untoldNs) {
+    public Spread load(String function, long costNanos, long loadNanos, long untoldNanos) {
         Series own = loaded.get(function);
         if (own != null && own.read != null) {
             return own.read;
         }
-        if (loadNs > 0) {
-            return warm(function, costNs, untoldNs).then(new Spread(loadNs * 3 / 4, loadNs, 2 * loadNs));
+        if (loadNanos > 0) {
+            return warm(function, costNanos, untoldNanos).then(new Spread(loadNanos * 3 / 4, loadNanos, 2 * loadNanos));
         }
         return anyLoaded.read != null
                 ? anyLoaded.read
-                : warm(function, costNs, untoldNs).then(new Spread(0, untoldNs / 8, untoldNs)); // unknown: worth a try
+                : warm(function, costNanos, untoldNanos)
+                        .then(new Spread(0, untoldNanos / 8, untoldNanos)); // unknown: worth a try
     }
 
     /** A call that may load or not: where others keep functions warm, not believing in a copy does not mean a load. */
-    public Spread unsure(String function, long costNs, long loadNs, long untoldNs) {
-        Spread stands = warm(function, costNs, untoldNs);
-        Spread loads = load(function, costNs, loadNs, untoldNs);
+    public Spread unsure(String function, long costNanos, long loadNanos, long untoldNanos) {
+        Spread stands = warm(function, costNanos, untoldNanos);
+        Spread loads = load(function, costNanos, loadNanos, untoldNanos);
         double chance = loadsUnbelieved;
         return new Spread(
                 chance > 0.9 ? loads.low() : stands.low(),
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyDecisions.java
@@ -676,7 +676,7 @@
     /** Called at a steady pace: idle copies past their time go, calls whose callers stopped waiting are turned away. */
     public void tick(long now) {
         for (Copy c : List.copyOf(copies.values())) {
-            if (c.ready() && c.running == 0 && now - c.idleSince > settings.keepNs()) {
+            if (c.ready() && c.running == 0 && now - c.idleSince > settings.keepNanos()) {
                 leave(c);
             }
         }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopySettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopySettings.java
@@ -8,7 +8,7 @@
  * @param queue         calls that may wait, of all functions
  * @param loadsAtOnce   loads under way at most
  * @param loadLine      loads that may wait for their turn or for memory
- * @param keepNs        how long an idle copy stays at least and, unless memory is wanted, at most
+ * @param keepNanos        how long an idle copy stays at least and, unless memory is wanted, at most
  * @param loadsOnCall   whether a call for a function that is not loaded begins its load; else it is a miss
  * @param ownFurther    whether a call that finds all lanes taken begins a further copy; else only orders do
  */
@@ -18,6 +18,6 @@
         int queue,
         int loadsAtOnce,
         int loadLine,
-        long keepNs,
+        long keepNanos,
         boolean loadsOnCall,
         boolean ownFurther) {}
--- a/decisions/src/main/java/wharfhinge/decisions/door/DoorDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/door/DoorDecisions.java
@@ -39,7 +39,7 @@
     }
 
     /** An answer with when to come back, nanoseconds; 0 where it was admitted. */
-    public record Verdict(Answer answer, long comeBackNs) {}
+    public record Verdict(Answer answer, long comeBackNanos) {}
 
     /** A tenant's figures. */
     public record Figures(String tenant, int open, long admitted, long rate, long mostOpen, long share) {}
@@ -163,19 +163,19 @@
     }
 
     /** A call that was admitted ended, so long after it came; {@code aimNs} is what its class wants. */
-    public void ended(long now, String tenant, Ending how, long tookNs, long aimNs) {
+    public void ended(long now, String tenant, Ending how, long tookNanos, long aimNanos) {
         Tenant t = of(tenant);
         t.settle(now);
         t.open--;
         boolean near = open >= limit / 2; // else the answer tells nothing of the limit
         open--;
-        if (how == Ending.REFUSED || how == Ending.ANSWERED && tookNs > fullAt * aimNs) {
+        if (how == Ending.REFUSED || how == Ending.ANSWERED && tookNanos > fullAt * aimNanos) {
             if (now - cutAt >= CUT_PAUSE) {
                 limit = Math.max(LIMIT_LEAST, Math.min(limit, open + 1) * CUT);
                 cutAt = now;
             }
             crowdedOnce = true;
-        } else if (how == Ending.ANSWERED && tookNs < QUICK * fullAt * aimNs && near) {
+        } else if (how == Ending.ANSWERED && tookNanos < QUICK * fullAt * aimNanos && near) {
             limit = Math.min(LIMIT_MOST, limit + (crowdedOnce ? 1 / limit : 1));
         }
     }
--- a/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
+++ b/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
@@ -15,7 +15,7 @@
     private static final long LASTED_NS = 1000 * MS; // a source that lives says something each second
 
     private final Random random;
-    private long pauseNs;
+    private long pauseNanos;
 
     /** Begins without a pause. */
     public WatchBackoff(long seed) {
@@ -24,22 +24,22 @@
 
     /** Another source is asked: what the former one did does not count. */
     public void reset() {
-        pauseNs = 0;
+        pauseNanos = 0;
     }
 
     /**
      * A watch ended, or could not be had.
      *
      * @param brought  whether anything came on it
-     * @param lastedNs from when it was asked for
+     * @param lastedNanos from when it was asked for
      * @return how long to wait before it is asked for again, nanoseconds
      */
-    public long ended(boolean brought, long lastedNs) {
-        if (brought && lastedNs >= LASTED_NS) {
-            pauseNs = 0;
+    public long ended(boolean brought, long lastedNanos) {
+        if (brought && lastedNanos >= LASTED_NS) {
+            pauseNanos = 0;
             return 0;
         }
-        pauseNs = Math.min(MOST_NS, Math.max(LEAST_NS, 2 * pauseNs));
-        return pauseNs / 2 + (long) (random.nextDouble() * (pauseNs - pauseNs / 2));
+        pauseNanos = Math.min(MOST_NS, Math.max(LEAST_NS, 2 * pauseNanos));
+        return pauseNanos / 2 + (long) (random.nextDouble() * (pauseNanos - pauseNanos / 2));
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/CapturedDecisions.java
+++ b/gateway/src/main/java/wharfhinge/gateway/CapturedDecisions.java
@@ -4,12 +4,14 @@
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.util.Map;
-import wharfhinge.Dispatcher;
 import wharfhinge.capture.CaptureWriter;
 import wharfhinge.capture.HashedNames;
 import wharfhinge.capture.Recorder;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherActions;
+import wharfhinge.policy.DispatcherSettings;
 
 /** Decisions whose every event and action is captured on disk; the loop is never held up by it. */
 final class CapturedDecisions implements DispatcherFactory, AutoCloseable {
@@ -34,7 +36,7 @@
                     gateway,
                     settings.segmentBytes(),
                     settings.mostBytes(),
-                    settings.mostAgeMs(),
+                    settings.mostAgeMillis(),
                     key != null);
         } catch (IOException e) {
             throw new UncheckedIOException("capture into " + settings.folder() + ": " + e.getMessage(), e);
@@ -42,14 +44,14 @@
     }
 
     @Override
-    public Dispatcher create(long now, long seed, Dispatcher.Settings settings, Dispatcher.Actions actions) {
+    public Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
         if (key == null) {
             return recorded(now, seed, settings, actions);
         }
         return HashedNames.before(this::recorded, key, now, seed, settings, actions);
     }
 
-    private Dispatcher recorded(long now, long seed, Dispatcher.Settings settings, Dispatcher.Actions actions) {
+    private Dispatcher recorded(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
         recorder = new Recorder(decisions::create, now, lives++, seed, settings, actions, writer);
         return recorder;
     }
--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -101,7 +101,7 @@
         journal = config.chains().resumeFile() == null
                 ? StepJournal.NONE
                 : new MvStepJournal(
-                        config.chains().resumeFile(), config.chains().resumeWindowNs(), System::currentTimeMillis);
+                        config.chains().resumeFile(), config.chains().resumeWindowNanos(), System::currentTimeMillis);
         captured = config.capture() == null ? null : new CapturedDecisions(decisions, config.name(), config.capture());
         loop = new DecisionLoop(
                 config,
@@ -116,7 +116,7 @@
         Class<? extends DatagramChannel> datagrams = epoll ? EpollDatagramChannel.class : NioDatagramChannel.class;
         peers = config.peers().isEmpty()
                 ? null
-                : new UdpPeers(config.settings().myNumber(), config.peers(), group, datagrams, inbox);
+                : new UdpPeers(config.settings().dispatcherNumber(), config.peers(), group, datagrams, inbox);
         if (peers != null) {
             link.set(peers);
         }
@@ -154,13 +154,13 @@
                 return;
             }
             rehearsed = Rehearsal.play(
-                    config, config.clients().rehearseNs(), acceptor, group, channel, server, stopping::get);
+                    config, config.clients().rehearseNanos(), acceptor, group, channel, server, stopping::get);
         }
         LOG.info(
                 "gateway {} rehearsed {} calls in {} ms, {} us each at last",
                 config.name(),
                 rehearsed.calls(),
-                rehearsed.tookMs(),
+                rehearsed.tookMillis(),
                 rehearsed.quickestUs());
     }
 
@@ -222,7 +222,7 @@
         figures.putAll(loop.doorFigures());
         figures.put("ready", 1L); // nobody could read it before
         figures.put("rehearsed_calls", rehearsed.calls());
-        figures.put("rehearsed_ms", rehearsed.tookMs());
+        figures.put("rehearsed_ms", rehearsed.tookMillis());
         figures.put("open_calls", (long) loop.open());
         figures.put("connections", (long) front.connections());
         figures.put("connections_turned_away", front.turnedAway());
@@ -256,7 +256,7 @@
     }
 
     private int end() throws InterruptedException {
-        long within = config.clients().stopWithinNs();
+        long within = config.clients().stopWithinNanos();
         LOG.info("gateway {} stops: {} calls open", config.name(), loop.open());
         front.finish(); // first: clients go elsewhere, and what is on its way meanwhile is still taken
         if (grpc != null) {
--- a/gateway/src/main/java/wharfhinge/gateway/MvStepJournal.java
+++ b/gateway/src/main/java/wharfhinge/gateway/MvStepJournal.java
@@ -33,16 +33,16 @@
 
     private final MVStore store;
     private final MVMap<String, byte[]> steps;
-    private final LongSupplier wallMs;
-    private final long windowMs;
+    private final LongSupplier wallMillis;
+    private final long windowMillis;
     private final BlockingQueue<Kept> waiting = new ArrayBlockingQueue<>(WAITING);
     private final Thread writer = new Thread(this::write, "step-journal");
     private volatile boolean closing;
     private volatile boolean over; // nothing is written any more
 
-    MvStepJournal(Path file, long windowNs, LongSupplier wallMs) {
-        this.wallMs = wallMs;
-        this.windowMs = windowNs / 1_000_000;
+    MvStepJournal(Path file, long windowNanos, LongSupplier wallMillis) {
+        this.wallMillis = wallMillis;
+        this.windowMillis = windowNanos / 1_000_000;
         this.store = open(file);
         this.steps = store.openMap("steps");
         writer.setDaemon(true);
@@ -85,7 +85,7 @@
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(answer.body().length + 128);
             DataOutputStream out = new DataOutputStream(bytes);
-            out.writeLong(wallMs.getAsLong());
+            out.writeLong(wallMillis.getAsLong());
             out.writeUTF(tenant);
             out.writeUTF(key);
             out.writeUTF(digest);
@@ -132,7 +132,7 @@
     }
 
     private void forget() {
-        long before = wallMs.getAsLong() - windowMs;
+        long before = wallMillis.getAsLong() - windowMillis;
         steps.entrySet().removeIf(e -> java.nio.ByteBuffer.wrap(e.getValue()).getLong() < before);
     }
 
@@ -141,7 +141,7 @@
         for (byte[] value : List.copyOf(steps.values())) {
             try {
                 DataInputStream in = new DataInputStream(new ByteArrayInputStream(value));
-                long age = Math.max(0, wallMs.getAsLong() - in.readLong());
+                long age = Math.max(0, wallMillis.getAsLong() - in.readLong());
                 String tenant = in.readUTF();
                 String key = in.readUTF();
                 String digest = in.readUTF();
--- a/gateway/src/main/java/wharfhinge/gateway/Rehearsal.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Rehearsal.java
@@ -31,9 +31,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
-import wharfhinge.Dispatcher.ListMode;
-import wharfhinge.Dispatcher.RequestClass;
-import wharfhinge.Dispatcher.Settings;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.gateway.front.Front;
 import wharfhinge.gateway.front.Intake;
@@ -47,6 +44,9 @@
 import wharfhinge.gateway.roster.FleetUpdate;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.gateway.upstream.HttpWorkers;
+import wharfhinge.policy.DispatcherSettings;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.AnswerCode;
 import wharfhinge.protocol.CopyNote;
 import wharfhinge.protocol.RosterEntry;
@@ -70,7 +70,7 @@
     private static final long WITHIN_S = 5;
 
     /** How many calls it took, how long, and the time between two answers in the quickest thousand, microseconds. */
-    record Played(long calls, long tookMs, long quickestUs) {}
+    record Played(long calls, long tookMillis, long quickestUs) {}
 
     private final GatewayConfig config;
     private final EventLoopGroup group;
@@ -91,7 +91,7 @@
     /** Plays for at most so long, and no longer than until {@code stopped}; 0: not at all. The groups are the gateway's and go on. */
     static Played play(
             GatewayConfig config,
-            long mostNs,
+            long mostNanos,
             EventLoopGroup acceptor,
             EventLoopGroup group,
             Class<? extends Channel> channel,
@@ -99,10 +99,10 @@
             BooleanSupplier stopped)
             throws InterruptedException {
         long begin = System.nanoTime();
-        if (mostNs <= 0) {
+        if (mostNanos <= 0) {
             return new Played(0, 0, 0);
         }
-        Rehearsal it = new Rehearsal(config, group, begin + mostNs, stopped);
+        Rehearsal it = new Rehearsal(config, group, begin + mostNanos, stopped);
         it.play(acceptor, channel, server);
         return new Played(
                 it.calls.get(),
@@ -129,7 +129,7 @@
             Thread thread = new Thread(loop, "rehearsal");
             thread.setDaemon(true);
             thread.start();
-            loop.fleet(new FleetUpdate(ListMode.ALL, 1, fleet(stage)));
+            loop.fleet(new FleetUpdate(EndpointUpdateMode.FULL, 1, fleet(stage)));
             Front front = new Front(
                     config, new Intake(config, loop, new Identity(null, false)), new StatusPage(Map::of), null);
             clients(front.listen(acceptor, group, server));
@@ -147,7 +147,7 @@
     }
 
     private List<RosterEntry> fleet(List<Channel> stage) {
-        Settings settings = config.settings();
+        DispatcherSettings settings = config.settings();
         return stage.stream()
                 .map(c -> new RosterEntry(
                         "127.0.0.1:" + ((InetSocketAddress) c.localAddress()).getPort(),
--- a/gateway/src/main/java/wharfhinge/gateway/Slf4jAnswerLog.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Slf4jAnswerLog.java
@@ -40,7 +40,7 @@
                 .addKeyValue("class", line.requestClass())
                 .addKeyValue("tenant", line.tenant())
                 .addKeyValue("answer", line.answer())
-                .addKeyValue("took_us", line.tookNs() / 1000)
+                .addKeyValue("took_us", line.tookNanos() / 1000)
                 .addKeyValue("attempts", line.trail())
                 .log("answer");
     }
--- a/gateway/src/main/java/wharfhinge/gateway/front/CallHandler.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/CallHandler.java
@@ -22,12 +22,12 @@
 import io.netty.util.ReferenceCountUtil;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import wharfhinge.Dispatcher.RequestClass;
 import wharfhinge.gateway.loop.ChainCall;
 import wharfhinge.gateway.loop.ClientCall;
 import wharfhinge.gateway.loop.DecisionLoop;
 import wharfhinge.gateway.loop.Responder;
 import wharfhinge.gateway.tls.Identity;
+import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.ClientProtocol;
 import wharfhinge.protocol.FinalAnswer;
@@ -127,8 +127,9 @@
             return;
         }
         head = head.of(who.tenant());
-        long deadline =
-                head.deadlineMs() == 0 ? type.hardLimitNs() : Math.min(head.deadlineMs() * MS, type.hardLimitNs());
+        long deadline = head.deadlineMillis() == 0
+                ? type.maxDeadlineNanos()
+                : Math.min(head.deadlineMillis() * MS, type.maxDeadlineNanos());
         Responder responder = new HttpResponder(ctx, () -> answered(ctx), () -> closing && !http2);
         open = new ClientCall(
                 head,
@@ -189,7 +190,7 @@
 
     private void notTaken(Responder responder, DecisionLoop.Offered offered) {
         closing |= offered.taken() == DecisionLoop.Taken.CLOSING;
-        responder.ended(FinalAnswer.REFUSED, offered.comeBackNs(), Intake.notTaken(offered));
+        responder.ended(FinalAnswer.REFUSED, offered.comeBackNanos(), Intake.notTaken(offered));
     }
 
     private void answered(ChannelHandlerContext ctx) {
--- a/gateway/src/main/java/wharfhinge/gateway/front/ChainJson.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ChainJson.java
@@ -25,13 +25,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import wharfhinge.Dispatcher.RequestClass;
 import wharfhinge.config.ChainConfig;
 import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.decisions.chain.ChainPlan;
 import wharfhinge.decisions.chain.ChainPlan.InvalidPlanException;
 import wharfhinge.gateway.loop.ChainCall;
 import wharfhinge.gateway.loop.ChainCall.StepAnswer;
+import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 
 /** Reads chains and writes their answers; chain.schema.json has the form. Used by any thread. */
@@ -75,11 +75,11 @@
         JsonNode root = parse(body);
         String tenant = text(root, "tenant", null);
         String id = text(root, "id", gatewayId);
-        long deadlineNs = root.path("deadline_ms").asLong(0) * MS;
+        long deadlineNanos = root.path("deadline_ms").asLong(0) * MS;
         Steps steps = new Steps(id, tenant);
         if (root.has("chain")) {
             ChainConfig.Named named = named(root.get("chain").asText());
-            deadlineNs = deadlineNs == 0 ? named.aimNs() : deadlineNs;
+            deadlineNanos = deadlineNanos == 0 ? named.aimNanos() : deadlineNanos;
             named.steps().forEach(steps::add);
         } else {
             steps.addAll(root.get("steps"));
@@ -94,7 +94,7 @@
                     tenant,
                     text(root, "key", null),
                     digest(steps.heads, steps.inputs, root),
-                    deadlineNs == 0 ? config.giveUpNs() : Math.min(deadlineNs, config.giveUpNs()),
+                    deadlineNanos == 0 ? config.giveUpNanos() : Math.min(deadlineNanos, config.giveUpNanos()),
                     receivedAt,
                     ChainJson::join,
                     listener);
@@ -156,7 +156,7 @@
                     s.costUs(),
                     s.memoryMb(),
                     s.lanes(),
-                    s.loadMs(),
+                    s.loadMillis(),
                     false,
                     false);
             add(head, s.id(), s.input());
@@ -172,7 +172,7 @@
 
         private void addWritten(JsonNode s, int index) throws BadChainException {
             String type = text(s, "class", only == null ? null : only.name());
-            if (!classes.containsKey(type) || classes.get(type).stream()) {
+            if (!classes.containsKey(type) || classes.get(type).streaming()) {
                 throw new BadChainException("$.steps[" + index + "].class: found "
                         + (type == null ? "nothing" : "'" + type + "'") + ", allowed: one of " + classes.keySet()
                         + " that does not stream");
@@ -206,7 +206,7 @@
                             .filter(name -> !name.equals(ChainCall.CLIENT))
                             .toList(),
                     head.costUs() * 1000,
-                    (long) (head.loadMs() * MS)));
+                    (long) (head.loadMillis() * MS)));
         }
     }
 
@@ -278,7 +278,7 @@
             StepAnswer answer = answers.get(i);
             if (answer != null && answer.worker() != null) {
                 step.put("worker", answer.worker());
-                step.put("took_ms", Math.round(answer.tookNs() / 1e4) / 100.0);
+                step.put("took_ms", Math.round(answer.tookNanos() / 1e4) / 100.0);
                 step.put("loaded", answer.loaded());
             } else if (answer != null) {
                 step.put("resumed", true);
--- a/gateway/src/main/java/wharfhinge/gateway/front/Front.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/Front.java
@@ -72,7 +72,7 @@
             bootstrap.option(EpollChannelOption.SO_REUSEPORT, true); // beside the process that this one takes over from
         }
         listening = Binding.within(
-                config.clients().reusePort() ? config.clients().stopWithinNs() + TAKE_OVER_NS : 0,
+                config.clients().reusePort() ? config.clients().stopWithinNanos() + TAKE_OVER_NS : 0,
                 () -> bootstrap.bind(
                         config.clients().address(), config.clients().port()));
         return (InetSocketAddress) listening.localAddress();
@@ -102,7 +102,7 @@
         }
         channel.pipeline()
                 .addLast(
-                        new IdleStateHandler(0, 0, config.clients().idleNs(), TimeUnit.NANOSECONDS),
+                        new IdleStateHandler(0, 0, config.clients().idleNanos(), TimeUnit.NANOSECONDS),
                         new ProtocolDetector(this::http1, this::http2));
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/front/HttpResponder.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/HttpResponder.java
@@ -50,7 +50,7 @@
     }
 
     @Override
-    public void ended(FinalAnswer answer, long coolDownNs, Facts facts) {
+    public void ended(FinalAnswer answer, long coolDownNanos, Facts facts) {
         ctx.executor().execute(() -> {
             String text = answer.word() + ": " + String.join(", ", facts.trail()) + '\n';
             FullHttpResponse response = new DefaultFullHttpResponse(
@@ -58,8 +58,8 @@
                     HttpResponseStatus.valueOf(answer.status()),
                     Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
             head(response.headers(), answer, HttpHeaderValues.TEXT_PLAIN, facts);
-            if (coolDownNs > 0) {
-                long ms = Math.max(1, coolDownNs / MS);
+            if (coolDownNanos > 0) {
+                long ms = Math.max(1, coolDownNanos / MS);
                 response.headers()
                         .set(ClientProtocol.RETRY_AFTER_MS, ms)
                         .set(HttpHeaderNames.RETRY_AFTER, (ms + 999) / 1000);
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
@@ -15,7 +15,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import wharfhinge.Dispatcher.RequestClass;
 import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.gateway.front.ChainJson;
 import wharfhinge.gateway.front.Intake;
@@ -25,6 +24,7 @@
 import wharfhinge.gateway.loop.Responder;
 import wharfhinge.gateway.loop.WorkerSide;
 import wharfhinge.gateway.tls.Identity;
+import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.ClientProtocol;
 import wharfhinge.protocol.FinalAnswer;
@@ -62,7 +62,7 @@
         try {
             head = head(request);
             type = intake.type(head);
-            if (type.stream() != streams) {
+            if (type.streaming() != streams) {
                 throw new ProtocolException(
                         ClientProtocol.CLASS.toString(),
                         type.name(),
@@ -80,9 +80,9 @@
         head = head.of(who.tenant());
         Deadline told = Context.current().getDeadline();
         long left = told == null
-                ? type.hardLimitNs()
-                : Math.min(type.hardLimitNs(), told.timeRemaining(TimeUnit.NANOSECONDS));
-        left = head.deadlineMs() > 0 ? Math.min(left, head.deadlineMs() * MS) : left;
+                ? type.maxDeadlineNanos()
+                : Math.min(type.maxDeadlineNanos(), told.timeRemaining(TimeUnit.NANOSECONDS));
+        left = head.deadlineMillis() > 0 ? Math.min(left, head.deadlineMillis() * MS) : left;
         ByteBuf body = Unpooled.wrappedBuffer(request.getBody().asReadOnlyByteBuffer());
         Answer answer = new Answer(to);
         to.setOnReadyHandler(answer::ready);
@@ -98,7 +98,7 @@
         DecisionLoop.Offered offered = intake.loop().offer(call);
         if (offered.taken() != DecisionLoop.Taken.TAKEN) {
             ReferenceCountUtil.release(body);
-            answer.ended(FinalAnswer.REFUSED, offered.comeBackNs(), Intake.notTaken(offered));
+            answer.ended(FinalAnswer.REFUSED, offered.comeBackNanos(), Intake.notTaken(offered));
         }
     }
 
@@ -134,15 +134,15 @@
         return answer == FinalAnswer.REFUSED ? Status.UNAVAILABLE : Status.UNKNOWN;
     }
 
-    private static Metadata trailers(FinalAnswer answer, long coolDownNs, Responder.Facts facts) {
+    private static Metadata trailers(FinalAnswer answer, long coolDownNanos, Responder.Facts facts) {
         Metadata trailers = new Metadata();
         trailers.put(GrpcProtocol.ANSWER, answer.word());
         trailers.put(GrpcProtocol.ATTEMPTS, Integer.toString(facts.attempts()));
         if (!facts.trail().isEmpty()) {
             trailers.put(GrpcProtocol.REASON, String.join(", ", facts.trail()));
         }
-        if (coolDownNs > 0) {
-            trailers.put(GrpcProtocol.RETRY_AFTER_MS, Long.toString(Math.max(1, coolDownNs / MS)));
+        if (coolDownNanos > 0) {
+            trailers.put(GrpcProtocol.RETRY_AFTER_MS, Long.toString(Math.max(1, coolDownNanos / MS)));
         }
         return trailers;
     }
@@ -173,7 +173,8 @@
         if (offered.taken() != DecisionLoop.Taken.TAKEN) {
             to.onError(Status.UNAVAILABLE
                     .withDescription("refused")
-                    .asRuntimeException(trailers(FinalAnswer.REFUSED, offered.comeBackNs(), Intake.notTaken(offered))));
+                    .asRuntimeException(
+                            trailers(FinalAnswer.REFUSED, offered.comeBackNanos(), Intake.notTaken(offered))));
         }
     }
 
@@ -245,11 +246,11 @@
         }
 
         @Override
-        public void ended(FinalAnswer answer, long coolDownNs, Facts facts) {
+        public void ended(FinalAnswer answer, long coolDownNanos, Facts facts) {
             if (!to.isCancelled()) {
                 to.onError(status(answer)
                         .withDescription(answer.word() + ": " + String.join(", ", facts.trail()))
-                        .asRuntimeException(trailers(answer, coolDownNs, facts)));
+                        .asRuntimeException(trailers(answer, coolDownNanos, facts)));
             }
         }
 
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcFront.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcFront.java
@@ -40,7 +40,7 @@
                 .maxConcurrentCallsPerConnection(CALLS_EACH)
                 .maxInboundMessageSize(config.clients().maxBodyBytes() + OVERHEAD)
                 .maxInboundMetadataSize(config.clients().maxHeaderBytes())
-                .maxConnectionIdle(config.clients().idleNs(), TimeUnit.NANOSECONDS)
+                .maxConnectionIdle(config.clients().idleNanos(), TimeUnit.NANOSECONDS)
                 .addService(new GatewayService(intake))
                 .addService(health.getHealthService());
         builder.intercept(new Callers());
--- a/gateway/src/main/java/wharfhinge/gateway/loop/AnswerLog.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/AnswerLog.java
@@ -33,7 +33,7 @@
             String requestClass,
             String tenant,
             String answer,
-            long tookNs,
+            long tookNanos,
             List<String> trail) {}
 
     /** Whether {@link #answered} is of use: a line of a call has a price. */
--- a/gateway/src/main/java/wharfhinge/gateway/loop/ChainCall.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/ChainCall.java
@@ -13,7 +13,7 @@
  * @param input      what the client sent
  * @param key        under which finished steps are kept for a retry, or null
  * @param digest     names the chain's text; a key is good for one text only
- * @param deadlineNs how long the client waits, counted from {@code receivedAt}
+ * @param deadlineNanos how long the client waits, counted from {@code receivedAt}
  * @param receivedAt {@link System#nanoTime} when its last byte came
  */
 public record ChainCall(
@@ -25,7 +25,7 @@
         String tenant,
         String key,
         String digest,
-        long deadlineNs,
+        long deadlineNanos,
         long receivedAt,
         Joiner joiner,
         Listener listener) {
@@ -35,7 +35,7 @@
     /** The same of another tenant, or of none (null). */
     public ChainCall of(String other) {
         return new ChainCall(
-                plan, heads, inputs, input, id, other, key, digest, deadlineNs, receivedAt, joiner, listener);
+                plan, heads, inputs, input, id, other, key, digest, deadlineNanos, receivedAt, joiner, listener);
     }
 
     /** Makes one input of several, by their names. */
@@ -46,7 +46,7 @@
     }
 
     /** What became of one step; {@code body} is null unless it was served. */
-    public record StepAnswer(String worker, long tookNs, boolean loaded, byte[] body, String contentType) {}
+    public record StepAnswer(String worker, long tookNanos, boolean loaded, byte[] body, String contentType) {}
 
     /** Told the chain's final answer, once, by the loop's thread. */
     @FunctionalInterface
--- a/gateway/src/main/java/wharfhinge/gateway/loop/ChainRunner.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/ChainRunner.java
@@ -11,7 +11,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import wharfhinge.Dispatcher.Request;
 import wharfhinge.config.ChainConfig;
 import wharfhinge.decisions.chain.ChainDecisions;
 import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
@@ -19,6 +18,7 @@
 import wharfhinge.decisions.chain.ChainSettings;
 import wharfhinge.decisions.chain.FinishedSteps;
 import wharfhinge.gateway.loop.ChainCall.StepAnswer;
+import wharfhinge.policy.Request;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.FinalAnswer;
 
@@ -42,7 +42,7 @@
 
         boolean believedWarm(String function);
 
-        void later(long delayNs, Runnable what);
+        void later(long delayNanos, Runnable what);
 
         void tell(String name, Runnable what);
 
@@ -86,13 +86,13 @@
         this.tenants = tenants;
         this.journal = journal;
         this.decisions = new ChainDecisions(config.settings(), this, calls::believedWarm);
-        this.finished = new FinishedSteps(config.resumeWindowNs(), config.resumeKeys(), config.resumeBytes());
+        this.finished = new FinishedSteps(config.resumeWindowNanos(), config.resumeKeys(), config.resumeBytes());
     }
 
     /** Takes what a former process kept. */
     void restore() {
         journal.restore((age, tenant, key, digest, steps, step, answer) -> {
-            if (age < config.resumeWindowNs()) {
+            if (age < config.resumeWindowNanos()) {
                 finished.finished(calls.now() - age, tenant, key, digest, steps, step, answer);
             }
         });
@@ -110,7 +110,7 @@
             join(same, c);
             return;
         }
-        long deadline = calls.now() + c.deadlineNs() - (calls.nanos(calls.now()) - c.receivedAt());
+        long deadline = calls.now() + c.deadlineNanos() - (calls.nanos(calls.now()) - c.receivedAt());
         Run run = new Run(number++, c);
         runs.put(run.id, run);
         boolean[] done = null;
@@ -120,7 +120,7 @@
         }
         if (config.settings().clock() == ChainSettings.Clock.ONE) {
             calls.later(
-                    deadline - calls.now() - config.settings().reserveNs() / 2,
+                    deadline - calls.now() - config.settings().reserveNanos() / 2,
                     () -> decisions.due(calls.now(), run.id));
         }
         decisions.begin(calls.now(), run.id, c.plan(), tenant(c), deadline, done);
@@ -134,9 +134,9 @@
         }
         joined++;
         run.listeners.add(c);
-        long left = c.deadlineNs()
+        long left = c.deadlineNanos()
                 - (calls.nanos(calls.now()) - c.receivedAt())
-                - config.settings().reserveNs() / 2;
+                - config.settings().reserveNanos() / 2;
         calls.later(left, () -> {
             if (run.listeners.remove(c)) {
                 respond(c, new ChainEnd(ChainEnd.Kind.FAILED, "an-earlier-try-still-runs", List.of()), run);
@@ -186,7 +186,7 @@
     // ---- What the decisions say -------------------------------------------------------------
 
     @Override
-    public void start(long chain, int step, long mayTakeNs) {
+    public void start(long chain, int step, long mayTakeNanos) {
         Run run = runs.get(chain);
         CallHead head = run.call.heads().get(step);
         List<String> names = run.call.inputs().get(step);
@@ -198,7 +198,7 @@
         ClientCall call = new ClientCall(
                 head,
                 head.requestClass(),
-                mayTakeNs,
+                mayTakeNanos,
                 calls.nanos(calls.now()),
                 Unpooled.wrappedBuffer(input),
                 null,
@@ -232,12 +232,12 @@
         calls.expect(new Request(
                 h.id(),
                 h.tenant(),
-                runs.get(chain).call.deadlineNs(),
+                runs.get(chain).call.deadlineNanos(),
                 h.memoryMb(),
                 h.function(),
                 h.costUs() * 1000,
                 h.lanes(),
-                h.loadMs(),
+                h.loadMillis(),
                 h.requestClass(),
                 h.repeat(),
                 h.write()));
@@ -303,13 +303,13 @@
         if (!runs.containsKey(run.id)) {
             return;
         }
-        decisions.stepEnded(calls.now(), run.id, step, StepEnd.SERVED, answer.tookNs(), answer.loaded());
+        decisions.stepEnded(calls.now(), run.id, step, StepEnd.SERVED, answer.tookNanos(), answer.loaded());
         if (bytesHeld > config.settings().mostBytes()) {
             decisions.outOfBytes(calls.now(), run.id);
         }
     }
 
-    private void stepEnded(Run run, int step, FinalAnswer answer, long tookNs) {
+    private void stepEnded(Run run, int step, FinalAnswer answer, long tookNanos) {
         if (runs.containsKey(run.id)) {
             run.out[step] = null;
             decisions.stepEnded(
@@ -317,7 +317,7 @@
                     run.id,
                     step,
                     answer == FinalAnswer.REFUSED ? StepEnd.REFUSED : StepEnd.FAILED,
-                    tookNs,
+                    tookNanos,
                     false);
         }
     }
@@ -351,7 +351,7 @@
         }
 
         @Override
-        public void ended(FinalAnswer answer, long coolDownNs, Facts facts) {
+        public void ended(FinalAnswer answer, long coolDownNanos, Facts facts) {
             calls.tell("step", () -> stepEnded(run, step, answer, calls.now() - startedAt));
         }
 
--- a/gateway/src/main/java/wharfhinge/gateway/loop/ClientCall.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/ClientCall.java
@@ -8,7 +8,7 @@
  * A call as the clients' side hands it over.
  *
  * @param head       checked
- * @param deadlineNs how long the client waits, counted from {@code receivedAt}
+ * @param deadlineNanos how long the client waits, counted from {@code receivedAt}
  * @param receivedAt {@link System#nanoTime} when its last byte came
  * @param body       kept for a repeat; the loop owns it once the call is taken
  * @param clientGone set once its client was seen to leave, before the loop comes round to it: nothing more is sent for it
@@ -16,7 +16,7 @@
 public record ClientCall(
         CallHead head,
         String requestClass,
-        long deadlineNs,
+        long deadlineNanos,
         long receivedAt,
         ByteBuf body,
         CharSequence contentType,
@@ -27,11 +27,11 @@
     public ClientCall(
             CallHead head,
             String requestClass,
-            long deadlineNs,
+            long deadlineNanos,
             long receivedAt,
             ByteBuf body,
             CharSequence contentType,
             Responder responder) {
-        this(head, requestClass, deadlineNs, receivedAt, body, contentType, responder, new AtomicBoolean());
+        this(head, requestClass, deadlineNanos, receivedAt, body, contentType, responder, new AtomicBoolean());
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/DecisionLoop.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/DecisionLoop.java
@@ -8,14 +8,17 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
-import wharfhinge.Dispatcher;
-import wharfhinge.Dispatcher.ListMode;
-import wharfhinge.Dispatcher.Request;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.decisions.door.DoorDecisions;
 import wharfhinge.gateway.loop.LoopStats.Count;
 import wharfhinge.gateway.roster.FleetSource;
 import wharfhinge.gateway.roster.FleetUpdate;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherActions;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.Request;
+import wharfhinge.policy.Tenant;
+import wharfhinge.policy.WorkerSnapshot;
 import wharfhinge.protocol.CallHead;
 
 /**
@@ -53,9 +56,9 @@
     /**
      * What was said to a call.
      *
-     * @param comeBackNs where it was not taken and somebody can say when to come back
+     * @param comeBackNanos where it was not taken and somebody can say when to come back
      */
-    public record Offered(Taken taken, long comeBackNs) {}
+    public record Offered(Taken taken, long comeBackNanos) {}
 
     private static final int FUNCTIONS_KNOWN = 16_384;
     private static final long NEXT_LIFE_NS = TimeUnit.SECONDS.toNanos(1); // after decisions that threw as they began
@@ -108,7 +111,7 @@
         this.chains = new ChainRunner(
                 new StepCalls(),
                 config.chains(),
-                config.settings().realms().stream().map(Dispatcher.Realm::name).collect(Collectors.toSet()),
+                config.settings().tenants().stream().map(Tenant::name).collect(Collectors.toSet()),
                 journal);
     }
 
@@ -162,12 +165,12 @@
 
     /** Another gateway sent bytes. */
     public void inbox(int peer, byte[] payload) {
-        thread.tell("inbox", () -> dispatcher.inbox(thread.now(), peer, payload));
+        thread.tell("inbox", () -> dispatcher.onPeerMessage(thread.now(), peer, payload));
     }
 
     /** Asks what is believed of all workers for a function; told on the loop's thread. */
-    public void believed(String function, Consumer<List<Dispatcher.Belief>> to) {
-        thread.tell("believed", () -> to.accept(dispatcher.beliefs(thread.now(), function)));
+    public void believed(String function, Consumer<List<WorkerSnapshot>> to) {
+        thread.tell("believed", () -> to.accept(dispatcher.workerStates(thread.now(), function)));
     }
 
     /**
@@ -175,10 +178,10 @@
      *
      * @return how many calls had to be ended
      */
-    public CompletableFuture<Integer> close(long withinNs) {
+    public CompletableFuture<Integer> close(long withinNanos) {
         handOver.close();
         thread.tell("close", () -> {
-            thread.timer(withinNs, CLOSE_TIMER, () -> stop(endEverything("closing")));
+            thread.timer(withinNanos, CLOSE_TIMER, () -> stop(endEverything("closing")));
             stopIfEmpty();
         });
         return closed;
@@ -200,10 +203,10 @@
 
     private void begin() {
         dispatcher = factory.create(thread.now(), config.seed() + life, config.settings(), actions());
-        dispatcher.members(thread.now(), ListMode.REMEMBERED, fleet.revision(), fleet.workers());
+        dispatcher.onEndpointUpdate(thread.now(), EndpointUpdateMode.SNAPSHOT, fleet.revision(), fleet.workers());
     }
 
-    private Dispatcher.Actions actions() {
+    private DispatcherActions actions() {
         int itsLife = life;
         return new LoopActions(
                 config,
@@ -259,7 +262,7 @@
         OpenCall c = calls.add(call, throughDoor);
         CallHead head = call.head();
         WorkerSide.Function function =
-                new WorkerSide.Function(head.function(), head.memoryMb(), head.lanes(), head.loadMs());
+                new WorkerSide.Function(head.function(), head.memoryMb(), head.lanes(), head.loadMillis());
         functions.put(head.function(), function);
         factory.named(thread.now(), c.id, c.outerId());
         Request request = new Request(
@@ -270,23 +273,23 @@
                 head.function(),
                 head.costUs() * 1000,
                 head.lanes(),
-                head.loadMs(),
+                head.loadMillis(),
                 call.requestClass(),
                 head.repeat(),
                 head.write());
-        dispatcher.query(thread.now(), request);
+        dispatcher.onRequest(thread.now(), request);
     }
 
     private void members(FleetUpdate update) {
         stats.add(Count.LISTS);
-        if (update.mode() == ListMode.REFUSED) {
-            dispatcher.members(thread.now(), ListMode.REFUSED, update.revision(), List.of());
+        if (update.mode() == EndpointUpdateMode.REJECTED) {
+            dispatcher.onEndpointUpdate(thread.now(), EndpointUpdateMode.REJECTED, update.revision(), List.of());
             return;
         }
         Fleet.Change change = fleet.apply(update, thread.now());
         change.leaving().forEach(workers::leaving); // before the decisions, so that nothing slips out between
         change.listed().forEach(workers::listed);
-        dispatcher.members(thread.now(), update.mode(), update.revision(), change.told());
+        dispatcher.onEndpointUpdate(thread.now(), update.mode(), update.revision(), change.told());
     }
 
     // ---- Steps of chains --------------------------------------------------------------------
@@ -311,25 +314,29 @@
 
         @Override
         public void cancel(ClientCall step) {
-            calls.left(step, config.settings().limits().cancelling());
+            calls.left(step, config.settings().limits().cancellation());
         }
 
         @Override
         public void expect(Request request) {
             functions.put(
                     request.function(),
-                    new WorkerSide.Function(request.function(), request.memoryMb(), request.lanes(), request.loadMs()));
-            dispatcher.expected(thread.now(), request);
+                    new WorkerSide.Function(
+                            request.function(),
+                            request.memoryMb(),
+                            request.concurrencyPerCopy(),
+                            request.loadMillis()));
+            dispatcher.onRequestExpected(thread.now(), request);
         }
 
         @Override
         public boolean believedWarm(String function) {
-            return dispatcher.believedWarm(thread.now(), function);
+            return dispatcher.isCached(thread.now(), function);
         }
 
         @Override
-        public void later(long delayNs, Runnable what) {
-            thread.timer(delayNs, CHAIN_TIMER, what);
+        public void later(long delayNanos, Runnable what) {
+            thread.timer(delayNanos, CHAIN_TIMER, what);
         }
 
         @Override
--- a/gateway/src/main/java/wharfhinge/gateway/loop/Door.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/Door.java
@@ -29,10 +29,10 @@
         }
     }
 
-    void ended(long nanos, String tenant, Ending how, long tookNs, long aimNs) {
+    void ended(long nanos, String tenant, Ending how, long tookNanos, long aimNanos) {
         if (decisions != null) {
             synchronized (this) {
-                decisions.ended(nanos, tenant, how, tookNs, aimNs);
+                decisions.ended(nanos, tenant, how, tookNanos, aimNanos);
             }
         }
     }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/Fleet.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/Fleet.java
@@ -6,32 +6,32 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wharfhinge.Dispatcher.Availability;
-import wharfhinge.Dispatcher.ListMode;
-import wharfhinge.Dispatcher.Worker;
 import wharfhinge.gateway.roster.FleetUpdate;
+import wharfhinge.policy.Availability;
+import wharfhinge.policy.Endpoint;
+import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
 
 /** The list as the loop last held it, with the start of each process on the loop's clock. */
 final class Fleet {
     private static final long MS = 1_000_000L;
 
-    private record Known(Worker worker, String boot) {}
+    private record Known(Endpoint worker, String boot) {}
 
     private final Map<String, Known> known = new LinkedHashMap<>();
     private long revision;
 
     /** Workers that an update brings, processes by worker that may be sent to, and workers that may get nothing new. */
-    record Change(List<Worker> told, Map<String, String> listed, List<String> leaving) {}
+    record Change(List<Endpoint> told, Map<String, String> listed, List<String> leaving) {}
 
     Change apply(FleetUpdate update, long now) {
-        List<Worker> told = new ArrayList<>();
+        List<Endpoint> told = new ArrayList<>();
         Map<String, String> listed = new LinkedHashMap<>();
         List<String> leaving = new ArrayList<>();
         Set<String> named = new HashSet<>();
         revision = update.revision();
         for (RosterEntry entry : update.entries()) {
-            Worker worker = worker(entry, now);
+            Endpoint worker = worker(entry, now);
             told.add(worker);
             named.add(entry.id());
             if (worker.availability() == Availability.UP) {
@@ -39,20 +39,20 @@
             } else {
                 leaving.add(entry.id());
             }
-            if (worker.availability() == Availability.WITHDRAWN) {
+            if (worker.availability() == Availability.REMOVED) {
                 known.remove(entry.id());
             } else {
                 known.put(entry.id(), new Known(worker, entry.boot()));
             }
         }
-        if (update.mode() == ListMode.ALL || update.mode() == ListMode.REMEMBERED) {
+        if (update.mode() == EndpointUpdateMode.FULL || update.mode() == EndpointUpdateMode.SNAPSHOT) {
             known.keySet().stream().filter(id -> !named.contains(id)).forEach(leaving::add);
             known.keySet().retainAll(named);
         }
         return new Change(told, listed, leaving);
     }
 
-    List<Worker> workers() {
+    List<Endpoint> workers() {
         return known.values().stream().map(Known::worker).toList();
     }
 
@@ -60,14 +60,14 @@
         return revision;
     }
 
-    private Worker worker(RosterEntry entry, long now) {
+    private Endpoint worker(RosterEntry entry, long now) {
         Availability availability =
                 switch (entry.state()) {
                     case UP -> Availability.UP;
                     case DRAINING -> Availability.DRAINING;
-                    case GONE -> Availability.WITHDRAWN;
+                    case GONE -> Availability.REMOVED;
                 };
-        return new Worker(
+        return new Endpoint(
                 entry.id(),
                 entry.zone(),
                 entry.kind(),
@@ -83,9 +83,9 @@
         if (before != null && before.boot.equals(entry.boot())) {
             return before.worker.startedAt();
         }
-        if (entry.ageMs() == RosterEntry.UNTOLD) {
+        if (entry.ageMillis() == RosterEntry.UNTOLD) {
             return before == null ? 0 : now; // one that took another's address has just started
         }
-        return Math.max(0, now - entry.ageMs() * MS);
+        return Math.max(0, now - entry.ageMillis() * MS);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/HandOver.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/HandOver.java
@@ -39,7 +39,7 @@
         }
         DoorDecisions.Verdict verdict = door.arrives(nanoTime.getAsLong(), tenant);
         if (verdict.answer() != DoorDecisions.Answer.ADMITTED) {
-            return new Offered(Taken.of(verdict.answer()), verdict.comeBackNs());
+            return new Offered(Taken.of(verdict.answer()), verdict.comeBackNanos());
         }
         Taken taken = take(name, begin);
         if (taken != Taken.TAKEN) {
@@ -78,8 +78,8 @@
     }
 
     /** One that came through the door has ended. */
-    void leftDoor(String tenant, DoorDecisions.Ending how, long tookNs, long aimNs) {
-        door.ended(nanoTime.getAsLong(), tenant, how, tookNs, aimNs);
+    void leftDoor(String tenant, DoorDecisions.Ending how, long tookNanos, long aimNanos) {
+        door.ended(nanoTime.getAsLong(), tenant, how, tookNanos, aimNanos);
     }
 
     /** Taken and not yet ended. */
--- a/gateway/src/main/java/wharfhinge/gateway/loop/LoopActions.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/LoopActions.java
@@ -6,20 +6,22 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import wharfhinge.Dispatcher;
-import wharfhinge.Dispatcher.Outcome;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.gateway.loop.LoopStats.Count;
 import wharfhinge.gateway.loop.OpenCall.LiveAttempt;
 import wharfhinge.gateway.loop.WorkerSide.Result;
 import wharfhinge.gateway.roster.FleetSource;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherActions;
+import wharfhinge.policy.Outcome;
+import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.FinalAnswer;
 
 /**
  * What one life's dispatcher asks for, carried out on the loop's thread; what it causes at once is told as an event of its
  * own. Results that come after that life are dropped.
  */
-final class LoopActions implements Dispatcher.Actions {
+final class LoopActions implements DispatcherActions {
     private final GatewayConfig config;
     private final LoopThread thread;
     private final OpenCalls calls;
@@ -64,8 +66,8 @@
         this.dispatcher = dispatcher;
         this.thisLife = thisLife;
         this.streamed = config.settings().classes().stream()
-                .filter(Dispatcher.RequestClass::stream)
-                .map(Dispatcher.RequestClass::name)
+                .filter(RequestClass::streaming)
+                .map(RequestClass::name)
                 .collect(Collectors.toSet());
     }
 
@@ -78,7 +80,7 @@
     }
 
     @Override
-    public void attempt(String request, String worker, long timeoutNs) {
+    public void sendAttempt(String request, String worker, long timeoutNanos) {
         OpenCall c = calls.get(request);
         if (c == null) {
             return;
@@ -89,15 +91,15 @@
         long left = c.deadline - thread.now();
         if (c.answered
                 || left <= 0
-                || timeoutNs < 0
+                || timeoutNanos < 0
                 || a.index >= config.settings().limits().maxAttempts()) {
             stats.add(Count.MOOT);
             a.sent = WorkerSide.Sent.NONE;
-            tellThisLife("moot", () -> calls.end(a, Outcome.MOOT));
+            tellThisLife("moot", () -> calls.end(a, Outcome.SUPERSEDED));
             return;
         }
         stats.add(Count.ATTEMPTS);
-        long wait = timeoutNs == 0 ? left : Math.min(timeoutNs, left);
+        long wait = timeoutNanos == 0 ? left : Math.min(timeoutNanos, left);
         var head = c.call.head();
         boolean streams = streamed.contains(c.call.requestClass());
         a.sent = workers.attempt(
@@ -134,7 +136,7 @@
     }
 
     @Override
-    public void cancel(String request, int attempt) {
+    public void cancelAttempt(String request, int attempt) {
         OpenCall c = calls.get(request);
         if (c != null && attempt < c.attempts.size() && c.attempts.get(attempt).stream == null) {
             LiveAttempt a = c.attempts.get(attempt);
@@ -143,8 +145,8 @@
     }
 
     @Override
-    public void refuse(String request, long coolDownNs) {
-        calls.finalAnswer(request, FinalAnswer.REFUSED, coolDownNs, Count.REFUSED);
+    public void reject(String request, long coolDownNanos) {
+        calls.finalAnswer(request, FinalAnswer.REFUSED, coolDownNanos, Count.REFUSED);
     }
 
     @Override
@@ -153,14 +155,15 @@
     }
 
     @Override
-    public void hold(String worker, String function, int count) {
+    public void ensureLoaded(String worker, String function, int count) {
         stats.add(Count.HOLDS);
         WorkerSide.Function known = functions.getOrDefault(function, new WorkerSide.Function(function, 0, 0, 0));
-        workers.hold(worker, known, count, config.settings().familyInfo().loadWaitNs(), result -> {
+        workers.hold(worker, known, count, config.settings().functionLoading().loadTimeoutNanos(), result -> {
             ReferenceCountUtil.release(result.body());
             tellThisLife("resident", () -> dispatcher
                     .get()
-                    .resident(thread.now(), worker, function, result.count(), result.outcome(), result.tookNs()));
+                    .onLoadCompleted(
+                            thread.now(), worker, function, result.count(), result.outcome(), result.tookNanos()));
         });
     }
 
@@ -177,37 +180,37 @@
             ReferenceCountUtil.release(result.body());
             tellThisLife("probed", () -> dispatcher
                     .get()
-                    .probed(thread.now(), worker, result.outcome(), result.tookNs(), result.report()));
+                    .onProbeCompleted(thread.now(), worker, result.outcome(), result.tookNanos(), result.report()));
         });
     }
 
     @Override
-    public void timer(String token, long delayNs) {
-        thread.timer(delayNs, "due", () -> dispatcher.get().due(thread.now(), token));
+    public void scheduleTimer(String token, long delayNanos) {
+        thread.timer(delayNanos, "due", () -> dispatcher.get().onTimer(thread.now(), token));
     }
 
     @Override
-    public void publish(int peer, byte[] payload) {
+    public void sendToPeers(int peer, byte[] payload) {
         peers.publish(peer, payload);
     }
 
     @Override
-    public void listen(boolean on) {
+    public void watchEndpoints(boolean on) {
         source.listen(on);
     }
 
     @Override
-    public void reload() {
+    public void refreshEndpoints() {
         source.reload();
     }
 
     @Override
-    public void hangUp(String worker) {
+    public void closeIdleConnections(String worker) {
         workers.hangUp(worker);
     }
 
     @Override
-    public void remark(String text) {
+    public void logDiagnostic(String text) {
         log.remark(text);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/LoopThread.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/LoopThread.java
@@ -62,8 +62,8 @@
     }
 
     /** Does something so much after the event at hand. */
-    void timer(long delayNs, String name, Runnable what) {
-        timers.add(new Timer(now + Math.max(0, delayNs), timerNumber++, name, what));
+    void timer(long delayNanos, String name, Runnable what) {
+        timers.add(new Timer(now + Math.max(0, delayNanos), timerNumber++, name, what));
     }
 
     void dropTimers(Predicate<String> names) {
--- a/gateway/src/main/java/wharfhinge/gateway/loop/NoDecisions.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/NoDecisions.java
@@ -1,36 +1,42 @@
 package wharfhinge.gateway.loop;
 
 import java.util.List;
-import wharfhinge.Dispatcher;
+import wharfhinge.policy.AttemptCompletion;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.DispatcherActions;
+import wharfhinge.policy.Endpoint;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.policy.Outcome;
+import wharfhinge.policy.Request;
 
 /** Stands in while no dispatcher could be made: every call is refused at once, so that each still has its answer. */
 final class NoDecisions implements Dispatcher {
-    private final Actions actions;
+    private final DispatcherActions actions;
 
-    NoDecisions(Actions actions) {
+    NoDecisions(DispatcherActions actions) {
         this.actions = actions;
     }
 
     @Override
-    public void members(long now, ListMode mode, long revision, List<Worker> entries) {}
+    public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {}
 
     @Override
-    public void query(long now, Request request) {
-        actions.refuse(request.id(), 0);
+    public void onRequest(long now, Request request) {
+        actions.reject(request.id(), 0);
     }
 
     @Override
-    public void clientLeft(long now, String request) {}
+    public void onClientCancelled(long now, String request) {}
 
     @Override
-    public void established(long now, String request, int attempt, String worker) {}
+    public void onStreamStarted(long now, String request, int attempt, String worker) {}
 
     @Override
-    public void due(long now, String token) {}
+    public void onTimer(long now, String token) {}
 
     @Override
-    public void completed(long now, Completion completion) {}
+    public void onAttemptCompleted(long now, AttemptCompletion completion) {}
 
     @Override
-    public void resident(long now, String worker, String function, int count, Outcome outcome, long tookNs) {}
+    public void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos) {}
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/OpenCall.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/OpenCall.java
@@ -43,7 +43,7 @@
     List<String> trail() {
         List<String> trail = new ArrayList<>(attempts.size());
         for (LiveAttempt a : attempts) {
-            trail.add(a.worker + ' ' + (a.how == null ? "open" : a.how + ' ' + a.tookNs / 1000 + "us"));
+            trail.add(a.worker + ' ' + (a.how == null ? "open" : a.how + ' ' + a.tookNanos / 1000 + "us"));
         }
         return trail;
     }
@@ -58,7 +58,7 @@
         WorkerSide.Stream stream;
         boolean ended;
         String how;
-        long tookNs;
+        long tookNanos;
 
         LiveAttempt(OpenCall call, int index, String worker, long sentAt) {
             this.call = call;
--- a/gateway/src/main/java/wharfhinge/gateway/loop/OpenCalls.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/OpenCalls.java
@@ -8,15 +8,15 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Supplier;
-import wharfhinge.Dispatcher;
-import wharfhinge.Dispatcher.Completion;
-import wharfhinge.Dispatcher.Note;
-import wharfhinge.Dispatcher.Outcome;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.decisions.door.DoorDecisions;
 import wharfhinge.gateway.loop.LoopStats.Count;
 import wharfhinge.gateway.loop.OpenCall.LiveAttempt;
 import wharfhinge.gateway.loop.WorkerSide.Result;
+import wharfhinge.policy.AttemptCompletion;
+import wharfhinge.policy.CacheStatus;
+import wharfhinge.policy.Dispatcher;
+import wharfhinge.policy.Outcome;
 import wharfhinge.protocol.FinalAnswer;
 
 /**
@@ -56,12 +56,12 @@
         this.log = log;
         this.dispatcher = dispatcher;
         this.whenFewer = whenFewer;
-        config.settings().classes().forEach(c -> aims.put(c.name(), c.onTimeNs()));
+        config.settings().classes().forEach(c -> aims.put(c.name(), c.latencyObjectiveNanos()));
     }
 
     /** Keeps a call that the loop came round to; its deadline counts from when its last byte came. */
     OpenCall add(ClientCall call, boolean throughDoor) {
-        long deadline = thread.clock().at(call.receivedAt()) + call.deadlineNs();
+        long deadline = thread.clock().at(call.receivedAt()) + call.deadlineNanos();
         String id = Long.toString(callNumber++, Character.MAX_RADIX);
         OpenCall c = new OpenCall(id, call, thread.now(), deadline);
         c.throughDoor = throughDoor;
@@ -91,7 +91,7 @@
         }
         a.ended = true;
         a.how = result.how();
-        a.tookNs = result.tookNs();
+        a.tookNanos = result.tookNanos();
         OpenCall c = a.call;
         c.live--;
         if (a.stream != null) {
@@ -112,21 +112,21 @@
     }
 
     private static boolean loaded(Result result) {
-        return result.note() == Note.BEGAN_LOAD || result.note() == Note.WAITED_FOR_LOAD;
+        return result.note() == CacheStatus.LOAD_STARTED || result.note() == CacheStatus.LOAD_AWAITED;
     }
 
     private void completed(LiveAttempt a, Result result) {
-        Completion completion = new Completion(
+        AttemptCompletion completion = new AttemptCompletion(
                 a.call.id,
                 result.outcome(),
                 a.index,
-                result.tookNs(),
+                result.tookNanos(),
                 a.worker,
                 result.note(),
                 result.company(),
                 a.call.answered,
                 result.report());
-        dispatcher.get().completed(thread.now(), completion);
+        dispatcher.get().onAttemptCompleted(thread.now(), completion);
         forget(a.call);
     }
 
@@ -136,9 +136,9 @@
             a.sent.cancel();
             a.ended = true;
             a.how = outcome.name().toLowerCase(Locale.ROOT);
-            a.tookNs = thread.now() - a.sentAt;
+            a.tookNanos = thread.now() - a.sentAt;
             a.call.live--;
-            completed(a, new Result(outcome, Note.NONE, 0, Map.of(), 0, a.tookNs, null, null, a.how));
+            completed(a, new Result(outcome, CacheStatus.UNKNOWN, 0, Map.of(), 0, a.tookNanos, null, null, a.how));
         }
     }
 
@@ -155,7 +155,7 @@
         stats.add(Count.STREAMS);
         c.call.responder().streams(stream, c.facts(a.worker, "", false));
         answered(c, Count.SERVED, "served", null);
-        dispatcher.get().established(thread.now(), c.id, a.index, a.worker);
+        dispatcher.get().onStreamStarted(thread.now(), c.id, a.index, a.worker);
     }
 
     // ---- Ends of calls ----------------------------------------------------------------------
@@ -171,7 +171,7 @@
             return;
         }
         answered(c, Count.LEFT, "left", null);
-        dispatcher.get().clientLeft(thread.now(), c.id);
+        dispatcher.get().onClientCancelled(thread.now(), c.id);
         for (LiveAttempt a : List.copyOf(c.attempts)) {
             if (!a.ended && (cancelAll || a.stream != null)) {
                 end(a, Outcome.CANCELLED);
@@ -183,10 +183,10 @@
     }
 
     /** The dispatcher ends a call without a worker's answer. */
-    void finalAnswer(String id, FinalAnswer answer, long coolDownNs, Count as) {
+    void finalAnswer(String id, FinalAnswer answer, long coolDownNanos, Count as) {
         OpenCall c = calls.get(id);
         if (c != null && !c.answered) {
-            c.call.responder().ended(answer, coolDownNs, c.facts(null, "not-sent", false));
+            c.call.responder().ended(answer, coolDownNanos, c.facts(null, "not-sent", false));
             answered(c, as, answer.word(), "not-sent");
             forget(c);
         }
@@ -223,8 +223,8 @@
         stats.add(as);
         handOver.ended();
         if (c.throughDoor) {
-            long tookNs = thread.now() - c.takenAt;
-            handOver.leftDoor(c.call.head().tenant(), doorEnding(as), tookNs, aims.get(c.call.requestClass()));
+            long tookNanos = thread.now() - c.takenAt;
+            handOver.leftDoor(c.call.head().tenant(), doorEnding(as), tookNanos, aims.get(c.call.requestClass()));
         }
         ReferenceCountUtil.release(c.call.body());
         if (log.wantsAnswers()) {
--- a/gateway/src/main/java/wharfhinge/gateway/loop/Responder.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/Responder.java
@@ -21,7 +21,7 @@
     void served(ByteBuf body, CharSequence contentType, Facts facts);
 
     /** Ends the call without an answer: {@link FinalAnswer#REFUSED} or {@link FinalAnswer#FAILED}. */
-    void ended(FinalAnswer answer, long coolDownNs, Facts facts);
+    void ended(FinalAnswer answer, long coolDownNanos, Facts facts);
 
     /** A streamed answer begins; what follows comes from {@code stream}, without the loop. */
     void streams(WorkerSide.Stream stream, Facts facts);
--- a/gateway/src/main/java/wharfhinge/gateway/loop/StepJournal.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/StepJournal.java
@@ -30,7 +30,13 @@
     interface Restored {
         /** A step that was finished {@code ageNs} ago. */
         void step(
-                long ageNs, String tenant, String key, String digest, int steps, int step, FinishedSteps.Answer answer);
+                long ageNanos,
+                String tenant,
+                String key,
+                String digest,
+                int steps,
+                int step,
+                FinishedSteps.Answer answer);
     }
 
     /**
--- a/gateway/src/main/java/wharfhinge/gateway/loop/WorkerSide.java
+++ b/gateway/src/main/java/wharfhinge/gateway/loop/WorkerSide.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import wharfhinge.Dispatcher.Note;
-import wharfhinge.Dispatcher.Outcome;
+import wharfhinge.policy.CacheStatus;
+import wharfhinge.policy.Outcome;
 import wharfhinge.protocol.RosterEntry;
 
 /** The sockets towards the workers, as the loop uses them. No method blocks; listeners are called by I/O threads. */
@@ -14,9 +14,9 @@
     /**
      * What a worker needs to know of a function.
      *
-     * @param loadMs the usual time of a load; 0 where untold, as are the others
+     * @param loadMillis the usual time of a load; 0 where untold, as are the others
      */
-    record Function(String name, double memoryMb, int lanes, double loadMs) {}
+    record Function(String name, double memoryMb, int lanes, double loadMillis) {}
 
     /**
      * One attempt to be sent; {@code body} is not released by the receiver, which takes a reference of its own.
@@ -50,11 +50,11 @@
      */
     record Result(
             Outcome outcome,
-            Note note,
+            CacheStatus note,
             int company,
             Map<String, Double> report,
             int count,
-            long tookNs,
+            long tookNanos,
             ByteBuf body,
             CharSequence contentType,
             String how) {}
@@ -116,7 +116,7 @@
     void probe(String worker, Consumer<Result> ended);
 
     /** Orders copies to be held, 0 only asks. */
-    void hold(String worker, Function function, int count, long waitNs, Consumer<Result> ended);
+    void hold(String worker, Function function, int count, long waitNanos, Consumer<Result> ended);
 
     /** Has idle copies unloaded; no answer is told. */
     void unload(String worker, String function);
--- a/gateway/src/main/java/wharfhinge/gateway/roster/HttpRoster.java
+++ b/gateway/src/main/java/wharfhinge/gateway/roster/HttpRoster.java
@@ -25,9 +25,9 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wharfhinge.Dispatcher.Discovery;
-import wharfhinge.Dispatcher.ListMode;
 import wharfhinge.config.GatewayConfig;
+import wharfhinge.policy.Discovery;
+import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.ProtocolException;
 import wharfhinge.protocol.RosterDecoder;
 import wharfhinge.protocol.RosterFrame;
@@ -116,7 +116,8 @@
                         c.pipeline()
                                 .addLast(
                                         new HttpClientCodec(),
-                                        new ReadTimeoutHandler(config.roster().silentAfterNs(), TimeUnit.NANOSECONDS),
+                                        new ReadTimeoutHandler(
+                                                config.roster().silentAfterNanos(), TimeUnit.NANOSECONDS),
                                         new Frames());
                     }
                 })
@@ -135,8 +136,8 @@
     }
 
     private long pause() {
-        long most = config.roster().reconnectMostNs();
-        long base = Math.min(most, config.roster().reconnectLeastNs() << Math.min(20, Math.max(0, failures - 1)));
+        long most = config.roster().reconnectMostNanos();
+        long base = Math.min(most, config.roster().reconnectLeastNanos() << Math.min(20, Math.max(0, failures - 1)));
         return (long) (base * (0.5 + random.nextDouble() / 2));
     }
 
@@ -146,7 +147,7 @@
         if (answerOwed && config.settings().discovery() == Discovery.ON_REQUEST) {
             answerOwed = false;
             wanted = false;
-            updates.accept(new FleetUpdate(ListMode.REFUSED, Math.max(0, view.held()), List.of()));
+            updates.accept(new FleetUpdate(EndpointUpdateMode.REJECTED, Math.max(0, view.held()), List.of()));
         } else if (wanted) {
             boolean all = whole;
             loop.schedule(
--- a/gateway/src/main/java/wharfhinge/gateway/roster/RememberedList.java
+++ b/gateway/src/main/java/wharfhinge/gateway/roster/RememberedList.java
@@ -22,7 +22,7 @@
 import java.util.zip.CRC32C;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wharfhinge.Dispatcher.ListMode;
+import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.ProtocolException;
 import wharfhinge.protocol.RosterDecoder;
 import wharfhinge.protocol.RosterEntry;
@@ -38,7 +38,7 @@
     private static final String MAGIC = "wharfhinge-list 1";
 
     private final Path file;
-    private final LongSupplier wallMs;
+    private final LongSupplier wallMillis;
     private final ExecutorService writer;
     private final AtomicBoolean due = new AtomicBoolean();
     private final Map<String, RosterEntry> entries = new LinkedHashMap<>();
@@ -46,9 +46,9 @@
     private long revision;
 
     /** Keeps its list in {@code file}; {@code wallMs} is the wall clock, the only one that outlives a process. */
-    public RememberedList(Path file, LongSupplier wallMs) {
+    public RememberedList(Path file, LongSupplier wallMillis) {
         this.file = file;
-        this.wallMs = wallMs;
+        this.wallMillis = wallMillis;
         this.writer = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "remembered-list");
             thread.setDaemon(true);
@@ -76,7 +76,7 @@
             if (!head[3].equals(Long.toHexString(sum.getValue()))) {
                 throw new IOException("its checksum is wrong: torn or damaged");
             }
-            long passed = Math.max(0, wallMs.getAsLong() - Long.parseLong(head[2]));
+            long passed = Math.max(0, wallMillis.getAsLong() - Long.parseLong(head[2]));
             List<RosterFrame> frames = new ArrayList<>();
             new RosterDecoder().decode(Unpooled.wrappedBuffer(bytes, line + 1, bytes.length - line - 1), frames::add);
             if (frames.size() != 1) {
@@ -85,7 +85,7 @@
             List<RosterEntry> aged =
                     frames.get(0).entries().stream().map(e -> aged(e, passed)).toList();
             FleetUpdate update =
-                    new FleetUpdate(ListMode.REMEMBERED, frames.get(0).revision(), aged);
+                    new FleetUpdate(EndpointUpdateMode.SNAPSHOT, frames.get(0).revision(), aged);
             take(update);
             return Optional.of(update);
         } catch (IOException | ProtocolException | NumberFormatException e) {
@@ -96,7 +96,7 @@
 
     /** Takes news of the fleet and has the list written soon. */
     public synchronized void update(FleetUpdate update) {
-        if (update.mode() == ListMode.REFUSED) {
+        if (update.mode() == EndpointUpdateMode.REJECTED) {
             return;
         }
         take(update);
@@ -107,7 +107,7 @@
 
     private void take(FleetUpdate update) {
         revision = update.revision();
-        if (update.mode() != ListMode.CHANGES) {
+        if (update.mode() != EndpointUpdateMode.INCREMENTAL) {
             entries.clear();
             toldAt.clear();
         }
@@ -117,19 +117,19 @@
                 toldAt.remove(entry.id());
             } else {
                 entries.put(entry.id(), entry);
-                toldAt.put(entry.id(), wallMs.getAsLong());
+                toldAt.put(entry.id(), wallMillis.getAsLong());
             }
         }
     }
 
     private static RosterEntry aged(RosterEntry e, long more) {
-        long age = e.ageMs() == RosterEntry.UNTOLD ? RosterEntry.UNTOLD : e.ageMs() + more;
+        long age = e.ageMillis() == RosterEntry.UNTOLD ? RosterEntry.UNTOLD : e.ageMillis() + more;
         return new RosterEntry(e.id(), e.zone(), e.kind(), e.cell(), e.state(), e.weight(), age, e.boot());
     }
 
     private synchronized byte[] bytes() {
         due.set(false);
-        long now = wallMs.getAsLong();
+        long now = wallMillis.getAsLong();
         List<RosterEntry> aged = entries.values().stream()
                 .map(e -> aged(e, Math.max(0, now - toldAt.get(e.id()))))
                 .toList();
--- a/gateway/src/main/java/wharfhinge/gateway/roster/RosterView.java
+++ b/gateway/src/main/java/wharfhinge/gateway/roster/RosterView.java
@@ -1,7 +1,7 @@
 package wharfhinge.gateway.roster;
 
 import java.util.Optional;
-import wharfhinge.Dispatcher.ListMode;
+import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterFrame;
 
 /** What a gateway holds of a roster's revisions; decides what each frame means. Pure; one thread at a time. */
@@ -24,14 +24,14 @@
     Step take(RosterFrame frame) {
         return switch (frame.kind()) {
             case BEAT -> frame.revision() > held ? Step.ASK : Step.NOTHING;
-            case ALL -> frame.revision() > held ? tell(ListMode.ALL, frame) : Step.NOTHING;
+            case ALL -> frame.revision() > held ? tell(EndpointUpdateMode.FULL, frame) : Step.NOTHING;
             case CHANGES -> frame.revision() <= held
                     ? Step.NOTHING
-                    : held == NONE || frame.from() > held ? Step.ASK : tell(ListMode.CHANGES, frame);
+                    : held == NONE || frame.from() > held ? Step.ASK : tell(EndpointUpdateMode.INCREMENTAL, frame);
         };
     }
 
-    private Step tell(ListMode mode, RosterFrame frame) {
+    private Step tell(EndpointUpdateMode mode, RosterFrame frame) {
         held = frame.revision();
         return new Step(Optional.of(new FleetUpdate(mode, held, frame.entries())), false);
     }
--- a/gateway/src/main/java/wharfhinge/gateway/tls/Tokens.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/Tokens.java
@@ -36,17 +36,17 @@
     }
 
     private final byte[] key;
-    private final LongSupplier wallMs;
+    private final LongSupplier wallMillis;
 
     /**
      * Checks tokens by the key in that file.
      *
-     * @param wallMs the wall clock, milliseconds since 1970
+     * @param wallMillis the wall clock, milliseconds since 1970
      * @throws IOException where the file holds no key of 32 bytes or more
      */
-    public Tokens(Path keyFile, LongSupplier wallMs) throws IOException {
+    public Tokens(Path keyFile, LongSupplier wallMillis) throws IOException {
         this.key = Files.readAllBytes(keyFile);
-        this.wallMs = wallMs;
+        this.wallMillis = wallMillis;
         if (key.length < LEAST_KEY) {
             throw new IOException(
                     keyFile + ": found a key of " + key.length + " bytes, allowed: " + LEAST_KEY + " or more");
@@ -79,7 +79,7 @@
             throw new BadTokenException("authorization: found a token whose MAC is wrong");
         }
         long expiresS = Long.parseLong(token.group(EXPIRES));
-        if (expiresS * 1000 <= wallMs.getAsLong()) {
+        if (expiresS * 1000 <= wallMillis.getAsLong()) {
             throw new BadTokenException(
                     "authorization: found a token that expired at " + Instant.ofEpochSecond(expiresS));
         }
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/Ending.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/Ending.java
@@ -1,8 +1,8 @@
 package wharfhinge.gateway.upstream;
 
 import java.util.Locale;
-import wharfhinge.Dispatcher.Note;
-import wharfhinge.Dispatcher.Outcome;
+import wharfhinge.policy.CacheStatus;
+import wharfhinge.policy.Outcome;
 import wharfhinge.protocol.AnswerCode;
 import wharfhinge.protocol.CopyNote;
 
@@ -21,11 +21,11 @@
     /** Its client left before anything was sent; nobody is told a word that rests on it. */
     WITHDRAWN(Outcome.CANCELLED, false),
     /** The time to wait for it was over before anything was sent. */
-    TOO_LATE(Outcome.MOOT, true),
+    TOO_LATE(Outcome.SUPERSEDED, true),
     /** A stream reset with REFUSED_STREAM: the worker has not looked at it. */
-    STREAM_REFUSED(Outcome.FULL, true),
+    STREAM_REFUSED(Outcome.SATURATED, true),
     /** GOAWAY with a last stream below this one's: the worker will not look at it. */
-    GONE_AWAY(Outcome.FULL, true),
+    GONE_AWAY(Outcome.SATURATED, true),
     /** A stream reset with another code, after the headers were sent. */
     STREAM_RESET(Outcome.RESET, false),
     /** The connection was lost after the headers were sent. */
@@ -58,18 +58,18 @@
         return switch (code) {
             case SERVED -> Outcome.SERVED;
             case ERROR -> Outcome.ERROR;
-            case FULL -> Outcome.FULL;
-            case MISS -> Outcome.MISS;
+            case FULL -> Outcome.SATURATED;
+            case MISS -> Outcome.NOT_LOADED;
         };
     }
 
-    static Note note(CopyNote note) {
+    static CacheStatus note(CopyNote note) {
         return switch (note) {
-            case NONE -> Note.NONE;
-            case FOUND -> Note.FOUND_LOADED;
-            case BEGAN -> Note.BEGAN_LOAD;
-            case WAITED -> Note.WAITED_FOR_LOAD;
-            case LOAD_FAILED -> Note.LOAD_FAILED;
+            case NONE -> CacheStatus.UNKNOWN;
+            case FOUND -> CacheStatus.HIT;
+            case BEGAN -> CacheStatus.LOAD_STARTED;
+            case WAITED -> CacheStatus.LOAD_AWAITED;
+            case LOAD_FAILED -> CacheStatus.LOAD_FAILED;
         };
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
@@ -72,9 +72,9 @@
         if (!bounded) {
             return true;
         }
-        long leftNs = giveUpAt - nanoTime.getAsLong();
-        request.setLong(WorkerProtocol.DEADLINE_MS, Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNs)));
-        return leftNs > 0;
+        long leftNanos = giveUpAt - nanoTime.getAsLong();
+        request.setLong(WorkerProtocol.DEADLINE_MS, Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos)));
+        return leftNanos > 0;
     }
 
     boolean done() {
@@ -101,7 +101,7 @@
         return streams
                 && workerStream == null
                 && Ending.ANSWERED.outcome(status, AnswerCode.of(head.get(WorkerProtocol.OUTCOME)))
-                        == wharfhinge.Dispatcher.Outcome.SERVED;
+                        == wharfhinge.policy.Outcome.SERVED;
     }
 
     void beginStream() {
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/HttpWorkers.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/HttpWorkers.java
@@ -36,7 +36,7 @@
         this.group = group;
         this.channel = channel;
         this.nanoTime = nanoTime;
-        long pace = Math.max(MS, config.workers().idleNs() / 4);
+        long pace = Math.max(MS, config.workers().idleNanos() / 4);
         group.next().scheduleWithFixedDelay(this::sweep, pace, pace, TimeUnit.NANOSECONDS);
     }
 
@@ -47,7 +47,7 @@
 
     private void sweep() {
         pools.forEach((id, pool) -> pool.loop().execute(() -> {
-            pool.closeIdle(config.workers().idleNs());
+            pool.closeIdle(config.workers().idleNanos());
             if (pool.unused()) {
                 pools.remove(id, pool);
             }
@@ -97,18 +97,18 @@
         timed(
                 worker,
                 new Exchange(headers, null, nanoTime, ended, null, () -> false),
-                config.workers().probeTimeoutNs());
+                config.workers().probeTimeoutNanos());
     }
 
     @Override
-    public void hold(String worker, Function function, int count, long waitNs, Consumer<Result> ended) {
+    public void hold(String worker, Function function, int count, long waitNanos, Consumer<Result> ended) {
         Http2Headers headers = function(
                         worker,
                         "PUT",
                         WorkerProtocol.COPIES_PATH + function.name() + WorkerProtocol.COUNT_PARAMETER + count,
                         function)
-                .setLong(WorkerProtocol.DEADLINE_MS, waitNs / MS);
-        timed(worker, new Exchange(headers, null, nanoTime, ended, null, () -> false), waitNs);
+                .setLong(WorkerProtocol.DEADLINE_MS, waitNanos / MS);
+        timed(worker, new Exchange(headers, null, nanoTime, ended, null, () -> false), waitNanos);
     }
 
     @Override
@@ -123,7 +123,7 @@
                         result -> io.netty.util.ReferenceCountUtil.release(result.body()),
                         null,
                         () -> false),
-                config.workers().probeTimeoutNs());
+                config.workers().probeTimeoutNanos());
     }
 
     @Override
@@ -165,7 +165,7 @@
         return pool;
     }
 
-    private void timed(String worker, Exchange exchange, long waitNs) {
+    private void timed(String worker, Exchange exchange, long waitNanos) {
         WorkerPool pool = start(worker, exchange);
         EventLoop loop = pool.loop();
         loop.execute(() -> {
@@ -177,7 +177,7 @@
                                 pool.cancel(exchange);
                             }
                         },
-                        waitNs,
+                        waitNanos,
                         TimeUnit.NANOSECONDS);
             }
         });
@@ -202,8 +202,8 @@
         if (function.lanes() > 0) {
             headers.setInt(WorkerProtocol.LANES, function.lanes());
         }
-        if (function.loadMs() > 0) {
-            headers.set(WorkerProtocol.LOAD_MS, Double.toString(function.loadMs()));
+        if (function.loadMillis() > 0) {
+            headers.set(WorkerProtocol.LOAD_MS, Double.toString(function.loadMillis()));
         }
         return headers;
     }
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnection.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnection.java
@@ -67,7 +67,7 @@
     }
 
     /** How long it has carried nothing, in nanoseconds; 0 while it carries something. */
-    long idleNs() {
+    long idleNanos() {
         return open.isEmpty() ? System.nanoTime() - idleSince : 0;
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerPool.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerPool.java
@@ -40,7 +40,7 @@
                 .group(loop)
                 .channel(channel)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (settings.dialTimeoutNs() / 1_000_000))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) (settings.dialTimeoutNanos() / 1_000_000))
                 .remoteAddress(
                         new InetSocketAddress(id.substring(0, colon), Integer.parseInt(id.substring(colon + 1))));
     }
@@ -140,7 +140,7 @@
                         connection.close();
                     }
                 },
-                settings.dialTimeoutNs(),
+                settings.dialTimeoutNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
@@ -190,9 +190,9 @@
         gone = false;
     }
 
-    void closeIdle(long afterNs) {
+    void closeIdle(long afterNanos) {
         for (WorkerConnection c : List.copyOf(connections)) {
-            if (c.established() && c.load() == 0 && c.idleNs() >= afterNs) {
+            if (c.established() && c.load() == 0 && c.idleNanos() >= afterNanos) {
                 c.close();
             }
         }
--- a/lab/src/main/java/wharfhinge/lab/Storm.java
+++ b/lab/src/main/java/wharfhinge/lab/Storm.java
@@ -41,15 +41,15 @@
     private int loadsAtOnce = 2;
     private boolean loadsOnCall;
     private int lanes = 4;
-    private int callMs = 80;
-    private int loadMs = 400;
+    private int callMillis = 80;
+    private int loadMillis = 400;
     private int storeAtOnce = 8;
     private int functions = 90;
     private double zipf = 1;
-    private int aimMs = 600;
-    private int patienceMs = 1500;
+    private int aimMillis = 600;
+    private int patienceMillis = 1500;
     private int tries = 3;
-    private int keepMs = 8000;
+    private int keepMillis = 8000;
     private double calm = 0.5;
     private double peak = 1.5;
     private int beforeS = 6;
@@ -120,7 +120,7 @@
     /** With other times of loading. */
     public Storm loading(int ms, int storeServes) {
         return but(s -> {
-            s.loadMs = ms;
+            s.loadMillis = ms;
             s.storeAtOnce = storeServes;
         });
     }
@@ -173,7 +173,7 @@
 
     /** Calls a second that the cores bear. */
     public double capacityPerS() {
-        return workers * cores * 1000.0 / callMs;
+        return workers * cores * 1000.0 / callMillis;
     }
 
     /** Seconds that are counted. */
@@ -234,13 +234,13 @@
     }
 
     /** Work of a call. */
-    int callMs() {
-        return callMs;
+    int callMillis() {
+        return callMillis;
     }
 
     /** Fetch and start of a copy, all of it at the store. */
-    int loadMs() {
-        return loadMs;
+    int loadMillis() {
+        return loadMillis;
     }
 
     /** Fetches that the store serves at a time; further ones wait. */
@@ -258,13 +258,13 @@
     }
 
     /** An answer within it is in time. */
-    int aimMs() {
-        return aimMs;
+    int aimMillis() {
+        return aimMillis;
     }
 
     /** A client waits so long in all. */
-    int patienceMs() {
-        return patienceMs;
+    int patienceMillis() {
+        return patienceMillis;
     }
 
     /** Of a client, within its patience. */
@@ -273,8 +273,8 @@
     }
 
     /** Told to gateways: for so long a copy that nobody calls is believed to stand. */
-    int keepMs() {
-        return keepMs;
+    int keepMillis() {
+        return keepMillis;
     }
 
     /** Part of the fleet's capacity that is offered before and after. */
@@ -339,7 +339,7 @@
                 loadsOnCall ? " that load on call" : "",
                 functions,
                 large,
-                loadMs,
+                loadMillis,
                 storeAtOnce,
                 ration,
                 calm,
--- a/lab/src/main/java/wharfhinge/lab/Timeline.java
+++ b/lab/src/main/java/wharfhinge/lab/Timeline.java
@@ -18,8 +18,8 @@
         return now;
     }
 
-    void after(long delayNs, Runnable what) {
-        queue.add(new Due(now + Math.max(0, delayNs), number++, what));
+    void after(long delayNanos, Runnable what) {
+        queue.add(new Due(now + Math.max(0, delayNanos), number++, what));
     }
 
     void at(long when, Runnable what) {
--- a/lab/src/main/java/wharfhinge/lab/Worker.java
+++ b/lab/src/main/java/wharfhinge/lab/Worker.java
@@ -12,8 +12,8 @@
 import java.util.function.BiConsumer;
 import java.util.function.ObjIntConsumer;
 import java.util.function.Predicate;
-import wharfhinge.Dispatcher.Note;
-import wharfhinge.Dispatcher.Outcome;
+import wharfhinge.policy.CacheStatus;
+import wharfhinge.policy.Outcome;
 
 /**
  * A worker: copies in a memory of so many places, the one idle longest goes when a load needs room, cores that run calls in the order they
@@ -24,7 +24,7 @@
 
     /** Told how a call ended; company counts calls of the function that it found. */
     interface Reply {
-        void ended(Outcome outcome, Note note, int company);
+        void ended(Outcome outcome, CacheStatus note, int company);
     }
 
     private static final class Copy {
@@ -43,7 +43,7 @@
         private final String function;
         private final Reply reply;
         private final int company;
-        private Note note = Note.FOUND_LOADED;
+        private CacheStatus note = CacheStatus.HIT;
         private boolean gone;
 
         Visit(String function, int company, Reply reply) {
@@ -83,13 +83,15 @@
         this.store = store;
         this.pushedOut = pushedOut;
         this.loaded = loaded;
-        time.after(storm.keepMs() * Timeline.MS, this::tidy);
+        time.after(storm.keepMillis() * Timeline.MS, this::tidy);
     }
 
     /** What lay idle for the told time goes. */
     private void tidy() {
         for (List<Copy> of : copies.values()) {
-            remove(of, c -> !c.loading && c.running == 0 && time.now() - c.idleSince > storm.keepMs() * Timeline.MS);
+            remove(
+                    of,
+                    c -> !c.loading && c.running == 0 && time.now() - c.idleSince > storm.keepMillis() * Timeline.MS);
         }
         time.after(TIDY_NS, this::tidy);
     }
@@ -108,7 +110,7 @@
         held = 0;
         loads = 0;
         coldUntil = warmAt;
-        lost.forEach(v -> end(v, Outcome.RESET, Note.NONE));
+        lost.forEach(v -> end(v, Outcome.RESET, CacheStatus.UNKNOWN));
         lostOrders.forEach(o -> o.ended.accept(Outcome.RESET, 0));
     }
 
@@ -149,23 +151,23 @@
         Visit visit = new Visit(function, company(function), reply);
         boolean none = of(function).isEmpty();
         if (none && !storm.loadsOnCall()) {
-            end(visit, Outcome.MISS, Note.NONE);
+            end(visit, Outcome.NOT_LOADED, CacheStatus.UNKNOWN);
         } else if (queue.size() >= storm.queue()) {
-            end(visit, Outcome.FULL, Note.NONE);
+            end(visit, Outcome.SATURATED, CacheStatus.UNKNOWN);
         } else {
             boolean loading = of(function).stream().allMatch(c -> c.loading);
-            visit.note = none ? Note.BEGAN_LOAD : loading ? Note.WAITED_FOR_LOAD : Note.FOUND_LOADED;
+            visit.note = none ? CacheStatus.LOAD_STARTED : loading ? CacheStatus.LOAD_AWAITED : CacheStatus.HIT;
             queue.add(visit);
             if (none && load(function) == null) {
                 queue.remove(visit);
-                end(visit, Outcome.FULL, Note.NONE);
+                end(visit, Outcome.SATURATED, CacheStatus.UNKNOWN);
             }
             serve();
         }
         return visit;
     }
 
-    private void end(Visit v, Outcome outcome, Note note) {
+    private void end(Visit v, Outcome outcome, CacheStatus note) {
         if (!v.gone) {
             v.gone = true;
             v.reply.ended(outcome, note, Math.min(30, v.company));
@@ -190,7 +192,7 @@
         copy.running++;
         running.put(v, copy);
         double slow = time.now() < coldUntil ? 2 : 1;
-        time.after((long) (storm.callMs() * slow * Timeline.MS), () -> {
+        time.after((long) (storm.callMillis() * slow * Timeline.MS), () -> {
             if (of != life) {
                 return;
             }
@@ -211,7 +213,7 @@
         if (standing(function) >= count) {
             ended.accept(Outcome.SERVED, standing(function));
         } else if (!room) {
-            ended.accept(Outcome.FULL, standing(function));
+            ended.accept(Outcome.SATURATED, standing(function));
         } else {
             orders.add(new Order(function, count, ended));
         }
@@ -266,7 +268,7 @@
             int of = life;
             loads++;
             loaded.run();
-            store.fetch(storm.loadMs() * Timeline.MS, () -> {
+            store.fetch(storm.loadMillis() * Timeline.MS, () -> {
                 if (of == life) {
                     stands(copy);
                 }
--- a/policy/src/main/java/wharfhinge/Choice.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
@@ -1,4 +1,4 @@
-package wharfhinge;
+package wharfhinge.policy;
 
 // Events, actions and settings: Dispatcher.java. Every decision is in this file, in six parts: 1 warm lists,
 // 2 ranking, 3 eligibility, 4 attempts, 5 loads, 6 admission; docs/design.md has the why.
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 
 /** The decisions of one dispatcher. One thread at a time; needs nothing but its events. */
-public final class Choice implements Dispatcher {
+public final class CacheAwareDispatcher implements Dispatcher {
 
     private static final long MS = 1_000_000L;
 
@@ -45,7 +45,7 @@
     private static final double RETRY_SHARE = 0.25, RETRY_BURST = 20; // tokens for a request; most held
     private static final Comparator<WorkerState> BY_PLACE = Comparator.comparingLong(w -> w.place);
     private static final Set<Outcome> NEVER_RAN = // what proves it
-        EnumSet.of(Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.MISS);
+        EnumSet.of(Outcome.SATURATED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED, Outcome.NOT_LOADED);
     private static final long LOAD_UNTOLD = 1000 * MS; // where no usual time of a load is told
 
     // Loads. Own loads out at once: additive raise, multiplicative cut when the store looks crowded.
@@ -62,8 +62,8 @@
     private static final String SWEEP_TOKEN = "sweep", LAPSE_TOKEN = "lapse", END_TOKEN = "end:",
         LOOK_TOKEN = "look:", REPORT_IN_FLIGHT = "rif";
 
-    private final Settings settings;
-    private final Actions actions;
+    private final DispatcherSettings settings;
+    private final DispatcherActions actions;
     private final Random random;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final Map<String, Usual> usual = new HashMap<>();
@@ -78,7 +78,7 @@
     private final Map<String, Known> calls = new LinkedHashMap<>();
     private final ArrayDeque<Entry> pendingOrders = new ArrayDeque<>();
     private final ArrayDeque<Long> orderTimes = new ArrayDeque<>(), arrivalTimes = new ArrayDeque<>();
-    private final long keepNs;
+    private final long keepNanos;
     private final boolean mayLook, mayAsk;
     private final double few, unseen; // few: of a figure for a few front ends, the part for one of so many
     private long now;
@@ -91,27 +91,27 @@
     private boolean sweepSet, stale;
 
     /** A dispatcher that knows nothing yet; draws only from {@code seed}. */
-    public Choice(long now, long seed, Settings settings, Actions actions) {
+    public CacheAwareDispatcher(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
         if (settings == null || settings.classes() == null || settings.classes().isEmpty()
-            || settings.familyInfo() == null || settings.limits() == null || settings.obligations() == null) {
+            || settings.functionLoading() == null || settings.limits() == null || settings.protectionRules() == null) {
             throw new IllegalArgumentException("classes, family_info, limits and obligations are needed");
         }
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
-        this.keepNs = settings.familyInfo().keepNs();
+        this.keepNanos = settings.functionLoading().idleRetentionNanos();
         this.few = Math.min(1, FEW / Math.max(1, settings.groupSize()));
         this.unseen = 1 - 1.0 / Math.max(1, settings.groupSize()); // of all sends, what own ones do not show
         this.mayLook = few < 0.5 && settings.limits().probes() && settings.feedback() != null
-            && settings.feedback().names().contains(REPORT_IN_FLIGHT);
-        this.mayAsk = few >= 0.5 && settings.familyInfo().loadControl() && !onlyOrdersLoad();
+            && settings.feedback().metricNames().contains(REPORT_IN_FLIGHT);
+        this.mayAsk = few >= 0.5 && settings.functionLoading().loadOrdersAllowed() && !onlyOrdersLoad();
         this.now = now;
         for (RequestClass c : settings.classes()) {
             classes.put(c.name(), c);
-            usual.put(c.name(), new Usual(c.onTimeNs()));
+            usual.put(c.name(), new Usual(c.latencyObjectiveNanos()));
         }
-        if (settings.discovery() == Discovery.ON_REQUEST) { actions.listen(true); }
-        actions.timer(LAPSE_TOKEN, LAPSE);
+        if (settings.discovery() == Discovery.ON_REQUEST) { actions.watchEndpoints(true); }
+        actions.scheduleTimer(LAPSE_TOKEN, LAPSE);
     }
 
     private static class Decayed { // a count that fades over a window
@@ -142,7 +142,7 @@
             perUnit += Math.max(1.0 / ++samples, SMOOTH_USUAL) * (sample - perUnit);
         }
 
-        double of(Request request) { return perUnit > 0 ? perUnit * Math.max(1, request.costNs()) : untold; }
+        double of(Request request) { return perUnit > 0 ? perUnit * Math.max(1, request.costNanos()) : untold; }
     }
 
     /** A function called of late, with its place: the first of its homes whose memory holds it. */
@@ -177,7 +177,7 @@
         RequestState(Request request, RequestClass type, long arrived, double share) {
             this.request = request;
             this.share = share;
-            this.aim = Math.min(type.onTimeNs(), request.remainingNs());
+            this.aim = Math.min(type.latencyObjectiveNanos(), request.remainingNanos());
             this.type = type;
             this.arrived = arrived;
             this.hash = mix(request.function().hashCode());
@@ -192,12 +192,12 @@
         private final long hash, place; // place: in the order of workers
         private final Map<String, Entry> warm = new LinkedHashMap<>();
         private long mark, homeMark; // of the last query that it may not get, ranking where it is a home
-        private Worker told;
+        private Endpoint told;
         private boolean up, ejected;
         private int inFlight, overdue; // overdue: attempts past their patience since the last timely answer
         private double homeScore; // for the request being ranked; least first
-        private double limit, lateness, latencyNs; // latency, and over the class's aim, smoothed
-        private long lastSentAt, gapNs, limitCutAt, heardAt, sampledAt; // gap: between the last two sends
+        private double limit, lateness, latencyNanos; // latency, and over the class's aim, smoothed
+        private long lastSentAt, gapNanos, limitCutAt, heardAt, sampledAt; // gap: between the last two sends
         private double reported; // in flight for each unit of told size, by all front ends
         private double failures, coldTokens, homedMb; // memory of the functions that have their place here
         private final Set<Known> homed = new LinkedHashSet<>();
@@ -208,7 +208,7 @@
             this.place = place;
             this.coldTokens = phase; // so that many front ends do not reach their first token together
             this.limit = limit;
-            this.latencyNs = aim / 4.0; // until it is known
+            this.latencyNanos = aim / 4.0; // until it is known
             this.heardAt = this.coldAt = now;
             this.hash = mix(id.hashCode());
         }
@@ -216,25 +216,25 @@
 
     // ---- Events -----------------------------------------------------------------------------
 
-    @Override public void members(long at, ListMode mode, long revision, List<Worker> entries) {
+    @Override public void onEndpointUpdate(long at, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {
         now = at;
-        if (mode == ListMode.REFUSED) { actions.listen(true); return; }
+        if (mode == EndpointUpdateMode.REJECTED) { actions.watchEndpoints(true); return; }
         entries.forEach(this::update);
-        if (mode != ListMode.CHANGES) {
-            Set<String> named = entries.stream().map(Worker::id).collect(Collectors.toSet());
+        if (mode != EndpointUpdateMode.INCREMENTAL) {
+            Set<String> named = entries.stream().map(Endpoint::id).collect(Collectors.toSet());
             workers.values().stream().filter(w -> !named.contains(w.id)).forEach(this::leave);
         }
         up = (int) workers.values().stream().filter(w -> w.up).count();
-        sizes = workers.values().stream().filter(w -> w.up).mapToDouble(Choice::size).sum();
+        sizes = workers.values().stream().filter(w -> w.up).mapToDouble(CacheAwareDispatcher::size).sum();
         retryHeld();
     }
 
     /** A worker that came back under its name is empty, cold and unjudged. */
-    private void update(Worker entry) {
+    private void update(Endpoint entry) {
         WorkerState old = workers.get(entry.id());
         boolean fresh = old == null || entry.startedAt() != 0 && entry.startedAt() != old.told.startedAt();
         WorkerState w = fresh ? new WorkerState(entry.id(), old != null ? old.place : ++places, now,
-            Math.max(1, LIMIT_START * few), settings.classes().get(0).onTimeNs(), random.nextDouble()) : old;
+            Math.max(1, LIMIT_START * few), settings.classes().get(0).latencyObjectiveNanos(), random.nextDouble()) : old;
         w.told = entry;
         w.up = entry.availability() == Availability.UP;
         workers.put(entry.id(), w);
@@ -254,7 +254,7 @@
         List.copyOf(w.warm.values()).forEach(this::dropEntry);
     }
 
-    @Override public void query(long at, Request request) {
+    @Override public void onRequest(long at, Request request) {
         now = at;
         RequestClass type = classes.get(request.requestClass());
         if (type == null) { throw new IllegalArgumentException("unknown class " + request.requestClass()); }
@@ -263,22 +263,22 @@
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
         trialTokens = Math.min(1, trialTokens + TRIAL_SHARE);
         arrivalTimes.add(now);
-        actions.timer(END_TOKEN + request.id(), Math.max(0, request.remainingNs() - 2 * settings.tickNs()));
+        actions.scheduleTimer(END_TOKEN + request.id(), Math.max(0, request.remainingNanos() - 2 * settings.tickNanos()));
         r.shed = sheds();
         route(r);
     }
 
-    @Override public void clientLeft(long at, String request) {
+    @Override public void onClientCancelled(long at, String request) {
         now = at;
         Optional.ofNullable(requests.get(request)).ifPresent(this::finish);
     }
 
-    @Override public void established(long at, String request, int attempt, String worker) {
+    @Override public void onStreamStarted(long at, String request, int attempt, String worker) {
         now = at;
         Optional.ofNullable(requests.get(request)).ifPresent(r -> r.streaming = true);
     }
 
-    @Override public void due(long at, String token) {
+    @Override public void onTimer(long at, String token) {
         now = at;
         if (token.equals(SWEEP_TOKEN) || token.equals(LAPSE_TOKEN)) {
             sweep(token.equals(LAPSE_TOKEN));
@@ -293,14 +293,14 @@
         } else if (r != null && !r.done && !r.streaming) { decline(r); }
     }
 
-    @Override public void completed(long at, Completion c) {
+    @Override public void onAttemptCompleted(long at, AttemptCompletion c) {
         now = at;
         RequestState r = requests.get(c.request());
         Attempt a = r == null || c.attempt() >= r.attempts.size() ? null : r.attempts.get(c.attempt());
         if (a == null) { return; }
         learnReport(a.worker, c.report());
         settle(a, c);
-        if (c.settled() || r.done) {
+        if (c.answered() || r.done) {
             finish(r);
         } else if (r.live == 0 && !r.streaming) { again(r, a, c); }
     }
@@ -316,7 +316,7 @@
     private void setSweep() {
         if (!sweepSet && !held.isEmpty()) {
             sweepSet = true;
-            actions.timer(SWEEP_TOKEN, SWEEP);
+            actions.scheduleTimer(SWEEP_TOKEN, SWEEP);
         }
     }
 
@@ -327,7 +327,7 @@
         private final String function;
         private final LinkedHashSet<RequestState> waiting = new LinkedHashSet<>();
         private boolean loading, ordered;
-        private long lastSend, orderedAt, loadNs;
+        private long lastSend, orderedAt, loadNanos;
         private double memoryMb;
         private int inFlight;
 
@@ -339,7 +339,7 @@
 
     private boolean believedWarm(WorkerState w, String function) {
         Entry e = w.warm.get(function);
-        return e != null && (e.inFlight > 0 || e.ordered || now - e.lastSend < keepNs);
+        return e != null && (e.inFlight > 0 || e.ordered || now - e.lastSend < keepNanos);
     }
 
     private boolean loading(WorkerState w, String function) {
@@ -376,7 +376,7 @@
             holding(request.function()).add(w);
         }
         e.lastSend = now;
-        e.loadNs = request.loadMs() > 0 ? (long) (request.loadMs() * MS) : LOAD_UNTOLD;
+        e.loadNanos = request.loadMillis() > 0 ? (long) (request.loadMillis() * MS) : LOAD_UNTOLD;
         return e;
     }
 
@@ -385,10 +385,10 @@
     }
 
     private void lapse() {
-        actions.timer(LAPSE_TOKEN, LAPSE);
+        actions.scheduleTimer(LAPSE_TOKEN, LAPSE);
         for (WorkerState w : List.copyOf(workers.values())) {
             for (Entry e : List.copyOf(w.warm.values())) {
-                boolean stuck = e.ordered && now - e.orderedAt > ORDER_PATIENCE * e.loadNs;
+                boolean stuck = e.ordered && now - e.orderedAt > ORDER_PATIENCE * e.loadNanos;
                 if (stuck && !pendingOrders.contains(e)) {
                     if (w.heardAt <= e.orderedAt) { eject(w, "silent"); }
                     dropEntry(e);
@@ -422,9 +422,9 @@
         }
     }
 
-    @Override public List<Belief> beliefs(long at, String function) {
+    @Override public List<WorkerSnapshot> workerStates(long at, String function) {
         now = at;
-        return workers.values().stream().map(w -> new Belief(w.id, w.up, w.ejected, cold(w),
+        return workers.values().stream().map(w -> new WorkerSnapshot(w.id, w.up, w.ejected, cold(w),
             standing(w, function), loading(w, function), belowLimit(w, 1), w.inFlight, w.limit, load(w),
             w.failures)).toList();
     }
@@ -517,7 +517,7 @@
 
     private double room(WorkerState w) { // MB; where it is not told, without bound
         int kind = settings.kinds() == null ? -1 : settings.kinds().indexOf(w.told.kind());
-        List<Double> told = settings.familyInfo().ramMbByKind();
+        List<Double> told = settings.functionLoading().memoryMbByKind();
         return kind < 0 || told == null || kind >= told.size() || told.get(kind) <= 0 ? Double.MAX_VALUE
             : told.get(kind);
     }
@@ -525,7 +525,7 @@
     /** A worker that loads by itself starts a copy for one that waits; where only orders do, one may. */
     private boolean freeLane(WorkerState w, Request request) {
         Entry e = w.warm.get(request.function());
-        return e == null || e.inFlight < (onlyOrdersLoad() ? 2 : 1) * Math.max(1, request.lanes());
+        return e == null || e.inFlight < (onlyOrdersLoad() ? 2 : 1) * Math.max(1, request.concurrencyPerCopy());
     }
 
     /** The one with the fewest own in flight of those that qualify (few), random among equals; or null. */
@@ -639,7 +639,7 @@
     /** Own requests, below one paced by the latency, and what the worker told of everybody's. */
     private boolean belowLimit(WorkerState w, double over) {
         return w.inFlight < Math.max(1, over * w.limit)
-            && (w.limit >= 1 || (now - w.lastSentAt) * w.limit * over >= w.latencyNs)
+            && (w.limit >= 1 || (now - w.lastSentAt) * w.limit * over >= w.latencyNanos)
             && load(w) <= over * Math.max(REPORT_FULL * meanReported, REPORT_IDLE);
     }
 
@@ -650,11 +650,11 @@
         return z ^ (z >>> 31);
     }
 
-    private void adjustLimit(WorkerState w, RequestState r, long tookNs) {
-        double late = tookNs / (double) r.aim;
+    private void adjustLimit(WorkerState w, RequestState r, long tookNanos) {
+        double late = tookNanos / (double) r.aim;
         double weight = Math.max(SMOOTH_LATENCY, 1 - Math.exp((w.sampledAt - now) / (double) SMOOTH_WINDOW));
         w.sampledAt = now;
-        w.latencyNs += weight * (tookNs - w.latencyNs);
+        w.latencyNanos += weight * (tookNanos - w.latencyNanos);
         w.lateness += weight * (late - w.lateness);
         meanLateness += SMOOTH_USUAL * (late - meanLateness);
         if (w.lateness > LIMIT_HIGH && now - w.limitCutAt > w.lateness * r.aim) {
@@ -667,7 +667,7 @@
     // Departure: a front end that sends to a worker seldom must feel a cut, so it at least doubles the own
     // interval there. Guards against many that return too soon; one bad answer idles a good worker.
     private void cutLimit(WorkerState w) {
-        double own = Math.max(few, w.latencyNs / Math.max(w.latencyNs, w.gapNs)); // mean own in flight there
+        double own = Math.max(few, w.latencyNanos / Math.max(w.latencyNanos, w.gapNanos)); // mean own in flight there
         w.limit = w.limit > 1 ? w.limit * LIMIT_CUT
             : Math.max(LIMIT_MIN, LIMIT_PACE * Math.min(w.limit, own));
         w.limitCutAt = now;
@@ -684,7 +684,7 @@
             workers.values().stream().filter(w -> w.up).forEach(ready::add);
             ready.stream().filter(w -> w.ejected || cold(w)).forEach(odd::add);
             odd.stream().filter(this::cold).forEach(w -> readyUntil = Math.min(readyUntil,
-                w.told.startedAt() + settings.obligations().warmAfterNs()));
+                w.told.startedAt() + settings.protectionRules().slowStartNanos()));
             if (stale) {
                 stale = false;
                 placeAll(k -> true);
@@ -726,7 +726,7 @@
             w.ejected = true;
             readyUntil = 0;
             w.trialAt = now + w.pause;
-            actions.remark("ejected " + w.id + " " + symptom);
+            actions.logDiagnostic("ejected " + w.id + " " + symptom);
         }
     }
 
@@ -738,11 +738,11 @@
         w.pause = EJECT_FIRST;
     }
 
-    private void judge(Attempt a, Completion c) {
+    private void judge(Attempt a, AttemptCompletion c) {
         WorkerState w = a.worker;
-        boolean alive = c.outcome() == Outcome.FULL || c.outcome() == Outcome.MISS;
+        boolean alive = c.outcome() == Outcome.SATURATED || c.outcome() == Outcome.NOT_LOADED;
         w.heardAt = alive || c.outcome() == Outcome.SERVED || c.outcome() == Outcome.ERROR ? now : w.heardAt;
-        if (c.outcome() == Outcome.FULL) {
+        if (c.outcome() == Outcome.SATURATED) {
             w.limit = Math.min(w.limit, w.inFlight + 1);
             cutLimit(w);
         }
@@ -753,18 +753,18 @@
         if (unserved) { known.erred.add(w); }
         if (known != null && c.outcome() == Outcome.SERVED) { known.erred = null; }
         alive |= c.outcome() == Outcome.TIMEOUT || unserved && known.erred.size() > 1;
-        if (alive || c.outcome() == Outcome.CANCELLED || c.outcome() == Outcome.MOOT) {
-            trialEnded(a, c.outcome() != Outcome.MISS); // a miss is an answer; a full one may hang
+        if (alive || c.outcome() == Outcome.CANCELLED || c.outcome() == Outcome.SUPERSEDED) {
+            trialEnded(a, c.outcome() != Outcome.NOT_LOADED); // a miss is an answer; a full one may hang
             return;
         }
         served.add(c.outcome() == Outcome.SERVED ? 1 : 0, now);
-        boolean bad = c.outcome() != Outcome.SERVED && c.note() != Note.LOAD_FAILED;
+        boolean bad = c.outcome() != Outcome.SERVED && c.cacheStatus() != CacheStatus.LOAD_FAILED;
         w.failures += SMOOTH_FAILURES * ((bad ? 1 : 0) - w.failures);
-        if (!bad && (c.note() == Note.NONE || c.note() == Note.FOUND_LOADED)) {
-            usual.get(a.request.type.name()).learn(c.tookNs() / Math.max(1.0, a.request.request.costNs()));
-            adjustLimit(w, a.request, c.tookNs());
+        if (!bad && (c.cacheStatus() == CacheStatus.UNKNOWN || c.cacheStatus() == CacheStatus.HIT)) {
+            usual.get(a.request.type.name()).learn(c.tookNanos() / Math.max(1.0, a.request.request.costNanos()));
+            adjustLimit(w, a.request, c.tookNanos());
         }
-        boolean timely = !bad && c.tookNs() <= a.patience;
+        boolean timely = !bad && c.tookNanos() <= a.patience;
         w.overdue = timely ? 0 : w.overdue;
         if (w.ejected && a.sentAt >= w.trialAt) {
             trialEnded(a, !timely);
@@ -783,23 +783,23 @@
     }
 
     private boolean cold(WorkerState w) {
-        return w.told.startedAt() > 0 && now - w.told.startedAt() < settings.obligations().warmAfterNs();
+        return w.told.startedAt() > 0 && now - w.told.startedAt() < settings.protectionRules().slowStartNanos();
     }
 
     // Rule 4: a cold worker gets tokens at the told multiple of its present share of a warm worker's answers
     // to this dispatcher. Not of arrivals: answers, summed over all, never exceed capacity.
     private boolean withinColdBudget(WorkerState w) {
         if (!cold(w)) { return true; }
-        Obligations rules = settings.obligations();
-        double age = Math.max(0, now - w.told.startedAt()) / (double) rules.warmAfterNs();
-        double share = rules.coldFrom() + (1 - rules.coldFrom()) * age;
-        double perNs = COLD_MARGIN * rules.overloadFactor() * share * served.at(now) / RATE_WINDOW
+        ProtectionRules rules = settings.protectionRules();
+        double age = Math.max(0, now - w.told.startedAt()) / (double) rules.slowStartNanos();
+        double share = rules.slowStartFrom() + (1 - rules.slowStartFrom()) * age;
+        double perNanos = COLD_MARGIN * rules.overloadFactor() * share * served.at(now) / RATE_WINDOW
             * Math.min(1.0 / up, size(w) / sizes); // one that is told to be smaller than most bears less
         // a fleet that is cold as a whole must start: one for the group, kept. Others lapse after the span:
-        double least = 1.0 / rules.warmAfterNs() / Math.max(1, settings.groupSize());
-        double per = Math.max(perNs, least), span = per * rules.tipAfterNs();
+        double least = 1.0 / rules.slowStartNanos() / Math.max(1, settings.groupSize());
+        double per = Math.max(perNanos, least), span = per * rules.overloadWindowNanos();
         // what many did not send must not fall on one window; hurts where calls for the worker are rarer
-        boolean lapses = perNs > least && span < 1;
+        boolean lapses = perNanos > least && span < 1;
         double most = lapses ? 1 + span : Math.max(1, span / 2), had = w.coldTokens + per * (now - w.coldAt);
         w.coldTokens = lapses && had > most ? had - Math.floor(had - span) : Math.min(most, had);
         w.coldAt = now;
@@ -810,20 +810,20 @@
 
     /** Rule 2, for every path: may this request be sent to this worker now? */
     private boolean mayResend(RequestState r, WorkerState w) {
-        if (r.done || r.live > 0 && !settings.limits().secondCopies()) { return false; }
+        if (r.done || r.live > 0 && !settings.limits().hedging()) { return false; }
         return r.type.effect() == Effect.IDEMPOTENT || r.exposed.isEmpty()
             || r.type.effect() == Effect.DEDUPLICATED && r.exposed.stream().allMatch(a -> sameGroup(r.type,
-            a.worker, w) && now - a.sentAt < r.type.windowNs() - 2 * settings.tickNs());
+            a.worker, w) && now - a.sentAt < r.type.deduplicationWindowNanos() - 2 * settings.tickNanos());
     }
 
     /** Rule 2: may the client be told that a retry is harmless? */
     private boolean mayRefuse(RequestState r) {
         return r.exposed.isEmpty() || r.type.effect() == Effect.IDEMPOTENT
-            || r.type.effect() == Effect.DEDUPLICATED && r.type.group() == Group.ALL;
+            || r.type.effect() == Effect.DEDUPLICATED && r.type.deduplicationScope() == DeduplicationScope.ALL;
     }
 
     private static boolean sameGroup(RequestClass type, WorkerState a, WorkerState b) {
-        return type.group() == Group.ALL || (type.group() == Group.ZONE
+        return type.deduplicationScope() == DeduplicationScope.ALL || (type.deduplicationScope() == DeduplicationScope.ZONE
             ? Objects.equals(a.told.zone(), b.told.zone()) : a.told.cell() == b.told.cell());
     }
 
@@ -869,10 +869,10 @@
         for (WorkerState w : firstHomes(r.request.function(), r.hash, ASK_MOST)) {
             if (mayGet(w) && r.looks.size() < ASK_MOST && r.looks.add(w)
                 && asked.putIfAbsent(w.id + ' ' + r.request.function(), r.request) == null) {
-                actions.hold(w.id, r.request.function(), 0);
+                actions.ensureLoaded(w.id, r.request.function(), 0);
             }
         }
-        actions.timer(LOOK_TOKEN + r.request.id(), LOOK_WAIT);
+        actions.scheduleTimer(LOOK_TOKEN + r.request.id(), LOOK_WAIT);
     }
 
     private void told(WorkerState w, Request asker, boolean stands) {
@@ -882,7 +882,7 @@
             && (roomy(w, asker.memoryMb()) || belongs(w, asker.function()))) {
             Entry e = record(w, asker);
             e.loading = false;
-            e.lastSend = now - keepNs + e.loadNs; // may go soon: believed for what a load would take
+            e.lastSend = now - keepNanos + e.loadNanos; // may go soon: believed for what a load would take
         }
         List.copyOf(looking).stream().filter(r -> r.request.function().equals(asker.function())
             && r.looks.remove(w) && (stands || r.looks.isEmpty())).forEach(this::lookEnds);
@@ -902,12 +902,12 @@
                 looking.add(r);
             }
         }
-        if (!r.looks.isEmpty()) { actions.timer(LOOK_TOKEN + r.request.id(), LOOK_WAIT); }
+        if (!r.looks.isEmpty()) { actions.scheduleTimer(LOOK_TOKEN + r.request.id(), LOOK_WAIT); }
         return !r.looks.isEmpty();
     }
 
     @Override
-    public void probed(long at, String worker, Outcome outcome, long tookNs, Map<String, Double> report) {
+    public void onProbeCompleted(long at, String worker, Outcome outcome, long tookNanos, Map<String, Double> report) {
         now = at;
         WorkerState w = workers.get(worker);
         if (w != null) {
@@ -939,7 +939,7 @@
         Attempt a = new Attempt(r, w, r.attempts.size(), now, patience(r, e), loads);
         e.inFlight++;
         w.inFlight++;
-        w.gapNs = w.lastSentAt == 0 ? 0 : now - w.lastSentAt;
+        w.gapNanos = w.lastSentAt == 0 ? 0 : now - w.lastSentAt;
         w.lastSentAt = now;
         trialTokens -= w.ejected ? 1 : 0;
         w.coldTokens -= cold(w) ? 1 : 0;
@@ -948,17 +948,17 @@
         r.live++;
         held.remove(r);
         loadsOut += a.loads ? 1 : 0;
-        actions.attempt(r.request.id(), w.id, 0);
-        actions.timer(a.index + ":" + r.request.id(), a.patience);
+        actions.sendAttempt(r.request.id(), w.id, 0);
+        actions.scheduleTimer(a.index + ":" + r.request.id(), a.patience);
     }
 
     private long patience(RequestState r, Entry e) {
-        double usualNs = PATIENCE_WORK * usual.get(r.type.name()).of(r.request);
-        double load = e.loading && !onlyOrdersLoad() ? PATIENCE_LOAD * e.loadNs : 0;
-        return (long) (Math.max(PATIENCE_AIM * r.aim, usualNs) + load);
+        double usualNanos = PATIENCE_WORK * usual.get(r.type.name()).of(r.request);
+        double load = e.loading && !onlyOrdersLoad() ? PATIENCE_LOAD * e.loadNanos : 0;
+        return (long) (Math.max(PATIENCE_AIM * r.aim, usualNanos) + load);
     }
 
-    private void settle(Attempt a, Completion c) {
+    private void settle(Attempt a, AttemptCompletion c) {
         RequestState r = a.request;
         WorkerState w = a.worker;
         w.inFlight--;
@@ -969,30 +969,30 @@
         boolean broke = c.outcome() == Outcome.RESET || c.outcome() == Outcome.CONNECT_FAILED;
         if (a.loads && broke) { loadsOut--; }
         if (a.loads && !broke) {
-            double began = c.note() == Note.FOUND_LOADED ? 0 : 1;
+            double began = c.cacheStatus() == CacheStatus.HIT ? 0 : 1;
             loadChance += SMOOTH_LOADS * (began - loadChance);
-            loaded(wasServed && c.tookNs() <= a.patience);
+            loaded(wasServed && c.tookNanos() <= a.patience);
         }
         if (NEVER_RAN.contains(c.outcome())) { r.exposed.remove(a); }
         Entry e = w.warm.get(r.request.function());
         if (e != null) {
             e.inFlight = Math.max(0, e.inFlight - 1);
             boolean gone = !onlyOrdersLoad() && !wasServed // no copy is known: the next send counts as a load
-                && !broke && c.outcome() != Outcome.ERROR && c.outcome() != Outcome.FULL;
-            if (c.note() == Note.LOAD_FAILED || gone) {
+                && !broke && c.outcome() != Outcome.ERROR && c.outcome() != Outcome.SATURATED;
+            if (c.cacheStatus() == CacheStatus.LOAD_FAILED || gone) {
                 dropEntry(e);
             } else if (wasServed) {
                 e.loading = e.ordered;
-                e.lastSend = c.note() == Note.FOUND_LOADED ? now : e.lastSend;
-                if (c.note() == Note.BEGAN_LOAD && !roomy(w, 0) && !belongs(w, e.function)) { dropEntry(e); }
+                e.lastSend = c.cacheStatus() == CacheStatus.HIT ? now : e.lastSend;
+                if (c.cacheStatus() == CacheStatus.LOAD_STARTED && !roomy(w, 0) && !belongs(w, e.function)) { dropEntry(e); }
             }
         }
         pressure(a, c);
         judge(a, c);
     }
 
-    private void again(RequestState r, Attempt a, Completion c) {
-        boolean lacks = c.outcome() == Outcome.MISS && onlyOrdersLoad() && c.note() != Note.LOAD_FAILED;
+    private void again(RequestState r, Attempt a, AttemptCompletion c) {
+        boolean lacks = c.outcome() == Outcome.NOT_LOADED && onlyOrdersLoad() && c.cacheStatus() != CacheStatus.LOAD_FAILED;
         String function = r.request.function();
         boolean elsewhere = lacks && holding(function).stream().anyMatch(w -> w != a.worker && w.up
             && !w.ejected && standing(w, function) && belowLimit(w, 1)); // a load takes longer than a send
@@ -1006,7 +1006,7 @@
         r.tried.add(a.worker);
         if (lacks && standing(a.worker, function)) { dropEntry(a.worker.warm.get(function)); }
         double cost = lacks ? 0 : 1;
-        boolean may = c.outcome() != Outcome.MOOT && retryTokens >= cost && mayStillRun(r);
+        boolean may = c.outcome() != Outcome.SUPERSEDED && retryTokens >= cost && mayStillRun(r);
         retryTokens -= may ? cost : 0;
         if (may) { route(r); } else { decline(r); }
     }
@@ -1023,11 +1023,11 @@
             || r.type.effect() == Effect.AT_MOST_ONCE || index != r.attempts.size() - 1
             || !silent && !a.worker.ejected) { return; }
         r.tried.add(a.worker);
-        if (settings.limits().secondCopies() && eligible(r) && !mayGet(a.worker) && !refuses()) {
+        if (settings.limits().hedging() && eligible(r) && !mayGet(a.worker) && !refuses()) {
             retryTokens--;
             send(r, rank(r));
-        } else if (!settings.limits().secondCopies() && settings.limits().cancelling()) {
-            actions.cancel(r.request.id(), index);
+        } else if (!settings.limits().hedging() && settings.limits().cancellation()) {
+            actions.cancelAttempt(r.request.id(), index);
         }
     }
 
@@ -1052,8 +1052,8 @@
     /** What it waits for can no longer serve it in time: it gets its answer now, not at its deadline. */
     private boolean hopeless(RequestState r) {
         double needs = usual.get(r.type.name()).of(r.request)
-            + (r.waitsFor != null && pendingOrders.contains(r.waitsFor) ? r.waitsFor.loadNs : 0);
-        return now + needs > r.arrived + r.request.remainingNs();
+            + (r.waitsFor != null && pendingOrders.contains(r.waitsFor) ? r.waitsFor.loadNanos : 0);
+        return now + needs > r.arrived + r.request.remainingNanos();
     }
 
     private void finish(RequestState r) {
@@ -1069,17 +1069,17 @@
     /** Of own sends that may load only those count that do, as seen: peers keep most functions warm. */
     private boolean crowdsStore() { return loadsOut * loadChance >= loadLimit; }
 
-    @Override public boolean believedWarm(long at, String function) {
+    @Override public boolean isCached(long at, String function) {
         now = at;
         return holding(function).stream().anyMatch(w -> w.up && !w.ejected && standing(w, function));
     }
 
     // Departure: a load ahead of its request. Acts where orders are allowed, none stands, loads or waits;
     // guards against a load inside a deadline; hurts where the request does not come: a fetch for nothing.
-    @Override public void expected(long at, Request request) {
+    @Override public void onRequestExpected(long at, Request request) {
         now = at;
         RequestClass type = classes.get(request.requestClass());
-        boolean may = settings.familyInfo().loadControl() && pendingOrders.isEmpty() && !crowdsStore();
+        boolean may = settings.functionLoading().loadOrdersAllowed() && pendingOrders.isEmpty() && !crowdsStore();
         if (type == null || !may) { return; }
         RequestState r = new RequestState(request, type, now, 0);
         eligible(r);
@@ -1091,7 +1091,7 @@
     }
 
     private boolean onlyOrdersLoad() {
-        return settings.familyInfo().notLoaded() == NotLoaded.MISS && settings.familyInfo().loadControl();
+        return settings.functionLoading().onMiss() == OnMissBehavior.MISS && settings.functionLoading().loadOrdersAllowed();
     }
 
     private void order(Entry e) {
@@ -1110,21 +1110,21 @@
             e.orderedAt = now;
             loadsOut++;
             orderTimes.add(now);
-            actions.hold(e.worker.id, e.function, 1);
+            actions.ensureLoaded(e.worker.id, e.function, 1);
         }
     }
 
     /** Rule 5: own orders of the told span, this one included, against own requests of that span. */
     private boolean withinRation() {
-        FamilyInfo info = settings.familyInfo();
-        orderTimes.removeIf(at -> at < now - info.loadPeriodNs());
-        arrivalTimes.removeIf(at -> at <= now - info.loadPeriodNs());
-        double ration = info.loadsAnyway() + info.loadRatio() * arrivalTimes.size();
-        return info.loadPeriodNs() <= 0 || orderTimes.size() + 1 <= ration;
+        FunctionLoading info = settings.functionLoading();
+        orderTimes.removeIf(at -> at < now - info.loadQuotaPeriodNanos());
+        arrivalTimes.removeIf(at -> at <= now - info.loadQuotaPeriodNanos());
+        double ration = info.loadQuotaBase() + info.loadQuotaPerRequest() * arrivalTimes.size();
+        return info.loadQuotaPeriodNanos() <= 0 || orderTimes.size() + 1 <= ration;
     }
 
     @Override
-    public void resident(long at, String worker, String function, int count, Outcome outcome, long tookNs) {
+    public void onLoadCompleted(long at, String worker, String function, int count, Outcome outcome, long tookNanos) {
         now = at;
         WorkerState w = workers.get(worker);
         Request asker = asked.remove(worker + ' ' + function);
@@ -1132,7 +1132,7 @@
         if (asker != null) { return; }
         Entry e = w == null ? null : w.warm.get(function);
         boolean stands = outcome == Outcome.SERVED || count > 0;
-        loaded(stands && (e == null || tookNs <= CROWDED * e.loadNs));
+        loaded(stands && (e == null || tookNanos <= CROWDED * e.loadNanos));
         if (e != null) {
             e.ordered = false;
             if (stands) {
@@ -1159,11 +1159,11 @@
         return ready.stream().noneMatch(w -> mayGet(w) && belowLimit(w, REFUSE_OVER));
     }
 
-    private void pressure(Attempt a, Completion c) { // a late load is no queue at a worker
-        boolean full = c.outcome() == Outcome.TIMEOUT || c.outcome() == Outcome.FULL;
+    private void pressure(Attempt a, AttemptCompletion c) { // a late load is no queue at a worker
+        boolean full = c.outcome() == Outcome.TIMEOUT || c.outcome() == Outcome.SATURATED;
         if (!a.worker.ejected && (full || c.outcome() == Outcome.SERVED && !a.loads)) {
             answers.add(1, now);
-            saturated.add(full || c.tookNs() > a.request.aim ? 1 : 0, now);
+            saturated.add(full || c.tookNanos() > a.request.aim ? 1 : 0, now);
         }
     }
 
@@ -1176,9 +1176,9 @@
 
     private void decline(RequestState r) {
         if (mayRefuse(r)) {
-            long most = settings.limits().retryAfter() ? settings.limits().maxRetryAfterNs() : 0;
-            actions.refuse(r.request.id(), Math.min((long) (ADVICE * r.aim), most));
-        } else if (r.live > 0 && now < r.arrived + r.request.remainingNs() - 3 * settings.tickNs()) {
+            long most = settings.limits().retryAfter() ? settings.limits().maxRetryAfterNanos() : 0;
+            actions.reject(r.request.id(), Math.min((long) (ADVICE * r.aim), most));
+        } else if (r.live > 0 && now < r.arrived + r.request.remainingNanos() - 3 * settings.tickNanos()) {
             return; // the attempt still out may serve it; its end or the deadline decides
         } else {
             actions.fail(r.request.id());
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/ClientBehavior.java
@@ -0,0 +1,4 @@
+package wharfhinge.policy;
+
+/** How clients behave. */
+public record ClientBehavior(boolean marksRetries) {}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/FunctionLoading.java
@@ -0,0 +1,19 @@
+package wharfhinge.policy;
+
+import java.util.List;
+
+/** How functions are loaded and kept. */
+public record FunctionLoading(
+        long idleRetentionNanos,
+        boolean loadOrdersAllowed,
+        OnMissBehavior onMiss,
+        long loadTimeoutNanos,
+        long loadQuotaPeriodNanos,
+        double loadQuotaPerRequest,
+        double loadQuotaBase,
+        double idlePrice,
+        List<Double> memoryMbByKind,
+        String reportX0,
+        String reportX1,
+        boolean reportsConcurrency,
+        boolean reportsCacheStatus) {}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/LoadReporting.java
@@ -0,0 +1,8 @@
+package wharfhinge.policy;
+
+/** Where load reports come: with answers and probes, with probes alone, nowhere. */
+public enum LoadReporting {
+    PIGGYBACK,
+    PULL,
+    SILENT
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/ObjectiveWeights.java
@@ -0,0 +1,4 @@
+package wharfhinge.policy;
+
+/** What the result weighs. */
+public record ObjectiveWeights(double overall, double worstWindow, double worstClass, double worstTenant) {}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/Outcome.java
@@ -0,0 +1,14 @@
+package wharfhinge.policy;
+
+/** How an attempt, a probe or an order ended. */
+public enum Outcome {
+    SERVED,
+    ERROR,
+    SATURATED,
+    TIMEOUT,
+    CONNECT_FAILED,
+    RESET,
+    CANCELLED,
+    SUPERSEDED,
+    NOT_LOADED
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/Tenant.java
@@ -0,0 +1,4 @@
+package wharfhinge.policy;
+
+/** A tenant with its share of the service. */
+public record Tenant(String name, double share, double quotaPerSecond) {}
