--- a/policy/src/test/java/wharfhinge/EmbeddingPageTest.java
+++ b/policy/src/test/java/wharfhinge/policy/EmbeddingPageTest.java
@@ -1,4 +1,4 @@
-package wharfhinge;
+package wharfhinge.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/protocol/src/main/java/wharfhinge/protocol/CallHead.java
+++ b/protocol/src/main/java/wharfhinge/protocol/CallHead.java
@@ -6,7 +6,7 @@
 /**
  * The head of a client's call, checked. Absent figures are 0, an absent id, class, tenant null.
  *
- * @param deadlineMs what the client waits; 0 where it does not say
+ * @param deadlineMillis what the client waits; 0 where it does not say
  * @param costUs     expected work, microseconds
  * @param idempotencyKey by which workers know a call that was sent before; the same with each retry of its client, null where there is none
  */
@@ -15,11 +15,11 @@
         String id,
         String requestClass,
         String tenant,
-        long deadlineMs,
+        long deadlineMillis,
         long costUs,
         double memoryMb,
         int lanes,
-        double loadMs,
+        double loadMillis,
         boolean repeat,
         boolean write,
         String idempotencyKey) {
@@ -35,14 +35,26 @@
             String id,
             String requestClass,
             String tenant,
-            long deadlineMs,
+            long deadlineMillis,
             long costUs,
             double memoryMb,
             int lanes,
-            double loadMs,
+            double loadMillis,
             boolean repeat,
             boolean write) {
-        this(function, id, requestClass, tenant, deadlineMs, costUs, memoryMb, lanes, loadMs, repeat, write, null);
+        this(
+                function,
+                id,
+                requestClass,
+                tenant,
+                deadlineMillis,
+                costUs,
+                memoryMb,
+                lanes,
+                loadMillis,
+                repeat,
+                write,
+                null);
     }
 
     /**
@@ -58,8 +70,8 @@
             throw new ProtocolException("function in the path", function, "1 to 128 letters, digits, '.', '_', '-'");
         }
         String deadline = headers.apply(ClientProtocol.DEADLINE_MS);
-        long deadlineMs = number(ClientProtocol.DEADLINE_MS, deadline, MOST_MS);
-        if (deadline != null && deadlineMs == 0) {
+        long deadlineMillis = number(ClientProtocol.DEADLINE_MS, deadline, MOST_MS);
+        if (deadline != null && deadlineMillis == 0) {
             throw new ProtocolException(ClientProtocol.DEADLINE_MS.toString(), deadline, "a whole number above 0");
         }
         return new CallHead(
@@ -67,7 +79,7 @@
                 word(ClientProtocol.ID, headers),
                 word(ClientProtocol.CLASS, headers),
                 word(ClientProtocol.TENANT, headers),
-                deadlineMs,
+                deadlineMillis,
                 number(ClientProtocol.COST_US, headers.apply(ClientProtocol.COST_US), MOST_MS * 1000),
                 figure(ClientProtocol.MEMORY_MB, headers),
                 (int) number(ClientProtocol.LANES, headers.apply(ClientProtocol.LANES), MOST_LANES),
@@ -83,11 +95,11 @@
                 id,
                 requestClass,
                 other,
-                deadlineMs,
+                deadlineMillis,
                 costUs,
                 memoryMb,
                 lanes,
-                loadMs,
+                loadMillis,
                 repeat,
                 write,
                 idempotencyKey);
--- a/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
@@ -38,14 +38,14 @@
     private volatile Channel listening;
     private final int port;
     private long revision = 1;
-    private volatile long lagMs;
+    private volatile long lagMillis;
     private volatile boolean mute;
 
     /** A roster that tells changes {@code lagMs} after they are reported to it. */
-    public RosterStandIn(EventLoopGroup group, int port, long lagMs, Trace trace) {
+    public RosterStandIn(EventLoopGroup group, int port, long lagMillis, Trace trace) {
         this.loop = group.next();
         this.trace = trace;
-        this.lagMs = lagMs;
+        this.lagMillis = lagMillis;
         this.listening = Net.listenHttp(loop, port, Requests::new);
         this.port = Net.port(listening);
         loop.scheduleAtFixedRate(
@@ -62,7 +62,7 @@
 
     /** How late it is from now on. */
     public void lag(long ms) {
-        lagMs = ms;
+        lagMillis = ms;
     }
 
     /** While mute its streams stand but say nothing, not even that they live. */
@@ -77,7 +77,7 @@
                 () -> {
                     RosterEntry before = entries.get(entry.id());
                     if (before == null || !before.boot().equals(entry.boot())) {
-                        startedAt.put(entry.id(), at - Math.max(0, entry.ageMs()) * 1_000_000L);
+                        startedAt.put(entry.id(), at - Math.max(0, entry.ageMillis()) * 1_000_000L);
                     }
                     long from = revision++;
                     if (entry.state() == RosterEntry.State.GONE) {
@@ -87,7 +87,7 @@
                     }
                     push(new RosterFrame(RosterFrame.Kind.CHANGES, from, revision, List.of(aged(entry))));
                 },
-                lagMs,
+                lagMillis,
                 TimeUnit.MILLISECONDS);
     }
 
@@ -114,7 +114,7 @@
     }
 
     private RosterEntry aged(RosterEntry e) {
-        long age = e.ageMs() == RosterEntry.UNTOLD
+        long age = e.ageMillis() == RosterEntry.UNTOLD
                 ? RosterEntry.UNTOLD
                 : (System.nanoTime() - startedAt.get(e.id())) / 1_000_000L;
         return new RosterEntry(e.id(), e.zone(), e.kind(), e.cell(), e.state(), e.weight(), age, e.boot());
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
@@ -95,7 +95,7 @@
     private void accepted(Channel channel) {
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
-        long slow = model.handshakeMs();
+        long slow = model.handshakeMillis();
         if (slow == 0) {
             pipeline(channel);
         } else {
--- a/worker/src/main/java/wharfhinge/worker/Worker.java
+++ b/worker/src/main/java/wharfhinge/worker/Worker.java
@@ -109,11 +109,12 @@
                 new ImageCache(folder, settings.imagesBytes()),
                 settings.storeUrl(),
                 trusted,
-                settings.fetchNs(),
-                settings.freshNs());
+                settings.fetchNanos(),
+                settings.freshNanos());
         this.regions = new Regions(folder);
         refresh();
-        loop.scheduleAtFixedRate(this::refresh, settings.refreshMs(), settings.refreshMs(), TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(
+                this::refresh, settings.refreshMillis(), settings.refreshMillis(), TimeUnit.MILLISECONDS);
     }
 
     private static ThreadFactory threads(String name) {
@@ -153,7 +154,7 @@
                 function,
                 "work_us",
                 head.costUs());
-        decisions.call(now, number, function, head.hint(), now + head.waitMs() * MS);
+        decisions.call(now, number, function, head.hint(), now + head.waitMillis() * MS);
         return number;
     }
 
@@ -274,7 +275,7 @@
             }
             made = new LoadedCopy(function, image.contents(), regions.map(figures.kb()));
             made.start(function);
-            loadTimes.add(image.fetchNs(), image.verifyNs(), System.nanoTime() - began);
+            loadTimes.add(image.fetchNanos(), image.verifyNanos(), System.nanoTime() - began);
             tell(copy, function, LoadEnd.READY, made, "");
         } catch (LoadFailedException e) {
             tell(copy, function, LoadEnd.FAILED, null, e.getMessage());
@@ -289,7 +290,7 @@
         boolean released = true;
         if (made != null) {
             try {
-                released = made.release(settings.stopMs());
+                released = made.release(settings.stopMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 released = false;
@@ -325,7 +326,7 @@
         LoadedCopy on = copies.get(copy);
         call.copy = copy;
         events.note("run", "worker", id, "call", call.head.id(), "attempt", call.head.attempt());
-        long limit = on.manifest().callMs() * MS;
+        long limit = on.manifest().callMillis() * MS;
         call.running = on.run(
                 call.head.id(),
                 call.head.attempt(),
@@ -437,7 +438,7 @@
 
     private boolean release(LoadedCopy copy) {
         try {
-            return copy.release(settings.stopMs());
+            return copy.release(settings.stopMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -481,7 +482,7 @@
         copies.values().forEach(copy -> stoppers.execute(() -> release(copy)));
         stoppers.shutdown();
         try {
-            if (!stoppers.awaitTermination(4 * settings.stopMs(), TimeUnit.MILLISECONDS)) {
+            if (!stoppers.awaitTermination(4 * settings.stopMillis(), TimeUnit.MILLISECONDS)) {
                 stoppers.shutdownNow();
             }
         } catch (InterruptedException e) {
--- a/worker/src/main/java/wharfhinge/worker/WorkerCall.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerCall.java
@@ -9,7 +9,7 @@
  * What a request's headers tell. A figure that is absent or no number in its range counts as untold, for it is advice: a call
  * is never lost over it.
  *
- * @param waitMs how long the gateway waits; the longest where untold
+ * @param waitMillis how long the gateway waits; the longest where untold
  */
 record WorkerCall(
         String id,
@@ -18,7 +18,7 @@
         String requestClass,
         String boot,
         Figures hint,
-        long waitMs,
+        long waitMillis,
         long costUs) {
     private static final long MOST_MS = 3_600_000;
     private static final long MOST_KB = 2047 * 1024;
--- a/worker/src/main/java/wharfhinge/worker/WorkerServer.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerServer.java
@@ -132,7 +132,7 @@
             connections.forEach(c -> c.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR)));
             worker.drain(drained::countDown);
         });
-        boolean all = drained.await(settings.drainMs(), TimeUnit.MILLISECONDS);
+        boolean all = drained.await(settings.drainMillis(), TimeUnit.MILLISECONDS);
         if (!all) {
             LOG.warn("drain ended with calls open");
         }
--- a/worker/src/main/java/wharfhinge/worker/WorkerSettings.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerSettings.java
@@ -83,7 +83,7 @@
         private String furtherCopies = "own";
 
         @XmlAttribute(name = "keep-ms")
-        private long keepMs = 60_000;
+        private long keepMillis = 60_000;
 
         @XmlAttribute(name = "most-body-kb")
         private int mostBodyKb = 1024;
@@ -99,10 +99,10 @@
         private int line = 32;
 
         @XmlAttribute(name = "fetch-ms")
-        private long fetchMs = 10_000;
+        private long fetchMillis = 10_000;
 
         @XmlAttribute(name = "stop-ms")
-        private long stopMs = 500;
+        private long stopMillis = 500;
     }
 
     /** The store. */
@@ -112,7 +112,7 @@
         private String url;
 
         @XmlAttribute(name = "fresh-ms")
-        private long freshMs = 5000;
+        private long freshMillis = 5000;
     }
 
     /** Images on disk. */
@@ -143,14 +143,14 @@
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Reports {
         @XmlAttribute(name = "refresh-ms")
-        private long refreshMs = 200;
+        private long refreshMillis = 200;
     }
 
     /** Draining. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Drain {
         @XmlAttribute(name = "within-ms")
-        private long withinMs = 10_000;
+        private long withinMillis = 10_000;
     }
 
     /** The record of what came and went. */
@@ -183,7 +183,7 @@
                 calls.queue,
                 loads.atOnce,
                 loads.line,
-                calls.keepMs * MS,
+                calls.keepMillis * MS,
                 calls.notLoaded.equals("load"),
                 calls.furtherCopies.equals("own"));
     }
@@ -201,20 +201,20 @@
         return calls.mostBodyKb * 1024;
     }
 
-    long fetchNs() {
-        return loads.fetchMs * MS;
+    long fetchNanos() {
+        return loads.fetchMillis * MS;
     }
 
-    long stopMs() {
-        return loads.stopMs;
+    long stopMillis() {
+        return loads.stopMillis;
     }
 
     String storeUrl() {
         return store.url;
     }
 
-    long freshNs() {
-        return store.freshMs * MS;
+    long freshNanos() {
+        return store.freshMillis * MS;
     }
 
     /** Where images are, as written: relative to the file. */
@@ -231,13 +231,13 @@
         return keys.keys.stream().map(k -> k.file).toList();
     }
 
-    long refreshMs() {
-        return reports.refreshMs;
+    long refreshMillis() {
+        return reports.refreshMillis;
     }
 
     /** Within which a drain ends, whatever still runs. */
-    public long drainMs() {
-        return drain.withinMs;
+    public long drainMillis() {
+        return drain.withinMillis;
     }
 
     /** Where events are written, as written: relative to the file; empty for nowhere. */
--- a/worker/src/main/java/wharfhinge/worker/api/Invocation.java
+++ b/worker/src/main/java/wharfhinge/worker/api/Invocation.java
@@ -35,7 +35,7 @@
     }
 
     /** What is left until the call is given up, in milliseconds; under 0 where it is. */
-    public long leftMs() {
+    public long leftMillis() {
         return (endsAt - System.nanoTime()) / 1_000_000;
     }
 
--- a/worker/src/main/java/wharfhinge/worker/copy/LoadedCopy.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/LoadedCopy.java
@@ -102,10 +102,10 @@
             return null;
         });
         try {
-            started.get(manifest.startMs(), TimeUnit.MILLISECONDS);
+            started.get(manifest.startMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             started.cancel(true);
-            throw new TimeoutException("start took longer than " + manifest.startMs() + " ms");
+            throw new TimeoutException("start took longer than " + manifest.startMillis() + " ms");
         } catch (ExecutionException e) {
             throw new IllegalStateException("start failed: " + e.getCause(), e.getCause());
         }
@@ -121,11 +121,11 @@
             String id,
             int attempt,
             byte[] input,
-            long limitNs,
+            long limitNanos,
             BiConsumer<Running, Outcome> ended,
             Consumer<Running> back) {
         Running running = new Running();
-        long endsAt = System.nanoTime() + limitNs;
+        long endsAt = System.nanoTime() + limitNanos;
         try {
             threads.execute(() -> {
                 Outcome outcome = running.slot.begin()
@@ -160,20 +160,20 @@
      * Stops the code and gives the memory back; blocks no longer than twice the limit. False, and the memory kept, where a
      * thread of the copy still lives; then it is to be asked again.
      */
-    public boolean release(long limitMs) throws InterruptedException {
+    public boolean release(long limitMillis) throws InterruptedException {
         Function stopping = function;
         function = null;
         if (stopping != null) {
             try {
                 Future<?> stop = threads.submit(stopping::stop);
-                stop.get(limitMs, TimeUnit.MILLISECONDS);
+                stop.get(limitMillis, TimeUnit.MILLISECONDS);
             } catch (ExecutionException | TimeoutException | RejectedExecutionException e) {
                 stopping = null; // whatever it did, its threads decide
             }
         }
         threads.shutdownNow();
         group.interrupt();
-        long end = System.nanoTime() + Math.max(SETTLE_MS, limitMs) * 1_000_000L;
+        long end = System.nanoTime() + Math.max(SETTLE_MS, limitMillis) * 1_000_000L;
         while (alive() && System.nanoTime() < end) {
             Thread.sleep(1);
         }
--- a/worker/src/main/java/wharfhinge/worker/image/Images.java
+++ b/worker/src/main/java/wharfhinge/worker/image/Images.java
@@ -26,32 +26,32 @@
     private final ImageCache cache;
     private final StoreClient store;
     private final List<PublicKey> trusted;
-    private final long fetchNs;
-    private final long freshNs;
+    private final long fetchNanos;
+    private final long freshNanos;
     private final Map<String, CompletableFuture<Image>> underWay = new ConcurrentHashMap<>();
     private final Map<String, Long> checkedAt = new ConcurrentHashMap<>();
 
     /**
      * A checked package and what it took.
      *
-     * @param fetchNs  waiting for the store, 0 where nothing was fetched
-     * @param verifyNs reading and checking
+     * @param fetchNanos  waiting for the store, 0 where nothing was fetched
+     * @param verifyNanos reading and checking
      */
-    public record Image(String sha256, PackageReader.Contents contents, long fetchNs, long verifyNs) {}
+    public record Image(String sha256, PackageReader.Contents contents, long fetchNanos, long verifyNanos) {}
 
     /**
      * Images from a store.
      *
      * @param trusted keys of publishers; empty takes unsigned packages
-     * @param fetchNs limit of a fetch with all its tries
-     * @param freshNs how long what is on disk is used without asking the store
+     * @param fetchNanos limit of a fetch with all its tries
+     * @param freshNanos how long what is on disk is used without asking the store
      */
-    public Images(ImageCache cache, String storeUrl, List<PublicKey> trusted, long fetchNs, long freshNs) {
+    public Images(ImageCache cache, String storeUrl, List<PublicKey> trusted, long fetchNanos, long freshNanos) {
         this.cache = cache;
         this.store = new StoreClient(storeUrl, cache);
         this.trusted = List.copyOf(trusted);
-        this.fetchNs = fetchNs;
-        this.freshNs = freshNs;
+        this.fetchNanos = fetchNanos;
+        this.freshNanos = freshNanos;
     }
 
     /** Blocks until a function's package is there and checked. */
@@ -89,7 +89,7 @@
     private Image find(String function) throws IOException, LoadFailedException {
         String known = cache.newest(function);
         Long checked = checkedAt.get(function);
-        boolean fresh = known != null && checked != null && System.nanoTime() - checked < freshNs;
+        boolean fresh = known != null && checked != null && System.nanoTime() - checked < freshNanos;
         Image stands = null;
         if (known != null) {
             stands = onDisk(function, known);
@@ -99,12 +99,12 @@
         }
         long began = System.nanoTime();
         try {
-            StoreClient.Result got = store.fetch(function, stands == null ? null : known, began + fetchNs(stands));
+            StoreClient.Result got = store.fetch(function, stands == null ? null : known, began + fetchNanos(stands));
             long took = System.nanoTime() - began;
             return switch (got.got()) {
                 case SAME -> {
                     checkedAt.put(function, System.nanoTime());
-                    yield new Image(known, stands.contents, took, stands.verifyNs);
+                    yield new Image(known, stands.contents, took, stands.verifyNanos);
                 }
                 case NEW -> fetched(function, got.sha256(), took);
                 case WITHDRAWN -> {
@@ -123,8 +123,8 @@
     }
 
     /** With an image at hand a store in trouble is not waited for as long. */
-    private long fetchNs(Image stands) {
-        return stands == null ? fetchNs : fetchNs / 4;
+    private long fetchNanos(Image stands) {
+        return stands == null ? fetchNanos : fetchNanos / 4;
     }
 
     private Image onDisk(String function, String sha256) throws IOException {
--- a/worker/src/main/java/wharfhinge/worker/image/StoreClient.java
+++ b/worker/src/main/java/wharfhinge/worker/image/StoreClient.java
@@ -51,21 +51,21 @@
      * Gets what the store has of a function.
      *
      * @param known the digest of the image on disk, or null
-     * @param endNs on {@link System#nanoTime}
+     * @param endNanos on {@link System#nanoTime}
      */
-    Result fetch(String function, String known, long endNs) throws IOException {
+    Result fetch(String function, String known, long endNanos) throws IOException {
         String[] tag = {null};
         int pause = PAUSE_MS;
         while (true) {
             long before = tag[0] == null ? 0 : cache.partSize(function, tag[0]);
             try {
-                return once(function, known, tag, endNs);
+                return once(function, known, tag, endNanos);
             } catch (DiskException e) {
                 throw e;
             } catch (IOException e) {
                 boolean progress = tag[0] != null && cache.partSize(function, tag[0]) > before;
                 pause = progress ? PAUSE_MS : Math.min(PAUSE_MOST_MS, pause * 2);
-                if (System.nanoTime() + pause * 1_000_000L >= endNs) {
+                if (System.nanoTime() + pause * 1_000_000L >= endNanos) {
                     throw e;
                 }
                 try {
@@ -78,7 +78,7 @@
         }
     }
 
-    private Result once(String function, String known, String[] tag, long endNs) throws IOException {
+    private Result once(String function, String known, String[] tag, long endNanos) throws IOException {
         HttpURLConnection c = (HttpURLConnection)
                 URI.create(url + "/packages/" + function).toURL().openConnection();
         c.setConnectTimeout(CONNECT_MS);
@@ -94,7 +94,7 @@
             c.setRequestProperty("If-None-Match", '"' + known + '"');
         }
         try {
-            return answer(function, known, c, tag, endNs);
+            return answer(function, known, c, tag, endNanos);
         } finally {
             InputStream error = c.getErrorStream();
             if (error != null) {
@@ -103,7 +103,7 @@
         }
     }
 
-    private Result answer(String function, String known, HttpURLConnection c, String[] tag, long endNs)
+    private Result answer(String function, String known, HttpURLConnection c, String[] tag, long endNanos)
             throws IOException {
         int status = c.getResponseCode();
         if (status == 304 && known != null) {
@@ -140,17 +140,17 @@
             cache.dropPart(function, sha);
         }
         tag[0] = sha;
-        copy(function, sha, whole, c.getInputStream(), endNs);
+        copy(function, sha, whole, c.getInputStream(), endNanos);
         return new Result(Got.NEW, sha);
     }
 
-    private void copy(String function, String sha, long whole, InputStream from, long endNs) throws IOException {
+    private void copy(String function, String sha, long whole, InputStream from, long endNanos) throws IOException {
         byte[] part = new byte[64 << 10];
         try (InputStream in = from;
                 OutputStream out = open(function, sha, whole)) {
             for (int n = in.read(part); n >= 0; n = in.read(part)) {
                 write(out, part, n);
-                if (System.nanoTime() > endNs) {
+                if (System.nanoTime() > endNanos) {
                     throw new IOException("fetch took too long");
                 }
             }
--- a/worker/src/main/java/wharfhinge/worker/pack/Manifest.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/Manifest.java
@@ -17,8 +17,8 @@
  * @param memoryMb memory of a copy, MB
  * @param lanes    calls that a copy runs at a time
  * @param effect   what a repeat does: {@code idempotent}, {@code keyed} or {@code at-most-once}
- * @param callMs   a call's limit
- * @param startMs  limit of a copy's start
+ * @param callMillis   a call's limit
+ * @param startMillis  limit of a copy's start
  * @param files    files by path
  */
 public record Manifest(
@@ -28,8 +28,8 @@
         int memoryMb,
         int lanes,
         String effect,
-        int callMs,
-        int startMs,
+        int callMillis,
+        int startMillis,
         Map<String, FileMark> files) {
     /** Its file. */
     public static final String NAME = "manifest";
@@ -200,9 +200,9 @@
                 .append("\neffect=")
                 .append(effect)
                 .append("\ncall-ms=")
-                .append(callMs)
+                .append(callMillis)
                 .append("\nstart-ms=")
-                .append(startMs)
+                .append(startMillis)
                 .append('\n');
         files.forEach((path, mark) -> text.append("file=")
                 .append(mark.sha256)
--- a/worker/src/main/java/wharfhinge/worker/pack/PackageBuilder.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/PackageBuilder.java
@@ -52,8 +52,8 @@
                 about.memoryMb(),
                 about.lanes(),
                 about.effect(),
-                about.callMs(),
-                about.startMs(),
+                about.callMillis(),
+                about.startMillis(),
                 marks);
         byte[] head = manifest.format();
         Manifest.parse(head);
