--- a/app/src/main/java/wharfhinge/app/ServeCommand.java
+++ b/app/src/main/java/wharfhinge/app/ServeCommand.java
@@ -5,7 +5,7 @@
 import java.util.function.UnaryOperator;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 
 /** Runs a gateway until it is told to stop. */
 @Command(
@@ -19,6 +19,6 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        return Serving.serve(config, DispatcherFactory.CHOICE, UnaryOperator.identity(), UnaryOperator.identity());
+        return Serving.serve(config, DispatcherFactory.CACHE_AWARE, UnaryOperator.identity(), UnaryOperator.identity());
     }
 }
--- a/app/src/main/java/wharfhinge/app/Serving.java
+++ b/app/src/main/java/wharfhinge/app/Serving.java
@@ -5,10 +5,10 @@
 import java.util.function.UnaryOperator;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.config.InvalidFileException;
+import wharfhinge.engine.DispatcherFactory;
+import wharfhinge.engine.EndpointSource;
 import wharfhinge.gateway.Gateway;
-import wharfhinge.gateway.loop.DispatcherFactory;
-import wharfhinge.gateway.roster.FleetSource;
-import wharfhinge.gateway.roster.HttpRoster;
+import wharfhinge.gateway.discovery.HttpRoster;
 
 /** The life of a gateway process. */
 public final class Serving {
@@ -20,7 +20,7 @@
             Path file,
             DispatcherFactory decisions,
             UnaryOperator<GatewayConfig> changed,
-            UnaryOperator<FleetSource> heard)
+            UnaryOperator<EndpointSource> heard)
             throws InterruptedException {
         GatewayConfig config;
         try {
--- a/app/src/main/java/wharfhinge/app/drill/Mutant.java
+++ b/app/src/main/java/wharfhinge/app/drill/Mutant.java
@@ -7,9 +7,9 @@
 import wharfhinge.capture.ForwardingActions;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.decisions.chain.ChainSettings;
-import wharfhinge.gateway.loop.DispatcherFactory;
-import wharfhinge.gateway.roster.FleetSource;
-import wharfhinge.gateway.roster.FleetUpdate;
+import wharfhinge.engine.DispatcherFactory;
+import wharfhinge.engine.EndpointSource;
+import wharfhinge.engine.EndpointUpdate;
 import wharfhinge.policy.CacheAwareDispatcher;
 import wharfhinge.policy.Dispatcher;
 import wharfhinge.policy.DispatcherActions;
@@ -60,11 +60,11 @@
     /** Rule 3: does not hear that a worker leaves. */
     DEAF_TO_DRAINS {
         @Override
-        FleetSource heard(FleetSource source) {
-            return new FleetSource() {
+        EndpointSource heard(EndpointSource source) {
+            return new EndpointSource() {
                 @Override
-                public void start(Consumer<FleetUpdate> updates) {
-                    source.start(update -> updates.accept(new FleetUpdate(
+                public void start(Consumer<EndpointUpdate> updates) {
+                    source.start(update -> updates.accept(new EndpointUpdate(
                             update.mode() == EndpointUpdateMode.REJECTED
                                     ? EndpointUpdateMode.REJECTED
                                     : EndpointUpdateMode.INCREMENTAL,
@@ -83,13 +83,13 @@
                 }
 
                 @Override
-                public void listen(boolean on) {
-                    source.listen(on);
+                public void watch(boolean on) {
+                    source.watch(on);
                 }
 
                 @Override
-                public void reload() {
-                    source.reload();
+                public void refresh() {
+                    source.refresh();
                 }
 
                 @Override
@@ -177,11 +177,11 @@
 
     /** The decisions it runs with. */
     DispatcherFactory factory() {
-        return DispatcherFactory.CHOICE;
+        return DispatcherFactory.CACHE_AWARE;
     }
 
     /** The list as it hears it. */
-    FleetSource heard(FleetSource source) {
+    EndpointSource heard(EndpointSource source) {
         return source;
     }
 
--- a/app/src/test/java/wharfhinge/app/ArchitectureTest.java
+++ b/app/src/test/java/wharfhinge/app/ArchitectureTest.java
@@ -6,7 +6,6 @@
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
-import com.tngtech.archunit.core.domain.JavaModifier;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
@@ -33,6 +32,8 @@
                 .definedBy("wharfhinge.gateway..")
                 .layer("platform")
                 .definedBy("wharfhinge.platform..")
+                .layer("engine")
+                .definedBy("wharfhinge.engine..")
                 .layer("settings")
                 .definedBy("wharfhinge.settings..")
                 .layer("config")
@@ -60,20 +61,22 @@
                 .whereLayer("settings")
                 .mayOnlyBeAccessedByLayers("app", "platform", "capture")
                 .whereLayer("gateway")
-                .mayOnlyBeAccessedByLayers("app", "platform")
-                .whereLayer("config")
+                .mayOnlyBeAccessedByLayers("app")
+                .whereLayer("engine")
                 .mayOnlyBeAccessedByLayers("app", "gateway", "platform")
+                .whereLayer("config")
+                .mayOnlyBeAccessedByLayers("app", "gateway")
                 .whereLayer("capture")
                 .mayOnlyBeAccessedByLayers("app", "gateway")
                 .whereLayer("clients")
                 .mayOnlyBeAccessedByLayers("app")
                 .whereLayer("protocol")
-                .mayOnlyBeAccessedByLayers("app", "gateway", "platform", "stand-ins", "worker", "clients")
+                .mayOnlyBeAccessedByLayers("app", "gateway", "engine", "platform", "stand-ins", "worker", "clients")
                 .whereLayer("decisions")
-                .mayOnlyBeAccessedByLayers("app", "gateway", "platform", "config", "lab", "worker")
+                .mayOnlyBeAccessedByLayers("app", "gateway", "engine", "platform", "config", "lab", "worker")
                 .whereLayer("policy")
                 .mayOnlyBeAccessedByLayers(
-                        "app", "gateway", "platform", "settings", "config", "decisions", "capture", "lab")
+                        "app", "gateway", "engine", "platform", "settings", "config", "decisions", "capture", "lab")
                 .check(ALL);
     }
 
@@ -172,16 +175,15 @@
                 .resideInAPackage("wharfhinge.gateway.front..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("wharfhinge.gateway.upstream..", "wharfhinge.gateway.roster..")
+                .resideInAnyPackage("wharfhinge.gateway.upstream..", "wharfhinge.gateway.discovery..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("wharfhinge.gateway.loop..")
-                .and()
-                .haveModifier(JavaModifier.PUBLIC)
+                .resideInAPackage("wharfhinge.engine..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("wharfhinge.gateway.upstream..", "wharfhinge.gateway.front..")
+                .resideInAnyPackage(
+                        "wharfhinge.gateway..", "wharfhinge.platform..", "wharfhinge.config..", "io.netty.channel..")
                 .check(ALL);
     }
 }
--- a/config/src/main/java/wharfhinge/config/GatewayConfig.java
+++ b/config/src/main/java/wharfhinge/config/GatewayConfig.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import wharfhinge.decisions.admission.AdmissionController;
+import wharfhinge.decisions.admission.AdmissionSettings;
+import wharfhinge.decisions.admission.TenantQuota;
 import wharfhinge.decisions.chain.ChainSettings;
-import wharfhinge.decisions.door.DoorDecisions;
-import wharfhinge.decisions.door.DoorSettings;
-import wharfhinge.decisions.door.TenantLimit;
 import wharfhinge.policy.ClientBehavior;
 import wharfhinge.policy.DeduplicationScope;
 import wharfhinge.policy.Discovery;
@@ -54,7 +54,7 @@
         ChainConfig chains,
         Capture capture,
         Grpc grpc,
-        DoorSettings door,
+        AdmissionSettings door,
         Tls tls,
         Proof proof,
         Log log) {
@@ -352,18 +352,18 @@
         return name.isEmpty() ? null : folder.resolve(name);
     }
 
-    private static DoorSettings door(SettingsXml.Door door) {
+    private static AdmissionSettings door(SettingsXml.Door door) {
         if (door == null) {
             return null;
         }
-        Map<String, TenantLimit> limits = new LinkedHashMap<>();
+        Map<String, TenantQuota> limits = new LinkedHashMap<>();
         door.tenants.forEach(t -> limits.put(t.name, limit(t)));
-        limits.put(DoorDecisions.OTHERS, limit(door.others));
-        return new DoorSettings(limits, door.fullAt);
+        limits.put(AdmissionController.OTHERS, limit(door.others));
+        return new AdmissionSettings(limits, door.fullAt);
     }
 
-    private static TenantLimit limit(SettingsXml.Limits l) {
-        return new TenantLimit(l.weight, l.ratePerS, l.burst, l.mostOpen);
+    private static TenantQuota limit(SettingsXml.Limits l) {
+        return new TenantQuota(l.weight, l.ratePerS, l.burst, l.mostOpen);
     }
 
     private static Capture capture(SettingsXml.Capture c, Path folder) {
--- a/decisions/src/main/java/wharfhinge/decisions/door/DoorDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
@@ -1,4 +1,4 @@
-package wharfhinge.decisions.door;
+package wharfhinge.decisions.admission;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -16,20 +16,20 @@
  * <p>Counts nothing that the decisions behind it count: a call refused here is never told to them, and their refusals give no token back.
  * A chain is one call; its steps are not asked of. Tenants that the settings do not name share one entry. One thread at a time.
  */
-public final class DoorDecisions {
+public final class AdmissionController {
     /** The entry of calls without a tenant, or of one that is not named. */
     public static final String OTHERS = "";
 
     /** What is said to a call. */
-    public enum Answer {
+    public enum Decision {
         ADMITTED,
-        RATE,
-        OPEN,
-        SHARE
+        OVER_RATE,
+        TOO_MANY_PENDING,
+        OVER_SHARE
     }
 
     /** How a call ended. */
-    public enum Ending {
+    public enum CallEnd {
         /** A worker's answer. */
         ANSWERED,
         /** Refused by the decisions behind the door. */
@@ -39,12 +39,18 @@
     }
 
     /** An answer with when to come back, nanoseconds; 0 where it was admitted. */
-    public record Verdict(Answer answer, long comeBackNanos) {}
+    public record Verdict(Decision decision, long retryAfterNanos) {}
 
     /** A tenant's figures. */
-    public record Figures(String tenant, int open, long admitted, long rate, long mostOpen, long share) {}
-
-    private static final Verdict ADMITTED = new Verdict(Answer.ADMITTED, 0);
+    public record TenantMetrics(
+            String tenant,
+            int pending,
+            long admitted,
+            long rejectedByRate,
+            long rejectedByPending,
+            long rejectedByShare) {}
+
+    private static final Verdict ADMITTED = new Verdict(Decision.ADMITTED, 0);
     private static final double LIMIT_START = 16;
     private static final double LIMIT_LEAST = 8;
     private static final double LIMIT_MOST = 100_000;
@@ -59,7 +65,7 @@
 
     private static final class Tenant {
         private final String name;
-        private final TenantLimit limit;
+        private final TenantQuota limit;
         private double tokens;
         private long filledAt;
         private long lastCall = Long.MIN_VALUE / 2;
@@ -71,7 +77,7 @@
         private long refusedOpen;
         private long refusedShare;
 
-        Tenant(String name, TenantLimit limit) {
+        Tenant(String name, TenantQuota limit) {
             this.name = name;
             this.limit = limit;
             this.tokens = limit.burst();
@@ -92,8 +98,8 @@
     private long cutAt = Long.MIN_VALUE / 2;
 
     /** A door; its tenants must hold {@link #OTHERS}. */
-    public DoorDecisions(DoorSettings settings) {
-        fullAt = settings.fullAt();
+    public AdmissionController(AdmissionSettings settings) {
+        fullAt = settings.fullAtObjectiveShare();
         settings.tenants().forEach((name, l) -> tenants.put(name, new Tenant(name, l)));
         if (!tenants.containsKey(OTHERS)) {
             throw new IllegalArgumentException("no entry for tenants that are not named");
@@ -106,25 +112,26 @@
         return known == null ? tenants.get(OTHERS) : known;
     }
 
-    /** A call comes; where it is admitted, one {@link #ended} is owed. */
-    public Verdict arrives(long now, String tenant) {
+    /** A call comes; where it is admitted, one {@link #onCallEnded} is owed. */
+    public Verdict onArrival(long now, String tenant) {
         Tenant t = of(tenant);
         t.lastCall = now;
         t.settle(now);
-        if (t.limit.mostOpen() > 0 && t.open >= t.limit.mostOpen()) {
+        if (t.limit.maxPending() > 0 && t.open >= t.limit.maxPending()) {
             t.refusedOpen++;
-            return new Verdict(Answer.OPEN, SHARE_WAIT);
+            return new Verdict(Decision.TOO_MANY_PENDING, SHARE_WAIT);
         }
         if (open >= SLACK * limit && t.open + 1 > allowance(t, now) && !alone(t, now)) {
             t.refusedShare++;
-            return new Verdict(Answer.SHARE, SHARE_WAIT);
+            return new Verdict(Decision.OVER_SHARE, SHARE_WAIT);
         }
-        if (t.limit.perS() > 0) { // last, so that a call refused for another reason costs no token
-            t.tokens = Math.min(t.limit.burst(), t.tokens + (now - t.filledAt) / (double) SECOND * t.limit.perS());
+        if (t.limit.requestsPerSecond() > 0) { // last, so that a call refused for another reason costs no token
+            t.tokens = Math.min(
+                    t.limit.burst(), t.tokens + (now - t.filledAt) / (double) SECOND * t.limit.requestsPerSecond());
             t.filledAt = now;
             if (t.tokens < 1) {
                 t.refusedRate++;
-                return new Verdict(Answer.RATE, (long) ((1 - t.tokens) / t.limit.perS() * SECOND));
+                return new Verdict(Decision.OVER_RATE, (long) ((1 - t.tokens) / t.limit.requestsPerSecond() * SECOND));
             }
             t.tokens--;
         }
@@ -163,19 +170,19 @@
     }
 
     /** A call that was admitted ended, so long after it came; {@code aimNs} is what its class wants. */
-    public void ended(long now, String tenant, Ending how, long tookNanos, long aimNanos) {
+    public void onCallEnded(long now, String tenant, CallEnd how, long tookNanos, long aimNanos) {
         Tenant t = of(tenant);
         t.settle(now);
         t.open--;
         boolean near = open >= limit / 2; // else the answer tells nothing of the limit
         open--;
-        if (how == Ending.REFUSED || how == Ending.ANSWERED && tookNanos > fullAt * aimNanos) {
+        if (how == CallEnd.REFUSED || how == CallEnd.ANSWERED && tookNanos > fullAt * aimNanos) {
             if (now - cutAt >= CUT_PAUSE) {
                 limit = Math.max(LIMIT_LEAST, Math.min(limit, open + 1) * CUT);
                 cutAt = now;
             }
             crowdedOnce = true;
-        } else if (how == Ending.ANSWERED && tookNanos < QUICK * fullAt * aimNanos && near) {
+        } else if (how == CallEnd.ANSWERED && tookNanos < QUICK * fullAt * aimNanos && near) {
             limit = Math.min(LIMIT_MOST, limit + (crowdedOnce ? 1 / limit : 1));
         }
     }
@@ -186,11 +193,11 @@
     }
 
     /** What was counted, by tenant. */
-    public List<Figures> figures() {
-        List<Figures> all = new ArrayList<>();
+    public List<TenantMetrics> metrics() {
+        List<TenantMetrics> all = new ArrayList<>();
         tenants.values()
-                .forEach(t ->
-                        all.add(new Figures(t.name, t.open, t.admitted, t.refusedRate, t.refusedOpen, t.refusedShare)));
+                .forEach(t -> all.add(
+                        new TenantMetrics(t.name, t.open, t.admitted, t.refusedRate, t.refusedOpen, t.refusedShare)));
         return all;
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainDecisions.java
@@ -138,7 +138,7 @@
     private final ChainSettings settings;
     private final Actions actions;
     private final Fleet fleet;
-    private final LearnedTimes times = new LearnedTimes(FUNCTIONS);
+    private final ServiceTimeEstimates times = new ServiceTimeEstimates(FUNCTIONS);
     private final Map<Long, Chain> chains = new HashMap<>();
     private final Map<String, Integer> stepsOf = new HashMap<>();
     private final Map<String, ArrayDeque<Ready>> waiting = new LinkedHashMap<>(); // by tenant, who take turns
@@ -360,9 +360,9 @@
         if (c.ahead[step] || c.states[step] != StepState.NOT_STARTED || fleet.believedWarm(s.function())) {
             return;
         }
-        Spread rest = longest(now, c);
-        Spread saved = estimate(c, step, false);
-        Spread warm = times.warm(s.function(), s.costNanos(), c.untoldNanos);
+        LatencyQuantiles rest = longest(now, c);
+        LatencyQuantiles saved = estimate(c, step, false);
+        LatencyQuantiles warm = times.warm(s.function(), s.costNanos(), c.untoldNanos);
         long left = c.deadline - now;
         long gain = saved.median() - warm.median();
         boolean matters = rest.within(left) < 0.9 && rest.within(left + gain) > rest.within(left);
@@ -403,7 +403,7 @@
         return Math.min(least[step], Math.max(0, c.aimNanos / 2));
     }
 
-    private Spread estimate(Chain c, int step, boolean believed) {
+    private LatencyQuantiles estimate(Chain c, int step, boolean believed) {
         Step s = c.plan.steps().get(step);
         return believed
                 ? times.warm(s.function(), s.costNanos(), c.untoldNanos)
@@ -411,13 +411,13 @@
     }
 
     /** The longest path of what is not yet served, by medians. */
-    private Spread longest(long now, Chain c) {
-        Spread[] from = new Spread[c.plan.size()];
+    private LatencyQuantiles longest(long now, Chain c) {
+        LatencyQuantiles[] from = new LatencyQuantiles[c.plan.size()];
         int[] order = c.plan.order();
-        Spread longest = Spread.NONE;
+        LatencyQuantiles longest = LatencyQuantiles.NONE;
         for (int k = order.length - 1; k >= 0; k--) {
             int step = order[k];
-            Spread rest = Spread.NONE;
+            LatencyQuantiles rest = LatencyQuantiles.NONE;
             for (int next : c.plan.dependents(step)) {
                 rest = from[next].median() >= rest.median() ? from[next] : rest;
             }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/LearnedTimes.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
@@ -9,7 +9,7 @@
  * turns is forgotten; quantiles are read anew every few samples, which keeps a look-up at a map access. Bounded: the
  * functions not heard of for longest are forgotten first.
  */
-public final class LearnedTimes {
+public final class ServiceTimeEstimates {
     private static final long UNIT = 100_000L; // 0.1 ms
     private static final long LONGEST = 60_000_000_000L / UNIT;
     private static final int TURN_SAMPLES = 64;
@@ -23,7 +23,7 @@
         private IntCountsHistogram former = new IntCountsHistogram(LONGEST, 1);
         private long turnedAt;
         private int unread;
-        private Spread read;
+        private LatencyQuantiles read;
 
         void add(long now, long tookNanos) {
             if (recent.getTotalCount() >= TURN_SAMPLES || now - turnedAt > TURN_NS && recent.getTotalCount() > 0) {
@@ -40,13 +40,13 @@
             }
         }
 
-        private Spread read() {
+        private LatencyQuantiles read() {
             IntCountsHistogram both = new IntCountsHistogram(LONGEST, 1);
             both.add(recent);
             both.add(former);
             return both.getTotalCount() < ENOUGH
                     ? null
-                    : new Spread(
+                    : new LatencyQuantiles(
                             both.getValueAtPercentile(10) * UNIT,
                             both.getValueAtPercentile(50) * UNIT,
                             both.getValueAtPercentile(90) * UNIT);
@@ -60,7 +60,7 @@
     private double loadsUnbelieved = 1;
 
     /** Remembers so many functions. */
-    public LearnedTimes(int most) {
+    public ServiceTimeEstimates(int most) {
         warm = bounded(most);
         loaded = bounded(most);
     }
@@ -86,38 +86,41 @@
     }
 
     /** A call where a copy stands: as learned for the function, else as its cost tells, else as for any function. */
-    public Spread warm(String function, long costNanos, long untoldNanos) {
+    public LatencyQuantiles warm(String function, long costNanos, long untoldNanos) {
         Series own = warm.get(function);
         if (own != null && own.read != null) {
             return own.read;
         }
         if (costNanos > 0) {
-            return new Spread(costNanos / 2, costNanos, 3 * costNanos);
+            return new LatencyQuantiles(costNanos / 2, costNanos, 3 * costNanos);
         }
-        return anyWarm.read != null ? anyWarm.read : new Spread(untoldNanos / 8, untoldNanos / 4, untoldNanos);
+        return anyWarm.read != null
+                ? anyWarm.read
+                : new LatencyQuantiles(untoldNanos / 8, untoldNanos / 4, untoldNanos);
     }
 
     /** A call that loads: as learned, else a warm one and the told time of a load, else as for any function. */
-    public Spread load(String function, long costNanos, long loadNanos, long untoldNanos) {
+    public LatencyQuantiles load(String function, long costNanos, long loadNanos, long untoldNanos) {
         Series own = loaded.get(function);
         if (own != null && own.read != null) {
             return own.read;
         }
         if (loadNanos > 0) {
-            return warm(function, costNanos, untoldNanos).then(new Spread(loadNanos * 3 / 4, loadNanos, 2 * loadNanos));
+            return warm(function, costNanos, untoldNanos)
+                    .then(new LatencyQuantiles(loadNanos * 3 / 4, loadNanos, 2 * loadNanos));
         }
         return anyLoaded.read != null
                 ? anyLoaded.read
                 : warm(function, costNanos, untoldNanos)
-                        .then(new Spread(0, untoldNanos / 8, untoldNanos)); // unknown: worth a try
+                        .then(new LatencyQuantiles(0, untoldNanos / 8, untoldNanos)); // unknown: worth a try
     }
 
     /** A call that may load or not: where others keep functions warm, not believing in a copy does not mean a load. */
-    public Spread unsure(String function, long costNanos, long loadNanos, long untoldNanos) {
-        Spread stands = warm(function, costNanos, untoldNanos);
-        Spread loads = load(function, costNanos, loadNanos, untoldNanos);
+    public LatencyQuantiles unsure(String function, long costNanos, long loadNanos, long untoldNanos) {
+        LatencyQuantiles stands = warm(function, costNanos, untoldNanos);
+        LatencyQuantiles loads = load(function, costNanos, loadNanos, untoldNanos);
         double chance = loadsUnbelieved;
-        return new Spread(
+        return new LatencyQuantiles(
                 chance > 0.9 ? loads.low() : stands.low(),
                 chance > 0.5 ? loads.median() : stands.median(),
                 Math.max(stands.high(), chance > 0.1 ? loads.high() : stands.high()));
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wharfhinge.decisions.copies.Ledger.Part;
+import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
 /**
  * The decisions on all copies of one worker: a call runs on a copy with a free lane, waits, begins a load, is a miss, or is
@@ -20,7 +20,7 @@
  * <p>Bounds: calls waiting, loads in line, loads at once; beyond them the answer is {@code full}. Figures that packages told
  * are remembered for {@value #REMEMBERED} functions, those asked for longest ago are forgotten first.
  */
-public final class CopyDecisions {
+public final class CopyScheduler {
     private static final int REMEMBERED = 4096;
 
     /** How a call is answered. */
@@ -66,7 +66,7 @@
         FAILED,
         /** It failed and something of it does not end. */
         FAILED_STUCK,
-        /** The package needs more than was booked; what it needs was told by {@link CopyDecisions#measured}. */
+        /** The package needs more than was booked; what it needs was told by {@link CopyScheduler#measured}. */
         MISJUDGED
     }
 
@@ -87,7 +87,7 @@
         /** Answers an order with how many copies stand ready. */
         void answerOrder(long order, OrderAnswer answer, int ready);
 
-        /** Gives an idle copy's memory back; {@link CopyDecisions#stopped} or {@link CopyDecisions#hung} follows. */
+        /** Gives an idle copy's memory back; {@link CopyScheduler#stopped} or {@link CopyScheduler#hung} follows. */
         void stop(long copy);
 
         /** It drains and holds nothing any more. */
@@ -189,17 +189,17 @@
 
     private final CopySettings settings;
     private final Actions actions;
-    private final Ledger ledger;
+    private final MemoryAccounting ledger;
     private final Map<String, Fn> functions = new LinkedHashMap<>();
     private final Map<Long, Copy> copies = new LinkedHashMap<>();
     private final Map<Long, Call> calls = new LinkedHashMap<>();
     private final Map<Long, Fn> orders = new LinkedHashMap<>();
     private final ArrayDeque<Copy> line = new ArrayDeque<>();
-    private final Map<String, Figures> told = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, MemoryEstimate> told = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Figures> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, MemoryEstimate> eldest) {
             return size() > REMEMBERED;
         }
     };
@@ -212,16 +212,16 @@
     private boolean drained;
 
     /** Decisions of a worker that holds nothing. */
-    public CopyDecisions(CopySettings settings, Actions actions) {
+    public CopyScheduler(CopySettings settings, Actions actions) {
         this.settings = settings;
         this.actions = actions;
-        this.ledger = new Ledger(settings.totalKb());
+        this.ledger = new MemoryAccounting(settings.totalKb());
     }
 
     // ---- What is read -----------------------------------------------------------------------
 
     /** The books; not to be changed. */
-    public Ledger ledger() {
+    public MemoryAccounting ledger() {
         return ledger;
     }
 
@@ -258,7 +258,7 @@
      * @param hint  what the caller told of the function, used until a package tells
      * @param until when its caller stops waiting; a call that still waits then is turned away
      */
-    public void call(long now, long id, String function, Figures hint, long until) {
+    public void call(long now, long id, String function, MemoryEstimate hint, long until) {
         if (draining) {
             actions.answer(id, Answer.FULL, null, 0);
             return;
@@ -411,10 +411,10 @@
         if (fn.live() && fn.waiting.isEmpty()) {
             return;
         }
-        boolean room = ledger.free() + ledger.in(Part.LEAVING) - lined >= needed(fn, Figures.UNKNOWN);
+        boolean room = ledger.free() + ledger.in(Part.LEAVING) - lined >= needed(fn, MemoryEstimate.UNKNOWN);
         boolean comes = !fn.any(State.LINED, State.LOADING)
                 && (room || !fn.waiting.isEmpty())
-                && admit(fn, Figures.UNKNOWN, false);
+                && admit(fn, MemoryEstimate.UNKNOWN, false);
         if (!comes && !fn.live()) {
             turnAway(fn, Answer.FULL);
         }
@@ -430,7 +430,7 @@
     // ---- Orders -----------------------------------------------------------------------------
 
     /** An order to hold so many copies; 0 only asks. Idle copies of the function begin their idle time anew. */
-    public void hold(long now, long id, String function, int count, Figures hint) {
+    public void hold(long now, long id, String function, int count, MemoryEstimate hint) {
         Fn fn = fn(function);
         fn.copies.stream().filter(c -> c.ready() && c.running == 0).forEach(c -> c.idleSince = now);
         int missing = count - (int) fn.copies.stream().filter(Copy::live).count();
@@ -503,7 +503,7 @@
      * A package told what its copies need. False where the booked memory does not suffice and no more is to be had now: then
      * the load is to end as {@link LoadEnd#MISJUDGED}.
      */
-    public boolean measured(long now, long id, Figures figures) {
+    public boolean measured(long now, long id, MemoryEstimate figures) {
         Copy copy = copies.get(id);
         told.put(copy.fn.name, figures);
         copy.lanes = Math.max(1, figures.lanes());
@@ -537,7 +537,7 @@
                 gone(copy);
             }
             boolean wanted = !draining && (!fn.waiting.isEmpty() || copy.ordered);
-            boolean again = how == LoadEnd.MISJUDGED && wanted && admit(fn, Figures.UNKNOWN, copy.ordered);
+            boolean again = how == LoadEnd.MISJUDGED && wanted && admit(fn, MemoryEstimate.UNKNOWN, copy.ordered);
             if (!again) {
                 if (!fn.live()) {
                     turnAway(fn, how == LoadEnd.MISJUDGED ? Answer.FULL : Answer.MISS_LOAD_FAILED);
@@ -575,13 +575,13 @@
         settle();
     }
 
-    private long needed(Fn fn, Figures hint) {
-        Figures known = told.get(fn.name);
+    private long needed(Fn fn, MemoryEstimate hint) {
+        MemoryEstimate known = told.get(fn.name);
         long kb = known != null ? known.kb() : hint.kb();
         return kb > 0 ? kb : settings.usualKb();
     }
 
-    private boolean admit(Fn fn, Figures hint, boolean ordered) {
+    private boolean admit(Fn fn, MemoryEstimate hint, boolean ordered) {
         long kb = needed(fn, hint);
         if (line.size() >= settings.loadLine()) {
             return false;
--- a/decisions/src/main/java/wharfhinge/decisions/copies/Ledger.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
@@ -9,7 +9,7 @@
  * left. A copy leaves the books only by {@link #remove}, so that memory which could not be given back stays counted. All
  * calls take constant time; one thread.
  */
-public final class Ledger {
+public final class MemoryAccounting {
     /** What a copy's memory is used for. */
     public enum Part {
         /** A load is under way. */
@@ -38,7 +38,7 @@
     private long leaked;
 
     /** Empty books over so much memory. */
-    public Ledger(long totalKb) {
+    public MemoryAccounting(long totalKb) {
         this.total = totalKb;
         for (Part part : Part.values()) {
             sums.put(part, 0L);
--- a/decisions/src/main/java/wharfhinge/decisions/copies/Figures.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
@@ -6,7 +6,7 @@
  * @param kb    memory in KiB; 0 where it is not known
  * @param lanes calls that it runs at a time; 0 where it is not known
  */
-public record Figures(long kb, int lanes) {
+public record MemoryEstimate(long kb, int lanes) {
     /** Nothing is known. */
-    public static final Figures UNKNOWN = new Figures(0, 0);
+    public static final MemoryEstimate UNKNOWN = new MemoryEstimate(0, 0);
 }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
@@ -187,10 +187,10 @@
             @ForAll @IntRange(max = 1000) int more,
             @ForAll @IntRange(max = 1000) int most,
             @ForAll @IntRange(max = 5000) int time) {
-        Spread spread = new Spread(low, low + more, low + more + most);
+        LatencyQuantiles spread = new LatencyQuantiles(low, low + more, low + more + most);
         double chance = spread.within(time);
         assertTrue(chance >= 0 && chance <= 1);
         assertTrue(spread.within(time + 1) >= chance);
-        assertTrue(spread.then(new Spread(1, 2, 3)).within(time) <= chance + 1e-9);
+        assertTrue(spread.then(new LatencyQuantiles(1, 2, 3)).within(time) <= chance + 1e-9);
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopyDecisionsPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopyDecisionsPropertiesTest.java
@@ -13,12 +13,12 @@
 import java.util.Set;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import wharfhinge.decisions.copies.CopyDecisions.Answer;
-import wharfhinge.decisions.copies.CopyDecisions.CallEnd;
-import wharfhinge.decisions.copies.CopyDecisions.LoadEnd;
-import wharfhinge.decisions.copies.CopyDecisions.Met;
-import wharfhinge.decisions.copies.CopyDecisions.OrderAnswer;
-import wharfhinge.decisions.copies.Ledger.Part;
+import wharfhinge.decisions.copies.CopyScheduler.Answer;
+import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
+import wharfhinge.decisions.copies.CopyScheduler.LoadEnd;
+import wharfhinge.decisions.copies.CopyScheduler.Met;
+import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
+import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
 /**
  * Ten thousand sequences of calls, orders, failures and hangs. A plain model hears the actions alone and knows, for each copy,
@@ -28,7 +28,7 @@
     private static final long TOTAL = 100;
 
     /** The process as it would be: told by actions, and by the test how things end. */
-    private static final class Model implements CopyDecisions.Actions {
+    private static final class Model implements CopyScheduler.Actions {
         private final Map<Long, Long> memory = new LinkedHashMap<>(); // KiB held for a copy
         private final Map<Long, String> loading = new LinkedHashMap<>();
         private final Map<Long, Integer> lanes = new HashMap<>();
@@ -109,7 +109,7 @@
     void theBooksAreThoseOfTheProcess(@ForAll long seed) {
         Random random = new Random(seed);
         Model model = new Model(1 + random.nextInt(3));
-        CopyDecisions d = new CopyDecisions(
+        CopyScheduler d = new CopyScheduler(
                 new CopySettings(
                         TOTAL,
                         20,
@@ -130,11 +130,16 @@
             switch (random.nextInt(14)) {
                 case 0, 1, 2, 3 -> {
                     waiting.add(next);
-                    d.call(now, next++, function, new Figures(random.nextInt(3) * 15, 0), now + 5 + random.nextInt(60));
+                    d.call(
+                            now,
+                            next++,
+                            function,
+                            new MemoryEstimate(random.nextInt(3) * 15, 0),
+                            now + 5 + random.nextInt(60));
                 }
                 case 4 -> {
                     model.orders.add(next);
-                    d.hold(now, next++, function, random.nextInt(6), Figures.UNKNOWN);
+                    d.hold(now, next++, function, random.nextInt(6), MemoryEstimate.UNKNOWN);
                 }
                 case 5 -> d.unload(now, function);
                 case 6 -> {
@@ -191,7 +196,7 @@
         assertEquals(model.held(), d.ledger().held());
     }
 
-    private static void check(CopyDecisions d, Model model) {
+    private static void check(CopyScheduler d, Model model) {
         assertEquals(model.held(), d.ledger().held(), "the books differ from the process");
         assertEquals(TOTAL - model.held(), d.ledger().free());
         long working = model.running.entrySet().stream()
@@ -208,7 +213,7 @@
     }
 
     /** Something that is under way ends, well or not. */
-    private static void progress(long now, CopyDecisions d, Model model, Random random, boolean well) {
+    private static void progress(long now, CopyScheduler d, Model model, Random random, boolean well) {
         int kind = random.nextInt(3);
         if (kind == 0 && !model.loading.isEmpty()) {
             loaded(now, d, model, random, well);
@@ -240,13 +245,13 @@
         }
     }
 
-    private static void loaded(long now, CopyDecisions d, Model model, Random random, boolean well) {
+    private static void loaded(long now, CopyScheduler d, Model model, Random random, boolean well) {
         long copy = model.loading.keySet().iterator().next();
         long kb = 10 + 5L * random.nextInt(5);
         int lanes = 1 + random.nextInt(2);
         long booked = model.memory.get(copy);
         model.memory.put(copy, Math.min(kb, booked)); // nothing is mapped yet; what is spared may be used at once
-        if (!d.measured(now, copy, new Figures(kb, lanes))) {
+        if (!d.measured(now, copy, new MemoryEstimate(kb, lanes))) {
             model.loading.remove(copy);
             model.gone(copy);
             d.loadEnded(now, copy, LoadEnd.MISJUDGED);
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopyDecisionsTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopyDecisionsTest.java
@@ -6,20 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import wharfhinge.decisions.copies.CopyDecisions.CallEnd;
-import wharfhinge.decisions.copies.CopyDecisions.LoadEnd;
-import wharfhinge.decisions.copies.Ledger.Part;
+import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
+import wharfhinge.decisions.copies.CopyScheduler.LoadEnd;
+import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
 /** Hard cases of a worker's copies, an event at a time. */
 class CopyDecisionsTest {
-    private static final Figures TEN = new Figures(10, 1);
+    private static final MemoryEstimate TEN = new MemoryEstimate(10, 1);
     private static final long FAR = 1_000_000;
     private final List<String> said = new ArrayList<>();
-    private CopyDecisions d = of(true, true);
+    private CopyScheduler d = of(true, true);
 
-    private CopyDecisions of(boolean loadsOnCall, boolean further) {
-        return new CopyDecisions(
-                new CopySettings(50, 10, 8, 2, 16, 1000, loadsOnCall, further), new CopyDecisions.Actions() {
+    private CopyScheduler of(boolean loadsOnCall, boolean further) {
+        return new CopyScheduler(
+                new CopySettings(50, 10, 8, 2, 16, 1000, loadsOnCall, further), new CopyScheduler.Actions() {
                     @Override
                     public void load(long copy, String function, long bookedKb) {
                         said.add("load " + copy + " " + function);
@@ -36,12 +36,12 @@
                     }
 
                     @Override
-                    public void answer(long call, CopyDecisions.Answer answer, CopyDecisions.Met met, int company) {
+                    public void answer(long call, CopyScheduler.Answer answer, CopyScheduler.Met met, int company) {
                         said.add("answer " + call + " " + answer + " " + met);
                     }
 
                     @Override
-                    public void answerOrder(long order, CopyDecisions.OrderAnswer answer, int ready) {
+                    public void answerOrder(long order, CopyScheduler.OrderAnswer answer, int ready) {
                         said.add("order " + order + " " + answer + " " + ready);
                     }
 
@@ -64,7 +64,7 @@
     }
 
     private void ready(long copy, int kb, int lanes) {
-        assertTrue(d.measured(0, copy, new Figures(kb, lanes)));
+        assertTrue(d.measured(0, copy, new MemoryEstimate(kb, lanes)));
         d.loadEnded(0, copy, LoadEnd.READY);
     }
 
@@ -98,13 +98,13 @@
 
     @Test
     void memoryForEitherOfTwoLoadsButNotBothGoesToTheFirst() {
-        d.call(0, 1, "f", new Figures(30, 1), FAR);
-        d.call(0, 2, "g", new Figures(30, 1), FAR);
+        d.call(0, 1, "f", new MemoryEstimate(30, 1), FAR);
+        d.call(0, 2, "g", new MemoryEstimate(30, 1), FAR);
         assertEquals("load 1 f, answer 2 FULL null", took());
         ready(1, 30, 1);
         d.callEnded(0, 1, CallEnd.SERVED);
         took();
-        d.call(1, 3, "g", new Figures(30, 1), FAR);
+        d.call(1, 3, "g", new MemoryEstimate(30, 1), FAR);
         assertEquals("stop 1", took(), "the idle one goes, and the load waits until its memory is free");
         d.stopped(2, 1);
         assertEquals("load 2 g", took());
@@ -157,7 +157,7 @@
         took();
         d.call(0, 1, "f", TEN, FAR);
         assertEquals("load 3 f", took());
-        assertTrue(!d.measured(0, 3, new Figures(40, 1)), "30 are free");
+        assertTrue(!d.measured(0, 3, new MemoryEstimate(40, 1)), "30 are free");
         d.loadEnded(0, 3, LoadEnd.MISJUDGED);
         assertEquals("stop 1", took(), "one idle copy makes room");
         d.stopped(0, 1);
--- a/gateway/src/main/java/wharfhinge/gateway/loop/AnswerLog.java
+++ b/engine/src/main/java/wharfhinge/engine/AccessLog.java
@@ -1,24 +1,24 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.List;
 
 /** Told of each final answer and of what staff should read; called by the loop's thread, must not block. */
-public interface AnswerLog {
+public interface AccessLog {
     /** Forgets all. */
-    AnswerLog NONE = new AnswerLog() {
+    AccessLog NONE = new AccessLog() {
         @Override
-        public boolean wantsAnswers() {
+        public boolean isAccessLogEnabled() {
             return false;
         }
 
         @Override
-        public void answered(Line line) {}
+        public void onAnswered(Entry line) {}
 
         @Override
-        public void remark(String text) {}
+        public void onDiagnostic(String text) {}
 
         @Override
-        public void restarted(String event, Throwable cause, int callsEnded) {}
+        public void onDispatcherRestarted(String event, Throwable cause, int callsEnded) {}
     };
 
     /**
@@ -27,7 +27,7 @@
      * @param answer served, refused, failed, or left where the client went first
      * @param trail  for each attempt its worker, how it ended and how long it took
      */
-    record Line(
+    record Entry(
             String call,
             String function,
             String requestClass,
@@ -36,17 +36,17 @@
             long tookNanos,
             List<String> trail) {}
 
-    /** Whether {@link #answered} is of use: a line of a call has a price. */
-    default boolean wantsAnswers() {
+    /** Whether {@link #onAnswered} is of use: a line of a call has a price. */
+    default boolean isAccessLogEnabled() {
         return true;
     }
 
     /** A call ended. */
-    void answered(Line line);
+    void onAnswered(Entry line);
 
     /** The decisions have something to say. */
-    void remark(String text);
+    void onDiagnostic(String text);
 
     /** The decisions threw; a new life begins. */
-    void restarted(String event, Throwable cause, int callsEnded);
+    void onDispatcherRestarted(String event, Throwable cause, int callsEnded);
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/Door.java
+++ b/engine/src/main/java/wharfhinge/engine/AdmissionGate.java
@@ -1,23 +1,23 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import wharfhinge.decisions.door.DoorDecisions;
-import wharfhinge.decisions.door.DoorDecisions.Ending;
-import wharfhinge.decisions.door.DoorDecisions.Verdict;
-import wharfhinge.decisions.door.DoorSettings;
+import wharfhinge.decisions.admission.AdmissionController;
+import wharfhinge.decisions.admission.AdmissionController.CallEnd;
+import wharfhinge.decisions.admission.AdmissionController.Verdict;
+import wharfhinge.decisions.admission.AdmissionSettings;
 
 /**
  * The door's decisions for many I/O threads: asked before a call is handed over, so that one tenant's flood does not fill the
  * hand-over. Holds its lock for a few steps over the tenants that the settings name.
  */
-final class Door {
-    private static final Verdict OPEN = new Verdict(DoorDecisions.Answer.ADMITTED, 0);
+final class AdmissionGate {
+    private static final Verdict OPEN = new Verdict(AdmissionController.Decision.ADMITTED, 0);
 
-    private final DoorDecisions decisions; // guarded by this; null where all are let in
+    private final AdmissionController decisions; // guarded by this; null where all are let in
 
-    Door(DoorSettings settings) {
-        decisions = settings == null ? null : new DoorDecisions(settings);
+    AdmissionGate(AdmissionSettings settings) {
+        decisions = settings == null ? null : new AdmissionController(settings);
     }
 
     Verdict arrives(long nanos, String tenant) {
@@ -25,14 +25,14 @@
             return OPEN;
         }
         synchronized (this) {
-            return decisions.arrives(nanos, tenant);
+            return decisions.onArrival(nanos, tenant);
         }
     }
 
-    void ended(long nanos, String tenant, Ending how, long tookNanos, long aimNanos) {
+    void ended(long nanos, String tenant, CallEnd how, long tookNanos, long aimNanos) {
         if (decisions != null) {
             synchronized (this) {
-                decisions.ended(nanos, tenant, how, tookNanos, aimNanos);
+                decisions.onCallEnded(nanos, tenant, how, tookNanos, aimNanos);
             }
         }
     }
@@ -42,13 +42,13 @@
         if (decisions != null) {
             synchronized (this) {
                 figures.put("door_limit", (long) decisions.limit());
-                for (DoorDecisions.Figures f : decisions.figures()) {
-                    String of = f.tenant().equals(DoorDecisions.OTHERS) ? "others" : f.tenant();
-                    figures.put("door_" + of + "_open", (long) f.open());
+                for (AdmissionController.TenantMetrics f : decisions.metrics()) {
+                    String of = f.tenant().equals(AdmissionController.OTHERS) ? "others" : f.tenant();
+                    figures.put("door_" + of + "_open", (long) f.pending());
                     figures.put("door_" + of + "_admitted", f.admitted());
-                    figures.put("door_" + of + "_refused_rate", f.rate());
-                    figures.put("door_" + of + "_refused_open", f.mostOpen());
-                    figures.put("door_" + of + "_refused_share", f.share());
+                    figures.put("door_" + of + "_refused_rate", f.rejectedByRate());
+                    figures.put("door_" + of + "_refused_open", f.rejectedByPending());
+                    figures.put("door_" + of + "_refused_share", f.rejectedByShare());
                 }
             }
         }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/ChainCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainCall.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.List;
 import wharfhinge.decisions.chain.ChainEnd;
@@ -33,7 +33,7 @@
     public static final String CLIENT = "client";
 
     /** The same of another tenant, or of none (null). */
-    public ChainCall of(String other) {
+    public ChainCall withTenant(String other) {
         return new ChainCall(
                 plan, heads, inputs, input, id, other, key, digest, deadlineNanos, receivedAt, joiner, listener);
     }
@@ -52,6 +52,6 @@
     @FunctionalInterface
     public interface Listener {
         /** {@code answers} has null where a step was not served in this try or one before. */
-        void ended(ChainEnd end, List<StepAnswer> answers);
+        void onCompleted(ChainEnd end, List<StepAnswer> answers);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/ChainRunner.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -11,13 +11,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import wharfhinge.config.ChainConfig;
 import wharfhinge.decisions.chain.ChainDecisions;
 import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
 import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.decisions.chain.ChainSettings;
 import wharfhinge.decisions.chain.FinishedSteps;
-import wharfhinge.gateway.loop.ChainCall.StepAnswer;
+import wharfhinge.engine.ChainCall.StepAnswer;
 import wharfhinge.policy.Request;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.FinalAnswer;
@@ -27,7 +26,7 @@
  * The loop's thread alone. What a step's call answers is told as an event of its own, so that neither the decisions on
  * chains nor those on calls are re-entered.
  */
-final class ChainRunner implements ChainDecisions.Actions {
+final class ChainExecutor implements ChainDecisions.Actions {
     /** What a runner needs of its loop. */
     interface Calls {
         long now();
@@ -67,7 +66,7 @@
     }
 
     private final Calls calls;
-    private final ChainConfig config;
+    private final EngineSettings.Chains settings;
     private final Set<String> tenants;
     private final StepJournal journal;
     private final ChainDecisions decisions;
@@ -80,19 +79,19 @@
     private long joined;
     private volatile long keysKept; // the table itself is not for other threads
 
-    ChainRunner(Calls calls, ChainConfig config, Set<String> tenants, StepJournal journal) {
+    ChainExecutor(Calls calls, EngineSettings.Chains settings, Set<String> tenants, StepJournal journal) {
         this.calls = calls;
-        this.config = config;
+        this.settings = settings;
         this.tenants = tenants;
         this.journal = journal;
-        this.decisions = new ChainDecisions(config.settings(), this, calls::believedWarm);
-        this.finished = new FinishedSteps(config.resumeWindowNanos(), config.resumeKeys(), config.resumeBytes());
+        this.decisions = new ChainDecisions(settings.settings(), this, calls::believedWarm);
+        this.finished = new FinishedSteps(settings.resumeWindowNanos(), settings.resumeKeys(), settings.resumeBytes());
     }
 
     /** Takes what a former process kept. */
     void restore() {
         journal.restore((age, tenant, key, digest, steps, step, answer) -> {
-            if (age < config.resumeWindowNanos()) {
+            if (age < settings.resumeWindowNanos()) {
                 finished.finished(calls.now() - age, tenant, key, digest, steps, step, answer);
             }
         });
@@ -118,9 +117,9 @@
             byKey.put(named, run);
             done = resume(run, c);
         }
-        if (config.settings().clock() == ChainSettings.Clock.ONE) {
+        if (settings.settings().clock() == ChainSettings.Clock.ONE) {
             calls.later(
-                    deadline - calls.now() - config.settings().reserveNanos() / 2,
+                    deadline - calls.now() - settings.settings().reserveNanos() / 2,
                     () -> decisions.due(calls.now(), run.id));
         }
         decisions.begin(calls.now(), run.id, c.plan(), tenant(c), deadline, done);
@@ -136,7 +135,7 @@
         run.listeners.add(c);
         long left = c.deadlineNanos()
                 - (calls.nanos(calls.now()) - c.receivedAt())
-                - config.settings().reserveNanos() / 2;
+                - settings.settings().reserveNanos() / 2;
         calls.later(left, () -> {
             if (run.listeners.remove(c)) {
                 respond(c, new ChainEnd(ChainEnd.Kind.FAILED, "an-earlier-try-still-runs", List.of()), run);
@@ -252,7 +251,7 @@
     }
 
     private void respond(ChainCall c, ChainEnd end, Run run) {
-        c.listener().ended(end, Arrays.asList(run.answers));
+        c.listener().onCompleted(end, Arrays.asList(run.answers));
         calls.chainOver(c);
     }
 
@@ -284,7 +283,7 @@
             if (finished.finished(
                     calls.now(), tenant(c), c.key(), c.digest(), c.plan().size(), step, kept)) {
                 keysKept = finished.size();
-                if (journal.finished(
+                if (journal.recordStep(
                         tenant(c),
                         c.key(),
                         c.digest(),
@@ -304,7 +303,7 @@
             return;
         }
         decisions.stepEnded(calls.now(), run.id, step, StepEnd.SERVED, answer.tookNanos(), answer.loaded());
-        if (bytesHeld > config.settings().mostBytes()) {
+        if (bytesHeld > settings.settings().mostBytes()) {
             decisions.outOfBytes(calls.now(), run.id);
         }
     }
@@ -322,7 +321,7 @@
         }
     }
 
-    private final class StepResponder implements Responder {
+    private final class StepResponder implements ResponseSink {
         private final Run run;
         private final int step;
         private final long startedAt;
@@ -334,7 +333,7 @@
         }
 
         @Override
-        public void served(ByteBuf body, CharSequence contentType, Facts facts) {
+        public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata facts) {
             byte[] bytes = body == null ? new byte[0] : ByteBufUtil.getBytes(body);
             ReferenceCountUtil.release(body);
             calls.tell(
@@ -351,12 +350,12 @@
         }
 
         @Override
-        public void ended(FinalAnswer answer, long coolDownNanos, Facts facts) {
+        public void sendError(FinalAnswer answer, long coolDownNanos, ResponseMetadata facts) {
             calls.tell("step", () -> stepEnded(run, step, answer, calls.now() - startedAt));
         }
 
         @Override
-        public void streams(WorkerSide.Stream stream, Facts facts) {
+        public void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata facts) {
             stream.cancel(); // classes that stream are turned away before a chain is taken
             calls.tell("step", () -> stepEnded(run, step, FinalAnswer.FAILED, calls.now() - startedAt));
         }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/ClientCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ClientCall.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import io.netty.buffer.ByteBuf;
 import java.util.concurrent.atomic.AtomicBoolean;
@@ -11,7 +11,7 @@
  * @param deadlineNanos how long the client waits, counted from {@code receivedAt}
  * @param receivedAt {@link System#nanoTime} when its last byte came
  * @param body       kept for a repeat; the loop owns it once the call is taken
- * @param clientGone set once its client was seen to leave, before the loop comes round to it: nothing more is sent for it
+ * @param clientCancelled set once its client was seen to leave, before the loop comes round to it: nothing more is sent for it
  */
 public record ClientCall(
         CallHead head,
@@ -20,8 +20,8 @@
         long receivedAt,
         ByteBuf body,
         CharSequence contentType,
-        Responder responder,
-        AtomicBoolean clientGone) {
+        ResponseSink responseSink,
+        AtomicBoolean clientCancelled) {
 
     /** A call whose client is there. */
     public ClientCall(
@@ -31,7 +31,7 @@
             long receivedAt,
             ByteBuf body,
             CharSequence contentType,
-            Responder responder) {
+            ResponseSink responder) {
         this(head, requestClass, deadlineNanos, receivedAt, body, contentType, responder, new AtomicBoolean());
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/DecisionLoop.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -8,11 +8,8 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.stream.Collectors;
-import wharfhinge.config.GatewayConfig;
-import wharfhinge.decisions.door.DoorDecisions;
-import wharfhinge.gateway.loop.LoopStats.Count;
-import wharfhinge.gateway.roster.FleetSource;
-import wharfhinge.gateway.roster.FleetUpdate;
+import wharfhinge.decisions.admission.AdmissionController;
+import wharfhinge.engine.EngineMetrics.Counter;
 import wharfhinge.policy.Dispatcher;
 import wharfhinge.policy.DispatcherActions;
 import wharfhinge.policy.EndpointUpdateMode;
@@ -32,23 +29,34 @@
  * <p>If the dispatcher throws, each open call gets its final answer (refused where nothing was sent, else failed), what
  * is out is reset, and a new dispatcher begins with the list that the loop held. Results of the former life are dropped.
  */
-public final class DecisionLoop implements Runnable {
+public final class DispatchEngine implements Runnable {
     /** What became of a call that was handed over. */
-    public enum Taken {
-        TAKEN,
-        HAND_OVER_FULL,
-        TOO_MANY_OPEN,
-        CLOSING,
-        TENANT_RATE,
-        TENANT_OPEN,
-        TENANT_SHARE;
-
-        static Taken of(DoorDecisions.Answer answer) {
+    public enum SubmissionStatus {
+        ACCEPTED("taken"),
+        QUEUE_FULL("hand-over-full"),
+        TOO_MANY_PENDING("too-many-open"),
+        SHUTTING_DOWN("closing"),
+        TENANT_RATE("tenant-rate"),
+        TENANT_OPEN("tenant-open"),
+        TENANT_SHARE("tenant-share");
+
+        private final String word;
+
+        SubmissionStatus(String word) {
+            this.word = word;
+        }
+
+        /** As the clients' protocol names it. */
+        public String word() {
+            return word;
+        }
+
+        static SubmissionStatus of(AdmissionController.Decision answer) {
             return switch (answer) {
-                case ADMITTED -> TAKEN;
-                case RATE -> TENANT_RATE;
-                case OPEN -> TENANT_OPEN;
-                case SHARE -> TENANT_SHARE;
+                case ADMITTED -> ACCEPTED;
+                case OVER_RATE -> TENANT_RATE;
+                case TOO_MANY_PENDING -> TENANT_OPEN;
+                case OVER_SHARE -> TENANT_SHARE;
             };
         }
     }
@@ -56,120 +64,120 @@
     /**
      * What was said to a call.
      *
-     * @param comeBackNanos where it was not taken and somebody can say when to come back
+     * @param retryAfterNanos where it was not taken and somebody can say when to come back
      */
-    public record Offered(Taken taken, long comeBackNanos) {}
+    public record SubmissionResult(SubmissionStatus status, long retryAfterNanos) {}
 
     private static final int FUNCTIONS_KNOWN = 16_384;
     private static final long NEXT_LIFE_NS = TimeUnit.SECONDS.toNanos(1); // after decisions that threw as they began
     private static final String CLOSE_TIMER = "close"; // these two outlive a life of the dispatcher
     private static final String CHAIN_TIMER = "chain";
 
-    private final GatewayConfig config;
+    private final EngineSettings settings;
     private final DispatcherFactory factory;
-    private final WorkerSide workers;
-    private final FleetSource source;
-    private final PeerLink peers;
-    private final AnswerLog log;
-    private final LoopStats stats = new LoopStats();
-    private final LoopThread thread;
-    private final HandOver handOver;
-    private final OpenCalls calls;
+    private final WorkerTransport workers;
+    private final EndpointSource source;
+    private final PeerTransport peers;
+    private final AccessLog log;
+    private final EngineMetrics metrics = new EngineMetrics();
+    private final EventLoop thread;
+    private final SubmissionQueue handOver;
+    private final PendingCalls calls;
     private final CompletableFuture<Integer> closed = new CompletableFuture<>();
-    private final Map<String, WorkerSide.Function> functions = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<String, WorkerTransport.FunctionInfo> functions = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, WorkerSide.Function> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, WorkerTransport.FunctionInfo> eldest) {
             return size() > FUNCTIONS_KNOWN;
         }
     };
-    private final Fleet fleet = new Fleet();
-    private final ChainRunner chains;
+    private final EndpointList onEndpointUpdate = new EndpointList();
+    private final ChainExecutor chains;
     private Dispatcher dispatcher;
     private int life;
 
     /** A loop that begins once a thread runs it. */
-    public DecisionLoop(
-            GatewayConfig config,
+    public DispatchEngine(
+            EngineSettings settings,
             DispatcherFactory factory,
-            WorkerSide workers,
-            FleetSource source,
-            PeerLink peers,
+            WorkerTransport workers,
+            EndpointSource source,
+            PeerTransport peers,
             StepJournal journal,
-            AnswerLog log,
+            AccessLog log,
             LongSupplier nanoTime) {
-        this.config = config;
+        this.settings = settings;
         this.factory = factory;
         this.workers = workers;
         this.source = source;
         this.peers = peers;
         this.log = log;
-        this.thread = new LoopThread(nanoTime, stats, this::restart);
-        this.handOver = new HandOver(config, stats, nanoTime, thread);
-        this.calls = new OpenCalls(config, thread, handOver, stats, log, () -> dispatcher, this::stopIfEmpty);
-        this.chains = new ChainRunner(
+        this.thread = new EventLoop(nanoTime, metrics, this::restart);
+        this.handOver = new SubmissionQueue(settings, metrics, nanoTime, thread);
+        this.calls = new PendingCalls(settings, thread, handOver, metrics, log, () -> dispatcher, this::stopIfEmpty);
+        this.chains = new ChainExecutor(
                 new StepCalls(),
-                config.chains(),
-                config.settings().tenants().stream().map(Tenant::name).collect(Collectors.toSet()),
+                settings.chains(),
+                settings.dispatcher().tenants().stream().map(Tenant::name).collect(Collectors.toSet()),
                 journal);
     }
 
     /** What the loop counts. */
-    public LoopStats stats() {
-        return stats;
+    public EngineMetrics metrics() {
+        return metrics;
     }
 
     /** Calls taken and not yet answered. */
-    public int open() {
+    public int pendingCalls() {
         return handOver.open();
     }
 
     // ---- From other threads -----------------------------------------------------------------
 
     /** Hands a call over; unless it is taken, nothing is owed for it and its body stays the caller's. */
-    public Offered offer(ClientCall call) {
+    public SubmissionResult submit(ClientCall call) {
         return handOver.offer("query", call.head().tenant(), () -> query(call, true));
     }
 
     /** Hands a chain over; unless it is taken, nothing is owed for it. It counts as one open call beside its steps. */
-    public Offered offer(ChainCall chain) {
+    public SubmissionResult submit(ChainCall chain) {
         return handOver.offer("chain", chain.tenant(), () -> chains.begin(chain));
     }
 
     /** The client of a chain that was taken went away. */
-    public void clientLeft(ChainCall chain) {
+    public void onClientCancelled(ChainCall chain) {
         thread.tell("chainLeft", () -> chains.clientLeft(chain));
     }
 
     /** What is counted of chains. */
-    public Map<String, Long> chainFigures() {
+    public Map<String, Long> chainMetrics() {
         return chains.figures();
     }
 
     /** What the door counts; nothing where all are let in. */
-    public Map<String, Long> doorFigures() {
+    public Map<String, Long> admissionMetrics() {
         return handOver.doorFigures();
     }
 
     /** The client of a call that was taken went away; from here on no attempt of it is begun, however far the loop is behind. */
-    public void clientLeft(ClientCall call) {
-        call.clientGone().set(true);
+    public void onClientCancelled(ClientCall call) {
+        call.clientCancelled().set(true);
         thread.tell("clientLeft", () -> calls.left(call, false));
     }
 
     /** News of the fleet. */
-    public void fleet(FleetUpdate update) {
+    public void onEndpointUpdate(EndpointUpdate update) {
         thread.tell("members", () -> members(update));
     }
 
     /** Another gateway sent bytes. */
-    public void inbox(int peer, byte[] payload) {
+    public void onPeerMessage(int peer, byte[] payload) {
         thread.tell("inbox", () -> dispatcher.onPeerMessage(thread.now(), peer, payload));
     }
 
     /** Asks what is believed of all workers for a function; told on the loop's thread. */
-    public void believed(String function, Consumer<List<WorkerSnapshot>> to) {
+    public void workerStates(String function, Consumer<List<WorkerSnapshot>> to) {
         thread.tell("believed", () -> to.accept(dispatcher.workerStates(thread.now(), function)));
     }
 
@@ -178,7 +186,7 @@
      *
      * @return how many calls had to be ended
      */
-    public CompletableFuture<Integer> close(long withinNanos) {
+    public CompletableFuture<Integer> shutdown(long withinNanos) {
         handOver.close();
         thread.tell("close", () -> {
             thread.timer(withinNanos, CLOSE_TIMER, () -> stop(endEverything("closing")));
@@ -202,17 +210,18 @@
     }
 
     private void begin() {
-        dispatcher = factory.create(thread.now(), config.seed() + life, config.settings(), actions());
-        dispatcher.onEndpointUpdate(thread.now(), EndpointUpdateMode.SNAPSHOT, fleet.revision(), fleet.workers());
+        dispatcher = factory.create(thread.now(), settings.seed() + life, settings.dispatcher(), actions());
+        dispatcher.onEndpointUpdate(
+                thread.now(), EndpointUpdateMode.SNAPSHOT, onEndpointUpdate.revision(), onEndpointUpdate.workers());
     }
 
     private DispatcherActions actions() {
         int itsLife = life;
-        return new LoopActions(
-                config,
+        return new EngineActions(
+                settings,
                 thread,
                 calls,
-                stats,
+                metrics,
                 functions,
                 workers,
                 source,
@@ -224,15 +233,15 @@
 
     private void restart(String name, Throwable cause) {
         life++;
-        stats.add(Count.RESTARTS);
+        metrics.add(Counter.RESTARTS);
         thread.dropTimers(timer -> !timer.equals(CLOSE_TIMER) && !timer.equals(CHAIN_TIMER));
         int ended = calls.endAll("decisions-restarted", false);
-        log.restarted(name, cause, ended);
+        log.onDispatcherRestarted(name, cause, ended);
         try {
             begin();
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
-            log.restarted("begin", e, 0);
-            dispatcher = new NoDecisions(actions());
+            log.onDispatcherRestarted("begin", e, 0);
+            dispatcher = new RejectingDispatcher(actions());
             thread.timer(NEXT_LIFE_NS, "begin", this::begin);
         }
         stopIfEmpty();
@@ -258,13 +267,13 @@
     // ---- Events -----------------------------------------------------------------------------
 
     private void query(ClientCall call, boolean throughDoor) {
-        stats.add(Count.TAKEN);
-        OpenCall c = calls.add(call, throughDoor);
+        metrics.add(Counter.ACCEPTED);
+        PendingCall c = calls.add(call, throughDoor);
         CallHead head = call.head();
-        WorkerSide.Function function =
-                new WorkerSide.Function(head.function(), head.memoryMb(), head.lanes(), head.loadMillis());
+        WorkerTransport.FunctionInfo function =
+                new WorkerTransport.FunctionInfo(head.function(), head.memoryMb(), head.lanes(), head.loadMillis());
         functions.put(head.function(), function);
-        factory.named(thread.now(), c.id, c.outerId());
+        factory.onRequestNamed(thread.now(), c.id, c.outerId());
         Request request = new Request(
                 c.id,
                 head.tenant(),
@@ -280,22 +289,22 @@
         dispatcher.onRequest(thread.now(), request);
     }
 
-    private void members(FleetUpdate update) {
-        stats.add(Count.LISTS);
+    private void members(EndpointUpdate update) {
+        metrics.add(Counter.ENDPOINT_UPDATES);
         if (update.mode() == EndpointUpdateMode.REJECTED) {
             dispatcher.onEndpointUpdate(thread.now(), EndpointUpdateMode.REJECTED, update.revision(), List.of());
             return;
         }
-        Fleet.Change change = fleet.apply(update, thread.now());
-        change.leaving().forEach(workers::leaving); // before the decisions, so that nothing slips out between
-        change.listed().forEach(workers::listed);
+        EndpointList.Change change = onEndpointUpdate.apply(update, thread.now());
+        change.leaving().forEach(workers::stopSending); // before the decisions, so that nothing slips out between
+        change.listed().forEach(workers::startSending);
         dispatcher.onEndpointUpdate(thread.now(), update.mode(), update.revision(), change.told());
     }
 
     // ---- Steps of chains --------------------------------------------------------------------
 
     /** What chains need of the loop; a step is a call like any other, and counts as open. */
-    private final class StepCalls implements ChainRunner.Calls {
+    private final class StepCalls implements ChainExecutor.Calls {
         @Override
         public long now() {
             return thread.now();
@@ -314,14 +323,14 @@
 
         @Override
         public void cancel(ClientCall step) {
-            calls.left(step, config.settings().limits().cancellation());
+            calls.left(step, settings.dispatcher().limits().cancellation());
         }
 
         @Override
         public void expect(Request request) {
             functions.put(
                     request.function(),
-                    new WorkerSide.Function(
+                    new WorkerTransport.FunctionInfo(
                             request.function(),
                             request.memoryMb(),
                             request.concurrencyPerCopy(),
@@ -347,7 +356,7 @@
         @Override
         public void chainOver(ChainCall chain) {
             handOver.ended();
-            handOver.leftDoor(chain.tenant(), DoorDecisions.Ending.OTHERWISE, 0, 0);
+            handOver.leftDoor(chain.tenant(), AdmissionController.CallEnd.OTHERWISE, 0, 0);
             stopIfEmpty();
         }
     }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/DispatcherFactory.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatcherFactory.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import wharfhinge.policy.CacheAwareDispatcher;
 import wharfhinge.policy.Dispatcher;
@@ -9,11 +9,11 @@
 @FunctionalInterface
 public interface DispatcherFactory {
     /** The product's: {@link CacheAwareDispatcher} as it is. */
-    DispatcherFactory CHOICE = CacheAwareDispatcher::new;
+    DispatcherFactory CACHE_AWARE = CacheAwareDispatcher::new;
 
     /** A dispatcher that knows nothing yet. */
     Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
 
     /** The client's name of a call that the dispatcher is told of next. */
-    default void named(long now, String id, String outer) {}
+    default void onRequestNamed(long now, String id, String outer) {}
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/Fleet.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointList.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,14 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wharfhinge.gateway.roster.FleetUpdate;
 import wharfhinge.policy.Availability;
 import wharfhinge.policy.Endpoint;
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
 
 /** The list as the loop last held it, with the start of each process on the loop's clock. */
-final class Fleet {
+final class EndpointList {
     private static final long MS = 1_000_000L;
 
     private record Known(Endpoint worker, String boot) {}
@@ -24,7 +23,7 @@
     /** Workers that an update brings, processes by worker that may be sent to, and workers that may get nothing new. */
     record Change(List<Endpoint> told, Map<String, String> listed, List<String> leaving) {}
 
-    Change apply(FleetUpdate update, long now) {
+    Change apply(EndpointUpdate update, long now) {
         List<Endpoint> told = new ArrayList<>();
         Map<String, String> listed = new LinkedHashMap<>();
         List<String> leaving = new ArrayList<>();
--- a/gateway/src/main/java/wharfhinge/gateway/roster/FleetSource.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointSource.java
@@ -1,23 +1,23 @@
-package wharfhinge.gateway.roster;
+package wharfhinge.engine;
 
 import java.util.function.Consumer;
 
 /** Where a gateway learns of its workers. Updates come in order, on any thread; no method blocks. */
-public interface FleetSource extends AutoCloseable {
+public interface EndpointSource extends AutoCloseable {
 
     /** A source whose lists somebody else tells: {@code started} is given where to, and nothing is asked for. */
-    static FleetSource pushedBy(Consumer<Consumer<FleetUpdate>> started) {
-        return new FleetSource() {
+    static EndpointSource pushedBy(Consumer<Consumer<EndpointUpdate>> started) {
+        return new EndpointSource() {
             @Override
-            public void start(Consumer<FleetUpdate> updates) {
+            public void start(Consumer<EndpointUpdate> updates) {
                 started.accept(updates);
             }
 
             @Override
-            public void listen(boolean on) {}
+            public void watch(boolean on) {}
 
             @Override
-            public void reload() {}
+            public void refresh() {}
 
             @Override
             public void close() {}
@@ -25,13 +25,13 @@
     }
 
     /** Begins; where lists are pushed, updates come from now on. */
-    void start(Consumer<FleetUpdate> updates);
+    void start(Consumer<EndpointUpdate> updates);
 
     /** Subscribes to changes or ends that; one update answers, refused where it fails. */
-    void listen(boolean on);
+    void watch(boolean on);
 
     /** Asks once for the whole list; one update answers, refused where it fails. */
-    void reload();
+    void refresh();
 
     @Override
     void close();
--- a/gateway/src/main/java/wharfhinge/gateway/loop/LoopActions.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineActions.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import io.netty.util.ReferenceCountUtil;
 import java.util.Map;
@@ -6,11 +6,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import wharfhinge.config.GatewayConfig;
-import wharfhinge.gateway.loop.LoopStats.Count;
-import wharfhinge.gateway.loop.OpenCall.LiveAttempt;
-import wharfhinge.gateway.loop.WorkerSide.Result;
-import wharfhinge.gateway.roster.FleetSource;
+import wharfhinge.engine.EngineMetrics.Counter;
+import wharfhinge.engine.PendingCall.PendingAttempt;
+import wharfhinge.engine.WorkerTransport.ExchangeResult;
 import wharfhinge.policy.Dispatcher;
 import wharfhinge.policy.DispatcherActions;
 import wharfhinge.policy.Outcome;
@@ -21,16 +19,16 @@
  * What one life's dispatcher asks for, carried out on the loop's thread; what it causes at once is told as an event of its
  * own. Results that come after that life are dropped.
  */
-final class LoopActions implements DispatcherActions {
-    private final GatewayConfig config;
-    private final LoopThread thread;
-    private final OpenCalls calls;
-    private final LoopStats stats;
-    private final Map<String, WorkerSide.Function> functions;
-    private final WorkerSide workers;
-    private final FleetSource source;
-    private final PeerLink peers;
-    private final AnswerLog log;
+final class EngineActions implements DispatcherActions {
+    private final EngineSettings settings;
+    private final EventLoop thread;
+    private final PendingCalls calls;
+    private final EngineMetrics stats;
+    private final Map<String, WorkerTransport.FunctionInfo> functions;
+    private final WorkerTransport workers;
+    private final EndpointSource source;
+    private final PeerTransport peers;
+    private final AccessLog log;
     private final Supplier<Dispatcher> dispatcher;
     private final BooleanSupplier thisLife;
     private final Set<String> streamed; // names of classes
@@ -42,19 +40,19 @@
      * @param dispatcher the one of now
      * @param thisLife   whether that is still the one these actions were made for
      */
-    LoopActions(
-            GatewayConfig config,
-            LoopThread thread,
-            OpenCalls calls,
-            LoopStats stats,
-            Map<String, WorkerSide.Function> functions,
-            WorkerSide workers,
-            FleetSource source,
-            PeerLink peers,
-            AnswerLog log,
+    EngineActions(
+            EngineSettings settings,
+            EventLoop thread,
+            PendingCalls calls,
+            EngineMetrics stats,
+            Map<String, WorkerTransport.FunctionInfo> functions,
+            WorkerTransport workers,
+            EndpointSource source,
+            PeerTransport peers,
+            AccessLog log,
             Supplier<Dispatcher> dispatcher,
             BooleanSupplier thisLife) {
-        this.config = config;
+        this.settings = settings;
         this.thread = thread;
         this.calls = calls;
         this.stats = stats;
@@ -65,7 +63,7 @@
         this.log = log;
         this.dispatcher = dispatcher;
         this.thisLife = thisLife;
-        this.streamed = config.settings().classes().stream()
+        this.streamed = settings.dispatcher().classes().stream()
                 .filter(RequestClass::streaming)
                 .map(RequestClass::name)
                 .collect(Collectors.toSet());
@@ -81,29 +79,29 @@
 
     @Override
     public void sendAttempt(String request, String worker, long timeoutNanos) {
-        OpenCall c = calls.get(request);
+        PendingCall c = calls.get(request);
         if (c == null) {
             return;
         }
-        LiveAttempt a = new LiveAttempt(c, c.attempts.size(), worker, thread.now());
+        PendingAttempt a = new PendingAttempt(c, c.attempts.size(), worker, thread.now());
         c.attempts.add(a);
         c.live++;
         long left = c.deadline - thread.now();
         if (c.answered
                 || left <= 0
                 || timeoutNanos < 0
-                || a.index >= config.settings().limits().maxAttempts()) {
-            stats.add(Count.MOOT);
-            a.sent = WorkerSide.Sent.NONE;
+                || a.index >= settings.dispatcher().limits().maxAttempts()) {
+            stats.add(Counter.SUPERSEDED);
+            a.sent = WorkerTransport.AttemptHandle.NONE;
             tellThisLife("moot", () -> calls.end(a, Outcome.SUPERSEDED));
             return;
         }
-        stats.add(Count.ATTEMPTS);
+        stats.add(Counter.ATTEMPTS);
         long wait = timeoutNanos == 0 ? left : Math.min(timeoutNanos, left);
         var head = c.call.head();
         boolean streams = streamed.contains(c.call.requestClass());
-        a.sent = workers.attempt(
-                new WorkerSide.Order(
+        a.sent = workers.sendAttempt(
+                new WorkerTransport.AttemptRequest(
                         worker,
                         c.outerId(),
                         a.index,
@@ -116,15 +114,15 @@
                         c.call.contentType(),
                         streams,
                         head.idempotencyKey(),
-                        c.call.clientGone()::get),
-                new WorkerSide.AttemptListener() {
+                        c.call.clientCancelled()::get),
+                new WorkerTransport.AttemptListener() {
                     @Override
-                    public void ended(Result result) {
+                    public void onCompleted(ExchangeResult result) {
                         tellThisLife("completed", () -> calls.attemptEnded(a, result));
                     }
 
                     @Override
-                    public void began(WorkerSide.Stream stream) {
+                    public void onStreamStarted(WorkerTransport.ResponseStream stream) {
                         tellThisLife("established", () -> calls.streamBegan(a, stream));
                     }
                 });
@@ -137,45 +135,52 @@
 
     @Override
     public void cancelAttempt(String request, int attempt) {
-        OpenCall c = calls.get(request);
+        PendingCall c = calls.get(request);
         if (c != null && attempt < c.attempts.size() && c.attempts.get(attempt).stream == null) {
-            LiveAttempt a = c.attempts.get(attempt);
+            PendingAttempt a = c.attempts.get(attempt);
             tellThisLife("cancelled", () -> calls.end(a, Outcome.CANCELLED));
         }
     }
 
     @Override
     public void reject(String request, long coolDownNanos) {
-        calls.finalAnswer(request, FinalAnswer.REFUSED, coolDownNanos, Count.REFUSED);
+        calls.finalAnswer(request, FinalAnswer.REFUSED, coolDownNanos, Counter.REJECTED);
     }
 
     @Override
     public void fail(String request) {
-        calls.finalAnswer(request, FinalAnswer.FAILED, 0, Count.FAILED);
+        calls.finalAnswer(request, FinalAnswer.FAILED, 0, Counter.FAILED);
     }
 
     @Override
     public void ensureLoaded(String worker, String function, int count) {
-        stats.add(Count.HOLDS);
-        WorkerSide.Function known = functions.getOrDefault(function, new WorkerSide.Function(function, 0, 0, 0));
-        workers.hold(worker, known, count, config.settings().functionLoading().loadTimeoutNanos(), result -> {
-            ReferenceCountUtil.release(result.body());
-            tellThisLife("resident", () -> dispatcher
-                    .get()
-                    .onLoadCompleted(
-                            thread.now(), worker, function, result.count(), result.outcome(), result.tookNanos()));
-        });
+        stats.add(Counter.LOAD_ORDERS);
+        WorkerTransport.FunctionInfo known =
+                functions.getOrDefault(function, new WorkerTransport.FunctionInfo(function, 0, 0, 0));
+        workers.ensureLoaded(
+                worker, known, count, settings.dispatcher().functionLoading().loadTimeoutNanos(), result -> {
+                    ReferenceCountUtil.release(result.body());
+                    tellThisLife("resident", () -> dispatcher
+                            .get()
+                            .onLoadCompleted(
+                                    thread.now(),
+                                    worker,
+                                    function,
+                                    result.loadedCopies(),
+                                    result.outcome(),
+                                    result.tookNanos()));
+                });
     }
 
     @Override
     public void unload(String worker, String function) {
-        stats.add(Count.UNLOADS);
+        stats.add(Counter.UNLOADS);
         workers.unload(worker, function);
     }
 
     @Override
     public void probe(String worker) {
-        stats.add(Count.PROBES);
+        stats.add(Counter.PROBES);
         workers.probe(worker, result -> {
             ReferenceCountUtil.release(result.body());
             tellThisLife("probed", () -> dispatcher
@@ -191,26 +196,26 @@
 
     @Override
     public void sendToPeers(int peer, byte[] payload) {
-        peers.publish(peer, payload);
+        peers.send(peer, payload);
     }
 
     @Override
     public void watchEndpoints(boolean on) {
-        source.listen(on);
+        source.watch(on);
     }
 
     @Override
     public void refreshEndpoints() {
-        source.reload();
+        source.refresh();
     }
 
     @Override
     public void closeIdleConnections(String worker) {
-        workers.hangUp(worker);
+        workers.closeIdleConnections(worker);
     }
 
     @Override
     public void logDiagnostic(String text) {
-        log.remark(text);
+        log.onDiagnostic(text);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/LoopStats.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineMetrics.java
@@ -1,50 +1,65 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.LinkedHashMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
 
 /** What the loop counts. The loop writes, any thread may read. */
-public final class LoopStats {
+public final class EngineMetrics {
     private static final long LONGEST_NS = 60_000_000_000L;
 
     /** Things counted from the start on. */
-    public enum Count {
-        TAKEN,
+    public enum Counter {
+        ACCEPTED("taken"),
         SERVED,
-        REFUSED,
+        REJECTED("refused"),
         FAILED,
-        LEFT,
+        CLIENT_CANCELLED("left"),
         ATTEMPTS,
         LATE_ANSWERS,
-        MOOT,
+        SUPERSEDED("moot"),
         PROBES,
-        HOLDS,
+        LOAD_ORDERS("holds"),
         UNLOADS,
-        TURNED_AWAY_HAND_OVER,
-        TURNED_AWAY_OPEN,
-        TURNED_AWAY_CLOSING,
+        REJECTED_QUEUE_FULL("turned_away_hand_over"),
+        REJECTED_TOO_MANY_PENDING("turned_away_open"),
+        REJECTED_SHUTTING_DOWN("turned_away_closing"),
         RESTARTS,
-        LISTS,
+        ENDPOINT_UPDATES("lists"),
         STREAMS,
-        REMARKS_DROPPED
+        DIAGNOSTICS_DROPPED("remarks_dropped");
+
+        private final String deprecatedKey; // null where the key never changed
+
+        Counter() {
+            this(null);
+        }
+
+        Counter(String deprecatedKey) {
+            this.deprecatedKey = deprecatedKey;
+        }
+
+        private String key() {
+            return name().toLowerCase(Locale.ROOT);
+        }
     }
 
-    private final Map<Count, LongAdder> counts = new LinkedHashMap<>();
+    private final Map<Counter, LongAdder> counts = new LinkedHashMap<>();
     private final Recorder age = new Recorder(LONGEST_NS, 2);
     private final Recorder decision = new Recorder(LONGEST_NS, 2);
     private final Histogram ages = new Histogram(LONGEST_NS, 2);
     private final Histogram decisions = new Histogram(LONGEST_NS, 2);
 
-    LoopStats() {
-        for (Count count : Count.values()) {
+    EngineMetrics() {
+        for (Counter count : Counter.values()) {
             counts.put(count, new LongAdder());
         }
     }
 
-    void add(Count count) {
+    void add(Counter count) {
         counts.get(count).increment();
     }
 
@@ -57,14 +72,19 @@
     }
 
     /** How often something was counted. */
-    public long count(Count count) {
+    public long count(Counter count) {
         return counts.get(count).sum();
     }
 
     /** All figures by name: counts, and in microseconds how old events were when told and how long they took. */
-    public synchronized Map<String, Long> figures() {
+    public synchronized Map<String, Long> snapshot() {
         Map<String, Long> figures = new LinkedHashMap<>();
-        counts.forEach((count, sum) -> figures.put(count.name().toLowerCase(java.util.Locale.ROOT), sum.sum()));
+        counts.forEach((counter, count) -> {
+            figures.put(counter.key(), count.sum());
+            if (counter.deprecatedKey != null) {
+                figures.put(counter.deprecatedKey, count.sum());
+            }
+        });
         ages.add(age.getIntervalHistogram());
         decisions.add(decision.getIntervalHistogram());
         quantiles("event_age_us", ages, figures);
--- a/gateway/src/main/java/wharfhinge/gateway/loop/LoopThread.java
+++ b/engine/src/main/java/wharfhinge/engine/EventLoop.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -12,7 +12,7 @@
  * The loop's one thread: takes the events of other threads and its own timers in turns, and tells the time, which never
  * runs backwards. {@link #tell} is for any thread, all else for the loop's own.
  */
-final class LoopThread {
+final class EventLoop {
     private static final long LONGEST_WAIT_NS = TimeUnit.SECONDS.toNanos(1);
 
     private record Event(String name, long stamp, Runnable what) {}
@@ -20,8 +20,8 @@
     private record Timer(long at, long number, String name, Runnable what) {}
 
     private final LongSupplier nanoTime;
-    private final LoopClock clock;
-    private final LoopStats stats;
+    private final MonotonicClock clock;
+    private final EngineMetrics stats;
     private final BiConsumer<String, Throwable> onFailure;
     private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
@@ -35,9 +35,9 @@
      *
      * @param onFailure told the name of the event or timer that threw, and what it threw
      */
-    LoopThread(LongSupplier nanoTime, LoopStats stats, BiConsumer<String, Throwable> onFailure) {
+    EventLoop(LongSupplier nanoTime, EngineMetrics stats, BiConsumer<String, Throwable> onFailure) {
         this.nanoTime = nanoTime;
-        this.clock = new LoopClock(nanoTime);
+        this.clock = new MonotonicClock(nanoTime);
         this.stats = stats;
         this.onFailure = onFailure;
     }
@@ -52,7 +52,7 @@
         return now;
     }
 
-    LoopClock clock() {
+    MonotonicClock clock() {
         return clock;
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/loop/LoopClock.java
+++ b/engine/src/main/java/wharfhinge/engine/MonotonicClock.java
@@ -1,9 +1,9 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.function.LongSupplier;
 
 /** Nanoseconds that only advance, whatever the wall clock does. Not for use by several threads. */
-final class LoopClock {
+final class MonotonicClock {
     /** So that a worker which started within the day before this gateway has a positive time of its start. */
     private static final long DAY = 86_400L * 1_000_000_000L;
 
@@ -11,7 +11,7 @@
     private final long base;
     private long last;
 
-    LoopClock(LongSupplier nanoTime) {
+    MonotonicClock(LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
         this.base = nanoTime.getAsLong() - DAY;
         this.last = DAY;
--- a/gateway/src/main/java/wharfhinge/gateway/loop/PeerLink.java
+++ b/engine/src/main/java/wharfhinge/engine/PeerTransport.java
@@ -1,11 +1,11 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 /** Sends bytes to other gateways; may lose them, never blocks. */
 @FunctionalInterface
-public interface PeerLink {
+public interface PeerTransport {
     /** No peers. */
-    PeerLink NONE = (peer, payload) -> {};
+    PeerTransport NONE = (peer, payload) -> {};
 
     /** Sends to the gateway of that number, or to all with -1. */
-    void publish(int peer, byte[] payload);
+    void send(int peer, byte[] payload);
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/OpenCall.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCall.java
@@ -1,21 +1,21 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.ArrayList;
 import java.util.List;
-import wharfhinge.gateway.loop.Responder.Facts;
+import wharfhinge.engine.ResponseSink.ResponseMetadata;
 
 /** A call that is open, or whose attempts are; touched by the loop's thread alone. */
-final class OpenCall {
+final class PendingCall {
     final String id;
     final ClientCall call;
     final long takenAt;
     final long deadline;
-    final List<LiveAttempt> attempts = new ArrayList<>(2);
+    final List<PendingAttempt> attempts = new ArrayList<>(2);
     int live;
     boolean answered;
     boolean throughDoor; // steps of chains are not, their chain is
 
-    OpenCall(String id, ClientCall call, long takenAt, long deadline) {
+    PendingCall(String id, ClientCall call, long takenAt, long deadline) {
         this.id = id;
         this.call = call;
         this.takenAt = takenAt;
@@ -32,35 +32,35 @@
         return attempts.stream().anyMatch(a -> a.stream != null && !a.ended);
     }
 
-    Facts facts(String worker, String otherwise, boolean loaded) {
+    ResponseMetadata facts(String worker, String otherwise, boolean loaded) {
         List<String> trail = new ArrayList<>(attempts.size());
-        for (LiveAttempt a : attempts) {
+        for (PendingAttempt a : attempts) {
             trail.add(a.worker + ':' + (a.how == null ? "open" : a.how));
         }
-        return new Facts(worker, trail.isEmpty() ? List.of(otherwise) : trail, attempts.size(), loaded);
+        return new ResponseMetadata(worker, trail.isEmpty() ? List.of(otherwise) : trail, attempts.size(), loaded);
     }
 
     List<String> trail() {
         List<String> trail = new ArrayList<>(attempts.size());
-        for (LiveAttempt a : attempts) {
+        for (PendingAttempt a : attempts) {
             trail.add(a.worker + ' ' + (a.how == null ? "open" : a.how + ' ' + a.tookNanos / 1000 + "us"));
         }
         return trail;
     }
 
     /** One attempt. */
-    static final class LiveAttempt {
-        final OpenCall call;
+    static final class PendingAttempt {
+        final PendingCall call;
         final int index;
         final String worker;
         final long sentAt;
-        WorkerSide.Sent sent;
-        WorkerSide.Stream stream;
+        WorkerTransport.AttemptHandle sent;
+        WorkerTransport.ResponseStream stream;
         boolean ended;
         String how;
         long tookNanos;
 
-        LiveAttempt(OpenCall call, int index, String worker, long sentAt) {
+        PendingAttempt(PendingCall call, int index, String worker, long sentAt) {
             this.call = call;
             this.index = index;
             this.worker = worker;
--- a/gateway/src/main/java/wharfhinge/gateway/loop/OpenCalls.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCalls.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayList;
@@ -8,11 +8,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Supplier;
-import wharfhinge.config.GatewayConfig;
-import wharfhinge.decisions.door.DoorDecisions;
-import wharfhinge.gateway.loop.LoopStats.Count;
-import wharfhinge.gateway.loop.OpenCall.LiveAttempt;
-import wharfhinge.gateway.loop.WorkerSide.Result;
+import wharfhinge.decisions.admission.AdmissionController;
+import wharfhinge.engine.EngineMetrics.Counter;
+import wharfhinge.engine.PendingCall.PendingAttempt;
+import wharfhinge.engine.WorkerTransport.ExchangeResult;
 import wharfhinge.policy.AttemptCompletion;
 import wharfhinge.policy.CacheStatus;
 import wharfhinge.policy.Dispatcher;
@@ -23,16 +22,16 @@
  * The calls that are open or whose attempts are, from when the loop came round to them to their last end: one final
  * answer for each, and what the dispatcher is told of its attempts. Loop's thread alone.
  */
-final class OpenCalls {
-    private final LoopThread thread;
-    private final HandOver handOver;
-    private final LoopStats stats;
-    private final AnswerLog log;
+final class PendingCalls {
+    private final EventLoop thread;
+    private final SubmissionQueue handOver;
+    private final EngineMetrics stats;
+    private final AccessLog log;
     private final Supplier<Dispatcher> dispatcher;
     private final Runnable whenFewer;
     private final Map<String, Long> aims = new HashMap<>(); // by class, nanoseconds
-    private final Map<String, OpenCall> calls = new HashMap<>();
-    private final Map<ClientCall, OpenCall> byClient = new IdentityHashMap<>();
+    private final Map<String, PendingCall> calls = new HashMap<>();
+    private final Map<ClientCall, PendingCall> byClient = new IdentityHashMap<>();
     private long callNumber;
     private boolean ending;
 
@@ -42,12 +41,12 @@
      * @param dispatcher the one of now
      * @param whenFewer  run after a call was answered or its last attempt ended
      */
-    OpenCalls(
-            GatewayConfig config,
-            LoopThread thread,
-            HandOver handOver,
-            LoopStats stats,
-            AnswerLog log,
+    PendingCalls(
+            EngineSettings settings,
+            EventLoop thread,
+            SubmissionQueue handOver,
+            EngineMetrics stats,
+            AccessLog log,
             Supplier<Dispatcher> dispatcher,
             Runnable whenFewer) {
         this.thread = thread;
@@ -56,14 +55,14 @@
         this.log = log;
         this.dispatcher = dispatcher;
         this.whenFewer = whenFewer;
-        config.settings().classes().forEach(c -> aims.put(c.name(), c.latencyObjectiveNanos()));
+        settings.dispatcher().classes().forEach(c -> aims.put(c.name(), c.latencyObjectiveNanos()));
     }
 
     /** Keeps a call that the loop came round to; its deadline counts from when its last byte came. */
-    OpenCall add(ClientCall call, boolean throughDoor) {
+    PendingCall add(ClientCall call, boolean throughDoor) {
         long deadline = thread.clock().at(call.receivedAt()) + call.deadlineNanos();
         String id = Long.toString(callNumber++, Character.MAX_RADIX);
-        OpenCall c = new OpenCall(id, call, thread.now(), deadline);
+        PendingCall c = new PendingCall(id, call, thread.now(), deadline);
         c.throughDoor = throughDoor;
         calls.put(c.id, c);
         byClient.put(call, c);
@@ -71,28 +70,28 @@
     }
 
     /** The call of that id, or null. */
-    OpenCall get(String id) {
+    PendingCall get(String id) {
         return calls.get(id);
     }
 
     /** Whether nothing is open and no answer is on its way to a client, and none is being ended right now. */
     boolean idle() {
-        return !ending && handOver.open() == 0 && calls.values().stream().noneMatch(OpenCall::streams);
+        return !ending && handOver.open() == 0 && calls.values().stream().noneMatch(PendingCall::streams);
     }
 
     // ---- Ends of attempts -------------------------------------------------------------------
 
     /** An attempt ended on the wire. */
-    void attemptEnded(LiveAttempt a, Result result) {
+    void attemptEnded(PendingAttempt a, ExchangeResult result) {
         if (a.ended) {
-            stats.add(Count.LATE_ANSWERS);
+            stats.add(Counter.LATE_ANSWERS);
             ReferenceCountUtil.release(result.body());
             return;
         }
         a.ended = true;
-        a.how = result.how();
+        a.how = result.reason();
         a.tookNanos = result.tookNanos();
-        OpenCall c = a.call;
+        PendingCall c = a.call;
         c.live--;
         if (a.stream != null) {
             ReferenceCountUtil.release(result.body());
@@ -100,30 +99,31 @@
             return;
         }
         if (result.outcome() == Outcome.SERVED && !c.answered) {
-            c.call.responder().served(result.body(), result.contentType(), c.facts(a.worker, "", loaded(result)));
-            answered(c, Count.SERVED, "served", null);
+            c.call.responseSink()
+                    .sendResponse(result.body(), result.contentType(), c.facts(a.worker, "", loaded(result)));
+            answered(c, Counter.SERVED, "served", null);
         } else {
             if (c.answered && result.outcome() == Outcome.SERVED) {
-                stats.add(Count.LATE_ANSWERS);
+                stats.add(Counter.LATE_ANSWERS);
             }
             ReferenceCountUtil.release(result.body());
         }
         completed(a, result);
     }
 
-    private static boolean loaded(Result result) {
-        return result.note() == CacheStatus.LOAD_STARTED || result.note() == CacheStatus.LOAD_AWAITED;
+    private static boolean loaded(ExchangeResult result) {
+        return result.cacheStatus() == CacheStatus.LOAD_STARTED || result.cacheStatus() == CacheStatus.LOAD_AWAITED;
     }
 
-    private void completed(LiveAttempt a, Result result) {
+    private void completed(PendingAttempt a, ExchangeResult result) {
         AttemptCompletion completion = new AttemptCompletion(
                 a.call.id,
                 result.outcome(),
                 a.index,
                 result.tookNanos(),
                 a.worker,
-                result.note(),
-                result.company(),
+                result.cacheStatus(),
+                result.concurrentOnWorker(),
                 a.call.answered,
                 result.report());
         dispatcher.get().onAttemptCompleted(thread.now(), completion);
@@ -131,20 +131,27 @@
     }
 
     /** Ends an attempt from this side: the wire is told to stop, the decisions how it ended. */
-    void end(LiveAttempt a, Outcome outcome) {
+    void end(PendingAttempt a, Outcome outcome) {
         if (!a.ended) {
             a.sent.cancel();
             a.ended = true;
-            a.how = outcome.name().toLowerCase(Locale.ROOT);
+            a.how = reason(outcome);
             a.tookNanos = thread.now() - a.sentAt;
             a.call.live--;
-            completed(a, new Result(outcome, CacheStatus.UNKNOWN, 0, Map.of(), 0, a.tookNanos, null, null, a.how));
+            completed(
+                    a,
+                    new ExchangeResult(outcome, CacheStatus.UNKNOWN, 0, Map.of(), 0, a.tookNanos, null, null, a.how));
         }
     }
 
+    /** The word of the workers' protocol page, as clients are told it and logs hold it. */
+    private static String reason(Outcome outcome) {
+        return outcome == Outcome.SUPERSEDED ? "moot" : outcome.name().toLowerCase(Locale.ROOT);
+    }
+
     /** A streamed answer began. */
-    void streamBegan(LiveAttempt a, WorkerSide.Stream stream) {
-        OpenCall c = a.call;
+    void streamBegan(PendingAttempt a, WorkerTransport.ResponseStream stream) {
+        PendingCall c = a.call;
         if (a.ended || c.answered) {
             stream.cancel();
             end(a, Outcome.CANCELLED);
@@ -152,9 +159,9 @@
         }
         a.stream = stream;
         a.how = "streams";
-        stats.add(Count.STREAMS);
-        c.call.responder().streams(stream, c.facts(a.worker, "", false));
-        answered(c, Count.SERVED, "served", null);
+        stats.add(Counter.STREAMS);
+        c.call.responseSink().startStream(stream, c.facts(a.worker, "", false));
+        answered(c, Counter.SERVED, "served", null);
         dispatcher.get().onStreamStarted(thread.now(), c.id, a.index, a.worker);
     }
 
@@ -162,7 +169,7 @@
 
     /** The client of a call went away; attempts are told to stop where that is allowed, else only what was not sent is. */
     void left(ClientCall call, boolean cancelAll) {
-        OpenCall c = byClient.get(call);
+        PendingCall c = byClient.get(call);
         if (c == null) {
             return;
         }
@@ -170,23 +177,23 @@
             c.attempts.stream().filter(a -> !a.ended && a.stream != null).forEach(a -> a.stream.cancel());
             return;
         }
-        answered(c, Count.LEFT, "left", null);
+        answered(c, Counter.CLIENT_CANCELLED, "left", null);
         dispatcher.get().onClientCancelled(thread.now(), c.id);
-        for (LiveAttempt a : List.copyOf(c.attempts)) {
+        for (PendingAttempt a : List.copyOf(c.attempts)) {
             if (!a.ended && (cancelAll || a.stream != null)) {
                 end(a, Outcome.CANCELLED);
             } else if (!a.ended) {
-                a.sent.withdraw(); // what still waits for a connection is for nobody now
+                a.sent.cancelIfUnsent(); // what still waits for a connection is for nobody now
             }
         }
         forget(c);
     }
 
     /** The dispatcher ends a call without a worker's answer. */
-    void finalAnswer(String id, FinalAnswer answer, long coolDownNanos, Count as) {
-        OpenCall c = calls.get(id);
+    void finalAnswer(String id, FinalAnswer answer, long coolDownNanos, Counter as) {
+        PendingCall c = calls.get(id);
         if (c != null && !c.answered) {
-            c.call.responder().ended(answer, coolDownNanos, c.facts(null, "not-sent", false));
+            c.call.responseSink().sendError(answer, coolDownNanos, c.facts(null, "not-sent", false));
             answered(c, as, answer.word(), "not-sent");
             forget(c);
         }
@@ -194,11 +201,11 @@
 
     /** Gives every open call its final answer and resets what is out; begun streams belong to their clients. */
     int endAll(String why, boolean streamsToo) {
-        List<OpenCall> all = new ArrayList<>(calls.values());
+        List<PendingCall> all = new ArrayList<>(calls.values());
         int ended = 0;
         ending = true;
-        for (OpenCall c : all) {
-            for (LiveAttempt a : c.attempts) {
+        for (PendingCall c : all) {
+            for (PendingAttempt a : c.attempts) {
                 if (!a.ended && (a.stream == null || streamsToo)) {
                     a.ended = true;
                     a.sent.cancel();
@@ -207,8 +214,8 @@
             if (!c.answered) {
                 ended++;
                 FinalAnswer answer = c.attempts.isEmpty() ? FinalAnswer.REFUSED : FinalAnswer.FAILED;
-                c.call.responder().ended(answer, 0, c.facts(null, why, false));
-                Count as = answer == FinalAnswer.REFUSED ? Count.REFUSED : Count.FAILED;
+                c.call.responseSink().sendError(answer, 0, c.facts(null, why, false));
+                Counter as = answer == FinalAnswer.REFUSED ? Counter.REJECTED : Counter.FAILED;
                 answered(c, as, answer.word(), why);
             }
         }
@@ -218,7 +225,7 @@
         return ended;
     }
 
-    private void answered(OpenCall c, Count as, String answer, String why) {
+    private void answered(PendingCall c, Counter as, String answer, String why) {
         c.answered = true;
         stats.add(as);
         handOver.ended();
@@ -227,9 +234,9 @@
             handOver.leftDoor(c.call.head().tenant(), doorEnding(as), tookNanos, aims.get(c.call.requestClass()));
         }
         ReferenceCountUtil.release(c.call.body());
-        if (log.wantsAnswers()) {
+        if (log.isAccessLogEnabled()) {
             List<String> trail = c.trail();
-            log.answered(new AnswerLog.Line(
+            log.onAnswered(new AccessLog.Entry(
                     c.outerId(),
                     c.call.head().function(),
                     c.call.requestClass(),
@@ -241,15 +248,15 @@
         whenFewer.run();
     }
 
-    private static DoorDecisions.Ending doorEnding(Count as) {
+    private static AdmissionController.CallEnd doorEnding(Counter as) {
         return switch (as) {
-            case SERVED -> DoorDecisions.Ending.ANSWERED;
-            case REFUSED -> DoorDecisions.Ending.REFUSED;
-            default -> DoorDecisions.Ending.OTHERWISE;
+            case SERVED -> AdmissionController.CallEnd.ANSWERED;
+            case REJECTED -> AdmissionController.CallEnd.REFUSED;
+            default -> AdmissionController.CallEnd.OTHERWISE;
         };
     }
 
-    private void forget(OpenCall c) {
+    private void forget(PendingCall c) {
         if (c.answered && c.live == 0) {
             calls.remove(c.id, c);
             byClient.remove(c.call, c);
--- a/gateway/src/main/java/wharfhinge/gateway/loop/NoDecisions.java
+++ b/engine/src/main/java/wharfhinge/engine/RejectingDispatcher.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import java.util.List;
 import wharfhinge.policy.AttemptCompletion;
@@ -10,10 +10,10 @@
 import wharfhinge.policy.Request;
 
 /** Stands in while no dispatcher could be made: every call is refused at once, so that each still has its answer. */
-final class NoDecisions implements Dispatcher {
+final class RejectingDispatcher implements Dispatcher {
     private final DispatcherActions actions;
 
-    NoDecisions(DispatcherActions actions) {
+    RejectingDispatcher(DispatcherActions actions) {
         this.actions = actions;
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/Slf4jAnswerLog.java
+++ b/engine/src/main/java/wharfhinge/engine/Slf4jAccessLog.java
@@ -1,12 +1,11 @@
-package wharfhinge.gateway;
+package wharfhinge.engine;
 
 import java.util.concurrent.atomic.LongAdder;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wharfhinge.gateway.loop.AnswerLog;
 
 /** Final answers, remarks and restarts as log lines with fields. */
-public final class Slf4jAnswerLog implements AnswerLog {
+public final class Slf4jAccessLog implements AccessLog {
     private static final Logger ANSWERS = LoggerFactory.getLogger("wharfhinge.answers");
     private static final Logger REMARKS = LoggerFactory.getLogger("wharfhinge.remarks");
     private static final Logger LOOP = LoggerFactory.getLogger("wharfhinge.loop");
@@ -19,21 +18,22 @@
     private int droppedInSecond;
 
     /** At most so many remarks a second. */
-    public Slf4jAnswerLog(int remarksPerS) {
+    public Slf4jAccessLog(int remarksPerS) {
         this.remarksPerS = remarksPerS;
     }
 
-    long dropped() {
+    /** Diagnostics that were over the rate and so not logged. */
+    public long dropped() {
         return dropped.sum();
     }
 
     @Override
-    public boolean wantsAnswers() {
+    public boolean isAccessLogEnabled() {
         return ANSWERS.isInfoEnabled();
     }
 
     @Override
-    public void answered(Line line) {
+    public void onAnswered(Entry line) {
         ANSWERS.atInfo()
                 .addKeyValue("call", line.call())
                 .addKeyValue("function", line.function())
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void remark(String text) {
+    public void onDiagnostic(String text) {
         long now = System.nanoTime() / SECOND;
         if (now != second) {
             if (droppedInSecond > 0) {
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void restarted(String event, Throwable cause, int callsEnded) {
+    public void onDispatcherRestarted(String event, Throwable cause, int callsEnded) {
         LOOP.error("the decisions threw on {}; {} open calls were ended, a new life begins", event, callsEnded, cause);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/loop/StepJournal.java
+++ b/engine/src/main/java/wharfhinge/engine/StepJournal.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.loop;
+package wharfhinge.engine;
 
 import wharfhinge.decisions.chain.FinishedSteps;
 
@@ -7,7 +7,7 @@
     /** Keeps nothing. */
     StepJournal NONE = new StepJournal() {
         @Override
-        public boolean finished(
+        public boolean recordStep(
                 String tenant,
                 String key,
                 String digest,
@@ -19,7 +19,7 @@
         }
 
         @Override
-        public void restore(Restored to) {}
+        public void restore(RestoredStepListener to) {}
 
         @Override
         public void close() {}
@@ -27,9 +27,9 @@
 
     /** Takes what was kept. */
     @FunctionalInterface
-    interface Restored {
+    interface RestoredStepListener {
         /** A step that was finished {@code ageNs} ago. */
-        void step(
+        void onStepRestored(
                 long ageNanos,
                 String tenant,
                 String key,
@@ -45,11 +45,11 @@
      * @param kept run on another thread once a killed process would not lose it, or once it is known that it can't be kept
      * @return false where it is not kept; {@code kept} is then never run
      */
-    boolean finished(
+    boolean recordStep(
             String tenant, String key, String digest, int steps, int step, FinishedSteps.Answer answer, Runnable kept);
 
     /** Tells all that is kept, before the first chain. */
-    void restore(Restored to);
+    void restore(RestoredStepListener to);
 
     @Override
     void close();
--- a/gateway/src/main/java/wharfhinge/gateway/CapturedDecisions.java
+++ b/gateway/src/main/java/wharfhinge/gateway/CapturedDecisions.java
@@ -8,7 +8,7 @@
 import wharfhinge.capture.HashedNames;
 import wharfhinge.capture.Recorder;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.policy.Dispatcher;
 import wharfhinge.policy.DispatcherActions;
 import wharfhinge.policy.DispatcherSettings;
@@ -57,7 +57,7 @@
     }
 
     @Override
-    public void named(long now, String id, String outer) {
+    public void onRequestNamed(long now, String id, String outer) {
         if (recorder != null) {
             recorder.named(now, id, outer);
         }
--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -26,18 +26,21 @@
 import java.util.function.BiFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import wharfhinge.config.ChainConfig;
 import wharfhinge.config.GatewayConfig;
+import wharfhinge.engine.DispatchEngine;
+import wharfhinge.engine.DispatcherFactory;
+import wharfhinge.engine.EndpointSource;
+import wharfhinge.engine.EngineSettings;
+import wharfhinge.engine.PeerTransport;
+import wharfhinge.engine.Slf4jAccessLog;
+import wharfhinge.engine.StepJournal;
+import wharfhinge.gateway.discovery.HttpRoster;
+import wharfhinge.gateway.discovery.RememberedList;
 import wharfhinge.gateway.front.Front;
 import wharfhinge.gateway.front.Intake;
 import wharfhinge.gateway.front.StatusPage;
 import wharfhinge.gateway.grpc.GrpcFront;
-import wharfhinge.gateway.loop.DecisionLoop;
-import wharfhinge.gateway.loop.DispatcherFactory;
-import wharfhinge.gateway.loop.PeerLink;
-import wharfhinge.gateway.loop.StepJournal;
-import wharfhinge.gateway.roster.FleetSource;
-import wharfhinge.gateway.roster.HttpRoster;
-import wharfhinge.gateway.roster.RememberedList;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.gateway.tls.Tls;
 import wharfhinge.gateway.tls.Tokens;
@@ -55,13 +58,13 @@
     private final EventLoopGroup acceptor;
     private final EventLoopGroup group;
     private final HttpWorkers workers;
-    private final FleetSource source;
+    private final EndpointSource source;
     private final RememberedList remembered;
     private final StepJournal journal;
     private final CapturedDecisions captured;
-    private final DecisionLoop loop;
+    private final DispatchEngine loop;
     private final Front front;
-    private final Slf4jAnswerLog log;
+    private final Slf4jAccessLog log;
     private final UdpPeers peers;
     private final Thread thread;
     private final Object life = new Object(); // held by whoever rehearses, starts or stops
@@ -72,9 +75,22 @@
     private InetSocketAddress grpcAddress;
     private Rehearsal.Played rehearsed = new Rehearsal.Played(0, 0, 0);
 
+    /** What the engine reads of a gateway's settings. */
+    static EngineSettings engineSettings(GatewayConfig config) {
+        ChainConfig chains = config.chains();
+        return new EngineSettings(
+                config.seed(),
+                config.settings(),
+                config.clients().maxOpen(),
+                config.clients().handOver(),
+                config.door(),
+                new EngineSettings.Chains(
+                        chains.settings(), chains.resumeWindowNanos(), chains.resumeKeys(), chains.resumeBytes()));
+    }
+
     /** A gateway whose list comes from the roster of its settings. */
     public Gateway(GatewayConfig config) throws InterruptedException {
-        this(config, DispatcherFactory.CHOICE, null);
+        this(config, DispatcherFactory.CACHE_AWARE, null);
     }
 
     /**
@@ -85,7 +101,7 @@
     public Gateway(
             GatewayConfig config,
             DispatcherFactory decisions,
-            BiFunction<EventLoopGroup, Class<? extends Channel>, FleetSource> sourceOf)
+            BiFunction<EventLoopGroup, Class<? extends Channel>, EndpointSource> sourceOf)
             throws InterruptedException {
         this.config = config;
         boolean epoll = Epoll.isAvailable();
@@ -96,23 +112,23 @@
         workers = new HttpWorkers(config, group, channel, System::nanoTime);
         source = sourceOf == null ? new HttpRoster(config, group, channel) : sourceOf.apply(group, channel);
         remembered = new RememberedList(config.roster().remembered(), System::currentTimeMillis);
-        log = new Slf4jAnswerLog(config.log().remarksPerS());
-        AtomicReference<PeerLink> link = new AtomicReference<>(PeerLink.NONE);
+        log = new Slf4jAccessLog(config.log().remarksPerS());
+        AtomicReference<PeerTransport> link = new AtomicReference<>(PeerTransport.NONE);
         journal = config.chains().resumeFile() == null
                 ? StepJournal.NONE
                 : new MvStepJournal(
                         config.chains().resumeFile(), config.chains().resumeWindowNanos(), System::currentTimeMillis);
         captured = config.capture() == null ? null : new CapturedDecisions(decisions, config.name(), config.capture());
-        loop = new DecisionLoop(
-                config,
+        loop = new DispatchEngine(
+                engineSettings(config),
                 captured == null ? decisions : captured,
                 workers,
                 source,
-                (peer, payload) -> link.get().publish(peer, payload),
+                (peer, payload) -> link.get().send(peer, payload),
                 journal,
                 log,
                 System::nanoTime);
-        BiConsumer<Integer, byte[]> inbox = loop::inbox;
+        BiConsumer<Integer, byte[]> inbox = loop::onPeerMessage;
         Class<? extends DatagramChannel> datagrams = epoll ? EpollDatagramChannel.class : NioDatagramChannel.class;
         peers = config.peers().isEmpty()
                 ? null
@@ -182,11 +198,11 @@
                     "remembered list of revision {} with {} workers",
                     list.revision(),
                     list.entries().size());
-            loop.fleet(list);
+            loop.onEndpointUpdate(list);
         });
         thread.start();
         source.start(update -> {
-            loop.fleet(update);
+            loop.onEndpointUpdate(update);
             remembered.update(update);
         });
         address = front.listen(acceptor, group, server);
@@ -217,13 +233,13 @@
 
     /** What it counts. */
     public Map<String, Long> figures() {
-        Map<String, Long> figures = new LinkedHashMap<>(loop.stats().figures());
-        figures.putAll(loop.chainFigures());
-        figures.putAll(loop.doorFigures());
+        Map<String, Long> figures = new LinkedHashMap<>(loop.metrics().snapshot());
+        figures.putAll(loop.chainMetrics());
+        figures.putAll(loop.admissionMetrics());
         figures.put("ready", 1L); // nobody could read it before
         figures.put("rehearsed_calls", rehearsed.calls());
         figures.put("rehearsed_ms", rehearsed.tookMillis());
-        figures.put("open_calls", (long) loop.open());
+        figures.put("open_calls", (long) loop.pendingCalls());
         figures.put("connections", (long) front.connections());
         figures.put("connections_turned_away", front.turnedAway());
         figures.put("remarks_dropped", log.dropped());
@@ -234,7 +250,7 @@
     }
 
     /** The loop, for those who put a gateway into a program of their own. */
-    public DecisionLoop loop() {
+    public DispatchEngine loop() {
         return loop;
     }
 
@@ -257,13 +273,13 @@
 
     private int end() throws InterruptedException {
         long within = config.clients().stopWithinNanos();
-        LOG.info("gateway {} stops: {} calls open", config.name(), loop.open());
+        LOG.info("gateway {} stops: {} calls open", config.name(), loop.pendingCalls());
         front.finish(); // first: clients go elsewhere, and what is on its way meanwhile is still taken
         if (grpc != null) {
             grpc.finish();
         }
         TimeUnit.MILLISECONDS.sleep(LINGER_MS);
-        var closed = loop.close(within);
+        var closed = loop.shutdown(within);
         int ended = 0;
         try {
             ended = closed.get(within + TimeUnit.SECONDS.toNanos(1), TimeUnit.NANOSECONDS);
--- a/gateway/src/main/java/wharfhinge/gateway/MvStepJournal.java
+++ b/gateway/src/main/java/wharfhinge/gateway/MvStepJournal.java
@@ -18,7 +18,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wharfhinge.decisions.chain.FinishedSteps;
-import wharfhinge.gateway.loop.StepJournal;
+import wharfhinge.engine.StepJournal;
 
 /**
  * Finished steps in an MVStore file. A thread of its own writes and commits in batches, and says of each step that it is kept only
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public boolean finished(
+    public boolean recordStep(
             String tenant, String key, String digest, int count, int step, FinishedSteps.Answer answer, Runnable kept) {
         if (over) {
             return false;
@@ -137,7 +137,7 @@
     }
 
     @Override
-    public void restore(Restored to) {
+    public void restore(RestoredStepListener to) {
         for (byte[] value : List.copyOf(steps.values())) {
             try {
                 DataInputStream in = new DataInputStream(new ByteArrayInputStream(value));
@@ -150,7 +150,7 @@
                 String type = in.readUTF();
                 byte[] body = new byte[in.readInt()];
                 in.readFully(body);
-                to.step(
+                to.onStepRestored(
                         age * 1_000_000,
                         tenant,
                         key,
--- a/gateway/src/main/java/wharfhinge/gateway/Rehearsal.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Rehearsal.java
@@ -32,16 +32,16 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 import wharfhinge.config.GatewayConfig;
+import wharfhinge.engine.AccessLog;
+import wharfhinge.engine.DispatchEngine;
+import wharfhinge.engine.DispatcherFactory;
+import wharfhinge.engine.EndpointSource;
+import wharfhinge.engine.EndpointUpdate;
+import wharfhinge.engine.PeerTransport;
+import wharfhinge.engine.StepJournal;
 import wharfhinge.gateway.front.Front;
 import wharfhinge.gateway.front.Intake;
 import wharfhinge.gateway.front.StatusPage;
-import wharfhinge.gateway.loop.AnswerLog;
-import wharfhinge.gateway.loop.DecisionLoop;
-import wharfhinge.gateway.loop.DispatcherFactory;
-import wharfhinge.gateway.loop.PeerLink;
-import wharfhinge.gateway.loop.StepJournal;
-import wharfhinge.gateway.roster.FleetSource;
-import wharfhinge.gateway.roster.FleetUpdate;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.gateway.upstream.HttpWorkers;
 import wharfhinge.policy.DispatcherSettings;
@@ -117,25 +117,25 @@
             for (int i = 0; i < WORKERS; i++) {
                 stage.add(worker(acceptor, server));
             }
-            DecisionLoop loop = new DecisionLoop(
-                    config,
-                    DispatcherFactory.CHOICE,
+            DispatchEngine loop = new DispatchEngine(
+                    Gateway.engineSettings(config),
+                    DispatcherFactory.CACHE_AWARE,
                     workers,
-                    FleetSource.pushedBy(updates -> {}),
-                    PeerLink.NONE,
+                    EndpointSource.pushedBy(updates -> {}),
+                    PeerTransport.NONE,
                     StepJournal.NONE,
-                    AnswerLog.NONE,
+                    AccessLog.NONE,
                     System::nanoTime);
             Thread thread = new Thread(loop, "rehearsal");
             thread.setDaemon(true);
             thread.start();
-            loop.fleet(new FleetUpdate(EndpointUpdateMode.FULL, 1, fleet(stage)));
+            loop.onEndpointUpdate(new EndpointUpdate(EndpointUpdateMode.FULL, 1, fleet(stage)));
             Front front = new Front(
                     config, new Intake(config, loop, new Identity(null, false)), new StatusPage(Map::of), null);
             clients(front.listen(acceptor, group, server));
             front.finish();
             try {
-                loop.close(0).get(WITHIN_S, TimeUnit.SECONDS);
+                loop.shutdown(0).get(WITHIN_S, TimeUnit.SECONDS);
             } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
                 thread.interrupt(); // it serves nobody
             }
--- a/gateway/src/main/java/wharfhinge/gateway/UdpPeers.java
+++ b/gateway/src/main/java/wharfhinge/gateway/UdpPeers.java
@@ -13,13 +13,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import wharfhinge.gateway.loop.PeerLink;
+import wharfhinge.engine.PeerTransport;
 
 /**
  * Short messages between gateways, a datagram each: {@code WHP1}, the sender's number in four bytes, then at most 256
  * bytes. They may be lost or doubled, and anyone who reaches the port can forge one: they are hints, never facts.
  */
-final class UdpPeers implements PeerLink, AutoCloseable {
+final class UdpPeers implements PeerTransport, AutoCloseable {
     private static final int MAGIC = 0x57485031;
     private static final int MOST_BYTES = 256;
 
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public void publish(int peer, byte[] payload) {
+    public void send(int peer, byte[] payload) {
         if (payload.length > MOST_BYTES) {
             throw new IllegalArgumentException("a message of " + payload.length + " bytes, allowed: " + MOST_BYTES);
         }
--- a/gateway/src/main/java/wharfhinge/gateway/roster/HttpRoster.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/HttpRoster.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.roster;
+package wharfhinge.gateway.discovery;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
@@ -26,6 +26,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wharfhinge.config.GatewayConfig;
+import wharfhinge.engine.EndpointSource;
+import wharfhinge.engine.EndpointUpdate;
 import wharfhinge.policy.Discovery;
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.ProtocolException;
@@ -37,7 +39,7 @@
  * A roster over HTTP: one stream of revisions, opened again whenever it ends, is silent or makes no sense. All of it
  * runs on one event loop. While no stream stands, the list held goes on to hold.
  */
-public final class HttpRoster implements FleetSource {
+public final class HttpRoster implements EndpointSource {
     private static final Logger LOG = LoggerFactory.getLogger(HttpRoster.class);
 
     private final GatewayConfig config;
@@ -45,7 +47,7 @@
     private final Bootstrap bootstrap;
     private final Random random;
     private final RosterView view = new RosterView();
-    private Consumer<FleetUpdate> updates = update -> {};
+    private Consumer<EndpointUpdate> updates = update -> {};
     private Channel channel;
     private boolean wanted;
     private boolean whole = true;
@@ -65,7 +67,7 @@
     }
 
     @Override
-    public void start(Consumer<FleetUpdate> to) {
+    public void start(Consumer<EndpointUpdate> to) {
         loop.execute(() -> {
             updates = to;
             if (config.settings().discovery() == Discovery.PUSHED) {
@@ -77,7 +79,7 @@
 
     /** On subscribing anew, the whole list answers. */
     @Override
-    public void listen(boolean on) {
+    public void watch(boolean on) {
         loop.execute(() -> {
             wanted = on;
             if (channel != null) {
@@ -91,7 +93,7 @@
     }
 
     @Override
-    public void reload() {
+    public void refresh() {
         loop.execute(() -> {
             answerOwed = true;
             if (channel != null) {
@@ -147,7 +149,7 @@
         if (answerOwed && config.settings().discovery() == Discovery.ON_REQUEST) {
             answerOwed = false;
             wanted = false;
-            updates.accept(new FleetUpdate(EndpointUpdateMode.REJECTED, Math.max(0, view.held()), List.of()));
+            updates.accept(new EndpointUpdate(EndpointUpdateMode.REJECTED, Math.max(0, view.held()), List.of()));
         } else if (wanted) {
             boolean all = whole;
             loop.schedule(
--- a/gateway/src/main/java/wharfhinge/gateway/roster/RememberedList.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/RememberedList.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.roster;
+package wharfhinge.gateway.discovery;
 
 import io.netty.buffer.Unpooled;
 import java.io.IOException;
@@ -22,6 +22,7 @@
 import java.util.zip.CRC32C;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import wharfhinge.engine.EndpointUpdate;
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.ProtocolException;
 import wharfhinge.protocol.RosterDecoder;
@@ -57,7 +58,7 @@
     }
 
     /** The list as last held; empty where there is none or it is damaged, which is logged. */
-    public synchronized Optional<FleetUpdate> read() {
+    public synchronized Optional<EndpointUpdate> read() {
         if (!Files.exists(file)) {
             return Optional.empty();
         }
@@ -84,8 +85,8 @@
             }
             List<RosterEntry> aged =
                     frames.get(0).entries().stream().map(e -> aged(e, passed)).toList();
-            FleetUpdate update =
-                    new FleetUpdate(EndpointUpdateMode.SNAPSHOT, frames.get(0).revision(), aged);
+            EndpointUpdate update = new EndpointUpdate(
+                    EndpointUpdateMode.SNAPSHOT, frames.get(0).revision(), aged);
             take(update);
             return Optional.of(update);
         } catch (IOException | ProtocolException | NumberFormatException e) {
@@ -95,7 +96,7 @@
     }
 
     /** Takes news of the fleet and has the list written soon. */
-    public synchronized void update(FleetUpdate update) {
+    public synchronized void update(EndpointUpdate update) {
         if (update.mode() == EndpointUpdateMode.REJECTED) {
             return;
         }
@@ -105,7 +106,7 @@
         }
     }
 
-    private void take(FleetUpdate update) {
+    private void take(EndpointUpdate update) {
         revision = update.revision();
         if (update.mode() != EndpointUpdateMode.INCREMENTAL) {
             entries.clear();
--- a/gateway/src/main/java/wharfhinge/gateway/roster/RosterView.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/RosterView.java
@@ -1,6 +1,7 @@
-package wharfhinge.gateway.roster;
+package wharfhinge.gateway.discovery;
 
 import java.util.Optional;
+import wharfhinge.engine.EndpointUpdate;
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterFrame;
 
@@ -10,7 +11,7 @@
     private long held = NONE;
 
     /** What a frame leads to: an update to tell, or the whole list to ask for; neither where it is nothing new. */
-    record Step(Optional<FleetUpdate> update, boolean askWhole) {
+    record Step(Optional<EndpointUpdate> update, boolean askWhole) {
         private static final Step NOTHING = new Step(Optional.empty(), false);
         private static final Step ASK = new Step(Optional.empty(), true);
     }
@@ -33,6 +34,6 @@
 
     private Step tell(EndpointUpdateMode mode, RosterFrame frame) {
         held = frame.revision();
-        return new Step(Optional.of(new FleetUpdate(mode, held, frame.entries())), false);
+        return new Step(Optional.of(new EndpointUpdate(mode, held, frame.entries())), false);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/front/CallHandler.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/CallHandler.java
@@ -22,10 +22,10 @@
 import io.netty.util.ReferenceCountUtil;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
-import wharfhinge.gateway.loop.ChainCall;
-import wharfhinge.gateway.loop.ClientCall;
-import wharfhinge.gateway.loop.DecisionLoop;
-import wharfhinge.gateway.loop.Responder;
+import wharfhinge.engine.ChainCall;
+import wharfhinge.engine.ClientCall;
+import wharfhinge.engine.DispatchEngine;
+import wharfhinge.engine.ResponseSink;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
@@ -130,7 +130,7 @@
         long deadline = head.deadlineMillis() == 0
                 ? type.maxDeadlineNanos()
                 : Math.min(head.deadlineMillis() * MS, type.maxDeadlineNanos());
-        Responder responder = new HttpResponder(ctx, () -> answered(ctx), () -> closing && !http2);
+        ResponseSink responder = new HttpResponder(ctx, () -> answered(ctx), () -> closing && !http2);
         open = new ClientCall(
                 head,
                 type.name(),
@@ -139,8 +139,8 @@
                 request.content(),
                 request.headers().get(HttpHeaderNames.CONTENT_TYPE),
                 responder);
-        DecisionLoop.Offered offered = intake.loop().offer(open);
-        if (offered.taken() != DecisionLoop.Taken.TAKEN) {
+        DispatchEngine.SubmissionResult offered = intake.loop().submit(open);
+        if (offered.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
             request.release();
             notTaken(responder, offered);
         }
@@ -180,17 +180,17 @@
             reply(ctx, status(who.fault()), who.why(), true);
             return;
         }
-        self[0] = self[0].of(who.tenant());
+        self[0] = self[0].withTenant(who.tenant());
         openChain = self[0];
-        DecisionLoop.Offered offered = intake.loop().offer(openChain);
-        if (offered.taken() != DecisionLoop.Taken.TAKEN) {
+        DispatchEngine.SubmissionResult offered = intake.loop().submit(openChain);
+        if (offered.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
             notTaken(responder, offered);
         }
     }
 
-    private void notTaken(Responder responder, DecisionLoop.Offered offered) {
-        closing |= offered.taken() == DecisionLoop.Taken.CLOSING;
-        responder.ended(FinalAnswer.REFUSED, offered.comeBackNanos(), Intake.notTaken(offered));
+    private void notTaken(ResponseSink responder, DispatchEngine.SubmissionResult offered) {
+        closing |= offered.status() == DispatchEngine.SubmissionStatus.SHUTTING_DOWN;
+        responder.sendError(FinalAnswer.REFUSED, offered.retryAfterNanos(), Intake.notTaken(offered));
     }
 
     private void answered(ChannelHandlerContext ctx) {
@@ -251,11 +251,11 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
         if (open != null) {
-            intake.loop().clientLeft(open);
+            intake.loop().onClientCancelled(open);
             open = null;
         }
         if (openChain != null) {
-            intake.loop().clientLeft(openChain);
+            intake.loop().onClientCancelled(openChain);
             openChain = null;
         }
         next.forEach(ReferenceCountUtil::release);
--- a/gateway/src/main/java/wharfhinge/gateway/front/ChainJson.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ChainJson.java
@@ -29,8 +29,8 @@
 import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.decisions.chain.ChainPlan;
 import wharfhinge.decisions.chain.ChainPlan.InvalidPlanException;
-import wharfhinge.gateway.loop.ChainCall;
-import wharfhinge.gateway.loop.ChainCall.StepAnswer;
+import wharfhinge.engine.ChainCall;
+import wharfhinge.engine.ChainCall.StepAnswer;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 
--- a/gateway/src/main/java/wharfhinge/gateway/front/HttpResponder.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/HttpResponder.java
@@ -19,13 +19,13 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import wharfhinge.decisions.chain.ChainEnd;
-import wharfhinge.gateway.loop.Responder;
-import wharfhinge.gateway.loop.WorkerSide;
+import wharfhinge.engine.ResponseSink;
+import wharfhinge.engine.WorkerTransport;
 import wharfhinge.protocol.ClientProtocol;
 import wharfhinge.protocol.FinalAnswer;
 
 /** Writes one call's answer to its client; each method hands over to the connection's I/O thread. */
-final class HttpResponder implements Responder {
+final class HttpResponder implements ResponseSink {
     private static final long MS = 1_000_000L;
 
     private final ChannelHandlerContext ctx;
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void served(ByteBuf body, CharSequence contentType, Facts facts) {
+    public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata facts) {
         ctx.executor().execute(() -> {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body == null ? Unpooled.EMPTY_BUFFER : body);
@@ -50,9 +50,9 @@
     }
 
     @Override
-    public void ended(FinalAnswer answer, long coolDownNanos, Facts facts) {
+    public void sendError(FinalAnswer answer, long coolDownNanos, ResponseMetadata facts) {
         ctx.executor().execute(() -> {
-            String text = answer.word() + ": " + String.join(", ", facts.trail()) + '\n';
+            String text = answer.word() + ": " + String.join(", ", facts.attemptSummaries()) + '\n';
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
@@ -83,7 +83,7 @@
                     response.headers(),
                     answer,
                     HttpHeaderValues.APPLICATION_JSON,
-                    new Facts(
+                    new ResponseMetadata(
                             null,
                             end.reason().isEmpty() ? List.of() : List.of(end.reason()),
                             (int) end.steps().stream()
@@ -94,7 +94,7 @@
         });
     }
 
-    private void head(HttpHeaders headers, FinalAnswer answer, CharSequence contentType, Facts facts) {
+    private void head(HttpHeaders headers, FinalAnswer answer, CharSequence contentType, ResponseMetadata facts) {
         headers.set(ClientProtocol.ANSWER, answer.word()).setInt(ClientProtocol.ATTEMPTS, facts.attempts());
         if (last.getAsBoolean()) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
@@ -102,8 +102,8 @@
         if (facts.worker() != null) {
             headers.set(ClientProtocol.WORKER, facts.worker());
         }
-        if (!facts.trail().isEmpty()) {
-            headers.set(ClientProtocol.REASON, String.join(", ", facts.trail()));
+        if (!facts.attemptSummaries().isEmpty()) {
+            headers.set(ClientProtocol.REASON, String.join(", ", facts.attemptSummaries()));
         }
         if (contentType != null) {
             headers.set(HttpHeaderNames.CONTENT_TYPE, contentType);
@@ -118,16 +118,16 @@
     }
 
     @Override
-    public void streams(WorkerSide.Stream stream, Facts facts) {
+    public void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata facts) {
         ctx.executor().execute(() -> {
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             head(response.headers(), FinalAnswer.SERVED, stream.contentType(), facts);
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             ctx.writeAndFlush(response);
         });
-        stream.flowTo(new WorkerSide.Sink() {
+        stream.subscribe(new WorkerTransport.StreamConsumer() {
             @Override
-            public void data(ByteBuf part, Runnable taken) {
+            public void onData(ByteBuf part, Runnable taken) {
                 ctx.executor().execute(() -> {
                     if (!ctx.channel().isActive()) {
                         ReferenceCountUtil.release(part);
@@ -138,7 +138,7 @@
             }
 
             @Override
-            public void end(boolean whole) {
+            public void onEnd(boolean whole) {
                 ctx.executor().execute(() -> {
                     if (whole) {
                         ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
--- a/gateway/src/main/java/wharfhinge/gateway/front/Intake.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/Intake.java
@@ -2,12 +2,11 @@
 
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import javax.net.ssl.SSLSession;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.gateway.loop.DecisionLoop;
-import wharfhinge.gateway.loop.Responder;
+import wharfhinge.engine.DispatchEngine;
+import wharfhinge.engine.ResponseSink;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
@@ -16,14 +15,14 @@
 
 /** What is done with a client's call whichever protocol it came by: its class, its tenant, its way to the loop. Any thread may ask. */
 public final class Intake {
-    private final DecisionLoop loop;
+    private final DispatchEngine loop;
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
     private final RequestClass only;
     private final ChainJson chains;
     private final Identity identity;
 
     /** For one gateway. */
-    public Intake(GatewayConfig config, DecisionLoop loop, Identity identity) {
+    public Intake(GatewayConfig config, DispatchEngine loop, Identity identity) {
         this.loop = loop;
         this.identity = identity;
         List<RequestClass> all = config.settings().classes();
@@ -33,7 +32,7 @@
     }
 
     /** Where calls go. */
-    public DecisionLoop loop() {
+    public DispatchEngine loop() {
         return loop;
     }
 
@@ -58,12 +57,8 @@
     }
 
     /** What a client is told of a call that was not taken. */
-    public static Responder.Facts notTaken(DecisionLoop.Offered offered) {
-        return new Responder.Facts(
-                null,
-                List.of("not-taken:"
-                        + offered.taken().name().toLowerCase(Locale.ROOT).replace('_', '-')),
-                0,
-                false);
+    public static ResponseSink.ResponseMetadata notTaken(DispatchEngine.SubmissionResult offered) {
+        return new ResponseSink.ResponseMetadata(
+                null, List.of("not-taken:" + offered.status().word()), 0, false);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
@@ -16,13 +16,13 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import wharfhinge.decisions.chain.ChainEnd;
+import wharfhinge.engine.ChainCall;
+import wharfhinge.engine.ClientCall;
+import wharfhinge.engine.DispatchEngine;
+import wharfhinge.engine.ResponseSink;
+import wharfhinge.engine.WorkerTransport;
 import wharfhinge.gateway.front.ChainJson;
 import wharfhinge.gateway.front.Intake;
-import wharfhinge.gateway.loop.ChainCall;
-import wharfhinge.gateway.loop.ClientCall;
-import wharfhinge.gateway.loop.DecisionLoop;
-import wharfhinge.gateway.loop.Responder;
-import wharfhinge.gateway.loop.WorkerSide;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
@@ -94,11 +94,11 @@
                 body,
                 request.getContentType().isEmpty() ? null : request.getContentType(),
                 answer);
-        to.setOnCancelHandler(() -> intake.loop().clientLeft(call));
-        DecisionLoop.Offered offered = intake.loop().offer(call);
-        if (offered.taken() != DecisionLoop.Taken.TAKEN) {
+        to.setOnCancelHandler(() -> intake.loop().onClientCancelled(call));
+        DispatchEngine.SubmissionResult offered = intake.loop().submit(call);
+        if (offered.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
             ReferenceCountUtil.release(body);
-            answer.ended(FinalAnswer.REFUSED, offered.comeBackNanos(), Intake.notTaken(offered));
+            answer.sendError(FinalAnswer.REFUSED, offered.retryAfterNanos(), Intake.notTaken(offered));
         }
     }
 
@@ -134,12 +134,12 @@
         return answer == FinalAnswer.REFUSED ? Status.UNAVAILABLE : Status.UNKNOWN;
     }
 
-    private static Metadata trailers(FinalAnswer answer, long coolDownNanos, Responder.Facts facts) {
+    private static Metadata trailers(FinalAnswer answer, long coolDownNanos, ResponseSink.ResponseMetadata facts) {
         Metadata trailers = new Metadata();
         trailers.put(GrpcProtocol.ANSWER, answer.word());
         trailers.put(GrpcProtocol.ATTEMPTS, Integer.toString(facts.attempts()));
-        if (!facts.trail().isEmpty()) {
-            trailers.put(GrpcProtocol.REASON, String.join(", ", facts.trail()));
+        if (!facts.attemptSummaries().isEmpty()) {
+            trailers.put(GrpcProtocol.REASON, String.join(", ", facts.attemptSummaries()));
         }
         if (coolDownNanos > 0) {
             trailers.put(GrpcProtocol.RETRY_AFTER_MS, Long.toString(Math.max(1, coolDownNanos / MS)));
@@ -167,14 +167,14 @@
             to.onError(status(who).asRuntimeException());
             return;
         }
-        self[0] = self[0].of(who.tenant());
-        observer.setOnCancelHandler(() -> intake.loop().clientLeft(self[0]));
-        DecisionLoop.Offered offered = intake.loop().offer(self[0]);
-        if (offered.taken() != DecisionLoop.Taken.TAKEN) {
+        self[0] = self[0].withTenant(who.tenant());
+        observer.setOnCancelHandler(() -> intake.loop().onClientCancelled(self[0]));
+        DispatchEngine.SubmissionResult offered = intake.loop().submit(self[0]);
+        if (offered.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
             to.onError(Status.UNAVAILABLE
                     .withDescription("refused")
                     .asRuntimeException(
-                            trailers(FinalAnswer.REFUSED, offered.comeBackNanos(), Intake.notTaken(offered))));
+                            trailers(FinalAnswer.REFUSED, offered.retryAfterNanos(), Intake.notTaken(offered))));
         }
     }
 
@@ -191,13 +191,14 @@
         Metadata trailers = trailers(
                 answer,
                 0,
-                new Responder.Facts(null, end.reason().isEmpty() ? List.of() : List.of(end.reason()), 0, false));
+                new ResponseSink.ResponseMetadata(
+                        null, end.reason().isEmpty() ? List.of() : List.of(end.reason()), 0, false));
         trailers.put(GrpcProtocol.CHAIN, json);
         to.onError(status(answer).withDescription(answer.word()).asRuntimeException(trailers));
     }
 
     /** Writes one call's answer; gRPC's observers are not safe for two threads, and the loop's is the only one. */
-    private static final class Answer implements Responder {
+    private static final class Answer implements ResponseSink {
         private final ServerCallStreamObserver<CallReply> to;
         private Runnable more; // asks the worker for more; guarded by this
 
@@ -219,7 +220,7 @@
             }
         }
 
-        private static CallReply.Builder reply(ByteBuf body, CharSequence type, Facts facts) {
+        private static CallReply.Builder reply(ByteBuf body, CharSequence type, ResponseMetadata facts) {
             CallReply.Builder reply = CallReply.newBuilder().setAttempts(facts.attempts());
             if (body != null) {
                 reply.setBody(ByteString.copyFrom(ByteBufUtil.getBytes(body)));
@@ -234,7 +235,7 @@
         }
 
         @Override
-        public void served(ByteBuf body, CharSequence contentType, Facts facts) {
+        public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata facts) {
             try {
                 if (!to.isCancelled()) {
                     to.onNext(reply(body, contentType, facts).build());
@@ -246,20 +247,20 @@
         }
 
         @Override
-        public void ended(FinalAnswer answer, long coolDownNanos, Facts facts) {
+        public void sendError(FinalAnswer answer, long coolDownNanos, ResponseMetadata facts) {
             if (!to.isCancelled()) {
                 to.onError(status(answer)
-                        .withDescription(answer.word() + ": " + String.join(", ", facts.trail()))
+                        .withDescription(answer.word() + ": " + String.join(", ", facts.attemptSummaries()))
                         .asRuntimeException(trailers(answer, coolDownNanos, facts)));
             }
         }
 
         @Override
-        public void streams(WorkerSide.Stream from, Facts facts) {
+        public void startStream(WorkerTransport.ResponseStream from, ResponseMetadata facts) {
             to.onNext(reply(null, from.contentType(), facts).build());
-            from.flowTo(new WorkerSide.Sink() {
+            from.subscribe(new WorkerTransport.StreamConsumer() {
                 @Override
-                public void data(ByteBuf part, Runnable taken) {
+                public void onData(ByteBuf part, Runnable taken) {
                     try {
                         if (to.isCancelled()) {
                             return;
@@ -277,7 +278,7 @@
                 }
 
                 @Override
-                public void end(boolean whole) {
+                public void onEnd(boolean whole) {
                     if (to.isCancelled()) {
                         return;
                     }
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
@@ -11,7 +11,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import wharfhinge.gateway.loop.WorkerSide;
+import wharfhinge.engine.WorkerTransport;
 import wharfhinge.protocol.AnswerCode;
 import wharfhinge.protocol.CopyNote;
 import wharfhinge.protocol.LoadReport;
@@ -23,7 +23,7 @@
     final boolean streams;
     private final LongSupplier nanoTime;
     private final long began;
-    private final Consumer<WorkerSide.Result> ended;
+    private final Consumer<WorkerTransport.ExchangeResult> ended;
     private final Consumer<WorkerStream> streamBegan;
     private final BooleanSupplier clientGone;
     private ByteBuf body;
@@ -43,7 +43,7 @@
             Http2Headers request,
             ByteBuf body,
             LongSupplier nanoTime,
-            Consumer<WorkerSide.Result> ended,
+            Consumer<WorkerTransport.ExchangeResult> ended,
             Consumer<WorkerStream> streamBegan,
             BooleanSupplier clientGone) {
         this.request = request;
@@ -137,7 +137,7 @@
         if (workerStream != null) {
             workerStream.ended(ending == Ending.ANSWERED);
         }
-        ended.accept(new WorkerSide.Result(
+        ended.accept(new WorkerTransport.ExchangeResult(
                 ending.outcome(status, code),
                 Ending.note(note),
                 number(WorkerProtocol.COMPANY),
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/HttpWorkers.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/HttpWorkers.java
@@ -13,12 +13,12 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.gateway.loop.WorkerSide;
+import wharfhinge.engine.WorkerTransport;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.WorkerProtocol;
 
 /** The workers' side over HTTP/2 without TLS; a pool of connections for each worker, each pool on one event loop. */
-public final class HttpWorkers implements WorkerSide {
+public final class HttpWorkers implements WorkerTransport {
     private static final long MS = 1_000_000L;
 
     private final GatewayConfig config;
@@ -55,13 +55,13 @@
     }
 
     @Override
-    public Sent attempt(Order order, AttemptListener listener) {
+    public AttemptHandle sendAttempt(AttemptRequest order, AttemptListener listener) {
         Http2Headers headers = function(
                         order.worker(),
                         "POST",
                         WorkerProtocol.CALL_PATH + order.function().name(),
                         order.function())
-                .set(WorkerProtocol.CALL, order.call())
+                .set(WorkerProtocol.CALL, order.callId())
                 .setInt(WorkerProtocol.ATTEMPT, order.attempt())
                 .set(WorkerProtocol.CLASS, order.requestClass());
         if (order.tenant() != null) {
@@ -75,24 +75,29 @@
         }
         ByteBuf body = order.body() == null ? null : order.body().retainedDuplicate();
         Exchange exchange = new Exchange(
-                headers, body, nanoTime, listener::ended, order.stream() ? listener::began : null, order.clientGone());
-        exchange.giveUpAt(order.giveUpAt());
+                headers,
+                body,
+                nanoTime,
+                listener::onCompleted,
+                order.streaming() ? listener::onStreamStarted : null,
+                order.clientCancelled());
+        exchange.giveUpAt(order.deadlineAt());
         WorkerPool pool = start(order.worker(), exchange);
-        return new Sent() {
+        return new AttemptHandle() {
             @Override
             public void cancel() {
                 pool.loop().execute(() -> pool.cancel(exchange));
             }
 
             @Override
-            public void withdraw() {
+            public void cancelIfUnsent() {
                 pool.loop().execute(() -> pool.withdraw(exchange));
             }
         };
     }
 
     @Override
-    public void probe(String worker, Consumer<Result> ended) {
+    public void probe(String worker, Consumer<ExchangeResult> ended) {
         Http2Headers headers = head(worker, "GET", WorkerProtocol.PROBE_PATH);
         timed(
                 worker,
@@ -101,7 +106,8 @@
     }
 
     @Override
-    public void hold(String worker, Function function, int count, long waitNanos, Consumer<Result> ended) {
+    public void ensureLoaded(
+            String worker, FunctionInfo function, int count, long waitNanos, Consumer<ExchangeResult> ended) {
         Http2Headers headers = function(
                         worker,
                         "PUT",
@@ -127,7 +133,7 @@
     }
 
     @Override
-    public void hangUp(String worker) {
+    public void closeIdleConnections(String worker) {
         WorkerPool pool = pools.get(worker);
         if (pool != null) {
             pool.loop().execute(() -> pool.closeIdle(0));
@@ -135,7 +141,7 @@
     }
 
     @Override
-    public void leaving(String worker) {
+    public void stopSending(String worker) {
         left.add(worker);
         boots.remove(worker);
         WorkerPool pool = pools.get(worker);
@@ -145,7 +151,7 @@
     }
 
     @Override
-    public void listed(String worker, String boot) {
+    public void startSending(String worker, String boot) {
         left.remove(worker);
         boots.put(worker, boot);
         WorkerPool pool = pools.get(worker);
@@ -194,13 +200,13 @@
         return boot.equals(RosterEntry.NO_BOOT) ? headers : headers.set(WorkerProtocol.BOOT, boot);
     }
 
-    private Http2Headers function(String worker, String method, String path, Function function) {
+    private Http2Headers function(String worker, String method, String path, FunctionInfo function) {
         Http2Headers headers = head(worker, method, path);
         if (function.memoryMb() > 0) {
             headers.set(WorkerProtocol.MEMORY_MB, Double.toString(function.memoryMb()));
         }
-        if (function.lanes() > 0) {
-            headers.setInt(WorkerProtocol.LANES, function.lanes());
+        if (function.concurrencyPerCopy() > 0) {
+            headers.setInt(WorkerProtocol.LANES, function.concurrencyPerCopy());
         }
         if (function.loadMillis() > 0) {
             headers.set(WorkerProtocol.LOAD_MS, Double.toString(function.loadMillis()));
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerStream.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerStream.java
@@ -3,17 +3,17 @@
 import io.netty.buffer.ByteBuf;
 import java.util.ArrayDeque;
 import java.util.Queue;
-import wharfhinge.gateway.loop.WorkerSide;
+import wharfhinge.engine.WorkerTransport;
 
 /**
  * A streamed answer on its way to its client. What waits here is bounded by the stream's flow-control window: the
  * worker may send more only once the client's side says that a part was taken.
  */
-final class WorkerStream implements WorkerSide.Stream {
+final class WorkerStream implements WorkerTransport.ResponseStream {
     private final Exchange exchange;
     private final CharSequence contentType;
     private final Queue<ByteBuf> early = new ArrayDeque<>();
-    private WorkerSide.Sink sink;
+    private WorkerTransport.StreamConsumer sink;
     private boolean over;
     private boolean whole;
 
@@ -23,14 +23,14 @@
     }
 
     @Override
-    public void flowTo(WorkerSide.Sink to) {
+    public void subscribe(WorkerTransport.StreamConsumer to) {
         exchange.connection.execute(() -> {
             sink = to;
             for (ByteBuf part = early.poll(); part != null; part = early.poll()) {
                 pass(part);
             }
             if (over) {
-                to.end(whole);
+                to.onEnd(whole);
             }
         });
     }
@@ -60,14 +60,14 @@
 
     private void pass(ByteBuf part) {
         int bytes = part.readableBytes();
-        sink.data(part, () -> exchange.connection.execute(() -> exchange.connection.taken(exchange, bytes)));
+        sink.onData(part, () -> exchange.connection.execute(() -> exchange.connection.taken(exchange, bytes)));
     }
 
     void ended(boolean all) {
         over = true;
         whole = all;
         if (sink != null) {
-            sink.end(all);
+            sink.onEnd(all);
         }
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
@@ -32,7 +32,7 @@
 import wharfhinge.client.core.ClientPolicy;
 import wharfhinge.client.grpc.GrpcTransport;
 import wharfhinge.client.http.HttpTransport;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 
 /** One script of steps through both client libraries, over sockets; the outcomes must be the same, field by field. */
 @Timeout(90)
@@ -89,7 +89,7 @@
     }
 
     private static Rig rig(Path folder) throws Exception {
-        return new Rig(folder, "", DispatcherFactory.CHOICE);
+        return new Rig(folder, "", DispatcherFactory.CACHE_AWARE);
     }
 
     private static WharfhingeClient client(Way way, String... gateways) {
@@ -239,7 +239,7 @@
                 }
                 Rig.await(
                         "calls open at the one that stops",
-                        () -> stops.gateway.loop().open() > 0);
+                        () -> stops.gateway.loop().pendingCalls() > 0);
                 stops.close();
                 for (int i = 0; i < 10; i++) {
                     calls.add(client.call(once(4000).copy(1, 64, 10).build()));
@@ -308,7 +308,7 @@
                         List.of("served", "well", 1)),
                 (way, at) -> {
                     try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                            Rig rig = new Rig(at, "", "", door, DispatcherFactory.CHOICE);
+                            Rig rig = new Rig(at, "", "", door, DispatcherFactory.CACHE_AWARE);
                             WharfhingeClient client = client(way, way.of(rig.gateway))) {
                         rig.list(worker.id());
                         List<Object> first =
--- a/gateway/src/test/java/wharfhinge/gateway/ChainSocketTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ChainSocketTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 
 /** Chains over real sockets, and what goes wrong with them. */
 @Timeout(60)
@@ -45,7 +45,7 @@
     @BeforeEach
     void begin() throws Exception {
         worker = new ScriptedPeer(null);
-        rig = new Rig(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CHOICE);
+        rig = new Rig(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE);
         rig.list(worker.id());
     }
 
@@ -219,7 +219,7 @@
         }
         assertEquals("failed", answer(get(first)));
         rig.close(); // the same gateway, restarted with its table
-        rig = new Rig(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CHOICE);
+        rig = new Rig(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE);
         rig.list(worker.id());
         CompletableFuture<HttpResponse<String>> again = chain(rig, json);
         ScriptedPeer.In b = worker.next();
@@ -228,8 +228,8 @@
         assertEquals("served", answer(get(again)));
         assertEquals(1, rig.figure("chains_resumed"));
         java.nio.file.Files.createDirectory(folder.resolve("other"));
-        try (Rig other =
-                new Rig(folder.resolve("other"), "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CHOICE)) {
+        try (Rig other = new Rig(
+                folder.resolve("other"), "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE)) {
             other.list(worker.id());
             CompletableFuture<HttpResponse<String>> elsewhere = chain(other, json);
             assertEquals("/call/f-a", worker.next().headers.path().toString(), "another gateway does not know them");
--- a/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 
 /** A client leaves while its call waits for a connection to a worker, or after it went out there. */
 @Timeout(60)
@@ -39,7 +39,7 @@
                         "dial-timeout-ms=\"8000\"",
                         text -> text.replace("aim-ms=\"600\"", "aim-ms=\"9000\"")
                                 .replace("give-up-ms=\"2500\"", "give-up-ms=\"9500\""),
-                        DispatcherFactory.CHOICE);
+                        DispatcherFactory.CACHE_AWARE);
                 Socket client = new Socket()) {
             rig.list("127.0.0.1:" + worker.getLocalPort());
             client.connect(
--- a/gateway/src/test/java/wharfhinge/gateway/DeadlineTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/DeadlineTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.WorkerProtocol;
 
 /** The time that a worker is told is what is left as the request goes out to it. */
@@ -41,7 +41,7 @@
                         "dial-timeout-ms=\"8000\"",
                         text -> text.replace("aim-ms=\"600\"", "aim-ms=\"9000\"")
                                 .replace("give-up-ms=\"2500\"", "give-up-ms=\"" + GIVE_UP_MS + "\""),
-                        DispatcherFactory.CHOICE);
+                        DispatcherFactory.CACHE_AWARE);
                 Socket client = new Socket()) {
             rig.list("127.0.0.1:" + worker.getLocalPort());
             client.connect(
--- a/gateway/src/test/java/wharfhinge/gateway/FrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/FrontTest.java
@@ -38,7 +38,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 
 /** What clients send, well and badly. */
 @Timeout(60)
@@ -52,7 +52,7 @@
     @BeforeEach
     void begin() throws Exception {
         worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-        rig = new Rig(folder, "", DispatcherFactory.CHOICE);
+        rig = new Rig(folder, "", DispatcherFactory.CACHE_AWARE);
         rig.list(worker.id());
     }
 
--- a/gateway/src/test/java/wharfhinge/gateway/GrpcFrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GrpcFrontTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.grpc.CallReply;
 import wharfhinge.protocol.grpc.CallRequest;
 import wharfhinge.protocol.grpc.ChainRequest;
@@ -47,7 +47,7 @@
 
     @BeforeEach
     void begin() throws Exception {
-        rig = new Rig(folder, "", DispatcherFactory.CHOICE);
+        rig = new Rig(folder, "", DispatcherFactory.CACHE_AWARE);
         channel = NettyChannelBuilder.forAddress(
                         "127.0.0.1", rig.gateway.grpcAddress().getPort())
                 .usePlaintext()
--- a/gateway/src/test/java/wharfhinge/gateway/HardCasesTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/HardCasesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.RosterEntry.State;
 
 /** What goes wrong on real sockets, case by case. */
@@ -35,7 +35,7 @@
     private Path folder;
 
     private Rig rig(String workers) throws Exception {
-        return new Rig(folder, workers, DispatcherFactory.CHOICE);
+        return new Rig(folder, workers, DispatcherFactory.CACHE_AWARE);
     }
 
     private static ScriptedPeer serving() {
--- a/gateway/src/test/java/wharfhinge/gateway/KeysTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/KeysTest.java
@@ -36,7 +36,7 @@
 import wharfhinge.client.core.ClientPolicy;
 import wharfhinge.client.grpc.GrpcTransport;
 import wharfhinge.client.http.HttpTransport;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.gateway.tls.Tokens;
 
 /** Certificates and tokens, good and bad, over both protocols. */
@@ -111,7 +111,7 @@
                         "",
                         "",
                         tls(server, keys.authority, keys.revoked(revoked.certificate()), "<proof/>"),
-                        DispatcherFactory.CHOICE)) {
+                        DispatcherFactory.CACHE_AWARE)) {
             rig.list(worker.id());
             try (WharfhingeClient client = client(way, rig, keys.authority, keys.client("t1"), null)) {
                 assertTrue(call(client, null) instanceof Result.Served);
@@ -150,13 +150,13 @@
         TestKeys.Pair gone = keys.client("gone");
         Path forged = forger.revoked(t1.certificate());
         Exception refused = assertThrows(java.io.UncheckedIOException.class, () -> new Rig(
-                        folder, "", "", tls(server, keys.authority, forged, "<proof/>"), DispatcherFactory.CHOICE)
+                        folder, "", "", tls(server, keys.authority, forged, "<proof/>"), DispatcherFactory.CACHE_AWARE)
                 .close());
         assertTrue(refused.getMessage().contains("signed by none of"), refused.getMessage());
         Path list = keys.revoked(gone.certificate());
         try (ScriptedPeer worker = worker();
                 Rig rig = new Rig(
-                        folder, "", "", tls(server, keys.authority, list, "<proof/>"), DispatcherFactory.CHOICE)) {
+                        folder, "", "", tls(server, keys.authority, list, "<proof/>"), DispatcherFactory.CACHE_AWARE)) {
             rig.list(worker.id());
             Files.copy(forged, list, StandardCopyOption.REPLACE_EXISTING);
             Files.setLastModifiedTime(
@@ -178,7 +178,7 @@
                 keys.issue("old", "gw", "127.0.0.1", -2 * TestKeys.DAY, -TestKeys.DAY),
                 keys.issue("early", "gw", "127.0.0.1", TestKeys.DAY, 2 * TestKeys.DAY),
                 keys.issue("host", "gw", "127.0.0.9", -TestKeys.DAY, TestKeys.DAY))) {
-            try (Rig rig = new Rig(folder, "", "", tls(server, null, null, ""), DispatcherFactory.CHOICE);
+            try (Rig rig = new Rig(folder, "", "", tls(server, null, null, ""), DispatcherFactory.CACHE_AWARE);
                     WharfhingeClient client = client(way, rig, keys.authority, null, null)) {
                 Result r = call(client, null);
                 assertTrue(r instanceof Result.Refused, r.toString());
@@ -202,7 +202,7 @@
                         "",
                         "",
                         tls(server, null, null, "<proof token-key-file='" + secret + "'/>"),
-                        DispatcherFactory.CHOICE);
+                        DispatcherFactory.CACHE_AWARE);
                 WharfhingeClient client = client(way, rig, keys.authority, null, () -> token[0])) {
             rig.list(worker.id());
             token[0] = tokens.make("a.tenant", later);
@@ -260,7 +260,7 @@
     void aCertificateWhoseKeyIsNotYetThereIsNotShown() throws Exception {
         TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
         TestKeys.Pair first = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        try (Rig rig = new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CHOICE)) {
+        try (Rig rig = new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE)) {
             int port = rig.gateway.address().getPort();
             TestKeys.Pair next = keys.issue("next", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
             Files.copy(next.chain(), first.chain(), StandardCopyOption.REPLACE_EXISTING);
@@ -284,7 +284,7 @@
                 StandardCopyOption.REPLACE_EXISTING);
         var wrong = assertThrows(
                 java.io.UncheckedIOException.class,
-                () -> new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CHOICE));
+                () -> new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE));
         assertTrue(wrong.getMessage().contains("the key is not that of the certificate"), wrong.getMessage());
     }
 
@@ -293,7 +293,7 @@
         TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
         TestKeys.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, 4000);
         try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CHOICE);
+                Rig rig = new Rig(folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
                 WharfhingeClient http = client(Way.HTTP, rig, keys.authority, null, null);
                 WharfhingeClient grpc = client(Way.GRPC, rig, keys.authority, null, null)) {
             rig.list(worker.id());
--- a/gateway/src/test/java/wharfhinge/gateway/LoopTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/LoopTest.java
@@ -130,16 +130,16 @@
             assertEquals("well", get(rig.call("safe", "f", 1000)).body());
             List<String> told = made.get().told;
             for (String expected : List.of(
-                    "members REMEMBERED 0",
-                    "members ALL 2",
+                    "members SNAPSHOT 0",
+                    "members FULL 2",
                     "query f",
                     "due t",
                     "resident SERVED 1",
                     "probed SERVED 1.0",
-                    "completed 0 CANCELLED NONE ",
-                    "completed 1 TIMEOUT NONE ",
-                    "completed 2 SERVED FOUND_LOADED true",
-                    "completed 3 MOOT NONE ")) {
+                    "completed 0 CANCELLED UNKNOWN ",
+                    "completed 1 TIMEOUT UNKNOWN ",
+                    "completed 2 SERVED HIT true",
+                    "completed 3 SUPERSEDED UNKNOWN ")) {
                 Rig.await(expected + " in " + told, () -> List.copyOf(told).stream()
                         .anyMatch(t -> t.startsWith(expected)));
             }
@@ -180,7 +180,7 @@
             Rig.await(
                     "the new life is told",
                     () -> lives.size() == 2 && !lives.get(1).told.isEmpty());
-            assertEquals("members REMEMBERED 1", lives.get(1).told.get(0), "the list held is told anew");
+            assertEquals("members SNAPSHOT 1", lives.get(1).told.get(0), "the list held is told anew");
             assertEquals("refused", answer(get(rig.call("safe", "next", 2000))));
             assertEquals(0, rig.figure("open_calls"));
         }
--- a/gateway/src/test/java/wharfhinge/gateway/MvStepJournalTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/MvStepJournalTest.java
@@ -51,18 +51,20 @@
         try (journal) {
             for (int i = 0; i < 100; i++) {
                 int step = i;
-                assertTrue(journal.finished("t", "k" + i, "d", 2, 0, new Answer(new byte[] {'x'}, "text/plain"), () -> {
-                    if (step % 20 == 0) {
-                        crashed.add(copied(
-                                file, folder.resolve("crashed" + step))); // the process dies as soon as it was said
-                    }
-                    kept.countDown();
-                }));
+                assertTrue(
+                        journal.recordStep("t", "k" + i, "d", 2, 0, new Answer(new byte[] {'x'}, "text/plain"), () -> {
+                            if (step % 20 == 0) {
+                                crashed.add(copied(
+                                        file,
+                                        folder.resolve("crashed" + step))); // the process dies as soon as it was said
+                            }
+                            kept.countDown();
+                        }));
             }
             assertTrue(kept.await(10, TimeUnit.SECONDS));
         }
         assertFalse(
-                journal.finished("t", "late", "d", 2, 0, new Answer(new byte[0], null), () -> {}),
+                journal.recordStep("t", "late", "d", 2, 0, new Answer(new byte[0], null), () -> {}),
                 "nobody writes any more");
         wall.addAndGet(500);
         for (int i = 0; i < crashed.size(); i++) {
--- a/gateway/src/test/java/wharfhinge/gateway/RehearsalTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/RehearsalTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharfhinge.gateway.loop.DispatcherFactory;
-import wharfhinge.gateway.roster.FleetSource;
+import wharfhinge.engine.DispatcherFactory;
+import wharfhinge.engine.EndpointSource;
 
 /** What a gateway does before its port opens. */
 @Timeout(30)
@@ -26,7 +26,7 @@
     }
 
     private Rehearsal.Played play(String clients) throws Exception {
-        try (Rig rig = new Rig(folder, "", clients, DispatcherFactory.CHOICE)) {
+        try (Rig rig = new Rig(folder, "", clients, DispatcherFactory.CACHE_AWARE)) {
             rig.gateway.rehearse();
             assertEquals(0, threads());
             return rig.gateway.rehearsed();
@@ -55,7 +55,7 @@
     @Test
     void workersHearNothing() throws Exception {
         try (ScriptedPeer worker = new ScriptedPeer(in -> {});
-                Rig rig = new Rig(folder, "", "rehearse-ms=\"200\"", DispatcherFactory.CHOICE)) {
+                Rig rig = new Rig(folder, "", "rehearse-ms=\"200\"", DispatcherFactory.CACHE_AWARE)) {
             rig.list(worker.id());
             rig.gateway.rehearse();
             assertFalse(rig.gateway.figures().get("rehearsed_calls") == 0);
@@ -70,8 +70,8 @@
     void aStopEndsItAndNothingStarts() throws Exception {
         Gateway gateway = new Gateway(
                 Rig.config(folder, "", "rehearse-ms=\"20000\"", 1),
-                DispatcherFactory.CHOICE,
-                (group, type) -> FleetSource.pushedBy(updates -> {}));
+                DispatcherFactory.CACHE_AWARE,
+                (group, type) -> EndpointSource.pushedBy(updates -> {}));
         CompletableFuture<Object> life = CompletableFuture.supplyAsync(() -> {
             try {
                 gateway.rehearse();
--- a/gateway/src/test/java/wharfhinge/gateway/Rig.java
+++ b/gateway/src/test/java/wharfhinge/gateway/Rig.java
@@ -18,9 +18,9 @@
 import java.util.function.UnaryOperator;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.config.InvalidFileException;
-import wharfhinge.gateway.loop.DispatcherFactory;
-import wharfhinge.gateway.roster.FleetSource;
-import wharfhinge.gateway.roster.FleetUpdate;
+import wharfhinge.engine.DispatcherFactory;
+import wharfhinge.engine.EndpointSource;
+import wharfhinge.engine.EndpointUpdate;
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
@@ -52,7 +52,7 @@
     final Gateway gateway;
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private Consumer<FleetUpdate> fleet;
+    private Consumer<EndpointUpdate> fleet;
     private long revision = 1;
 
     Rig(Path folder, String workers, DispatcherFactory decisions) throws Exception {
@@ -73,7 +73,7 @@
     }
 
     private Rig(GatewayConfig config, DispatcherFactory decisions) throws Exception {
-        gateway = new Gateway(config, decisions, (group, type) -> FleetSource.pushedBy(updates -> fleet = updates));
+        gateway = new Gateway(config, decisions, (group, type) -> EndpointSource.pushedBy(updates -> fleet = updates));
         gateway.start();
     }
 
@@ -109,11 +109,11 @@
         for (String worker : workers) {
             entries.add(entry(worker, State.UP, "b0"));
         }
-        fleet.accept(new FleetUpdate(EndpointUpdateMode.FULL, revision++, entries));
+        fleet.accept(new EndpointUpdate(EndpointUpdateMode.FULL, revision++, entries));
     }
 
     void change(RosterEntry entry) {
-        fleet.accept(new FleetUpdate(EndpointUpdateMode.INCREMENTAL, revision++, List.of(entry)));
+        fleet.accept(new EndpointUpdate(EndpointUpdateMode.INCREMENTAL, revision++, List.of(entry)));
     }
 
     CompletableFuture<HttpResponse<String>> call(String type, String function, int deadlineMillis) {
--- a/gateway/src/test/java/wharfhinge/gateway/RosterSocketTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/RosterSocketTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharfhinge.gateway.loop.DispatcherFactory;
+import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.RosterEntry.State;
 import wharfhinge.protocol.RosterFrame;
 import wharfhinge.standin.Net;
@@ -41,7 +41,7 @@
         worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
         roster = new RosterStandIn(group, 0, 0, new Trace(System::nanoTime));
         roster.report(Rig.entry(worker.id(), State.UP, "b0"));
-        gateway = new Gateway(Rig.config(folder, "", "", roster.port()), DispatcherFactory.CHOICE, null);
+        gateway = new Gateway(Rig.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
         gateway.start();
     }
 
@@ -108,7 +108,7 @@
         Rig.await("served", () -> call().equals("well"));
         gateway.stop();
         roster.lost(true);
-        gateway = new Gateway(Rig.config(folder, "", "", roster.port()), DispatcherFactory.CHOICE, null);
+        gateway = new Gateway(Rig.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
         gateway.start();
         assertEquals("well", call());
         assertTrue(gateway.figures().get("lists") >= 1);
--- a/gateway/src/test/java/wharfhinge/gateway/roster/RosterTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/discovery/RosterTest.java
@@ -1,4 +1,4 @@
-package wharfhinge.gateway.roster;
+package wharfhinge.gateway.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,6 +10,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import wharfhinge.engine.EndpointUpdate;
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
@@ -53,15 +54,15 @@
         AtomicLong wall = new AtomicLong(1_000_000);
         Path file = folder.resolve("deep/list");
         RememberedList list = new RememberedList(file, wall::get);
-        list.update(new FleetUpdate(
+        list.update(new EndpointUpdate(
                 EndpointUpdateMode.FULL, 3, List.of(entry("a:1", State.UP, 100), entry("b:1", State.UP, -1))));
-        list.update(new FleetUpdate(
+        list.update(new EndpointUpdate(
                 EndpointUpdateMode.INCREMENTAL,
                 4,
                 List.of(entry("b:1", State.GONE, -1), entry("c:1", State.DRAINING, 7))));
         list.close();
         wall.addAndGet(500);
-        FleetUpdate read = new RememberedList(file, wall::get).read().orElseThrow();
+        EndpointUpdate read = new RememberedList(file, wall::get).read().orElseThrow();
         assertEquals(EndpointUpdateMode.SNAPSHOT, read.mode());
         assertEquals(4, read.revision());
         assertEquals(
@@ -75,7 +76,7 @@
         Path file = folder.resolve("list");
         assertTrue(new RememberedList(file, () -> 0).read().isEmpty(), "no file");
         RememberedList list = new RememberedList(file, () -> 0);
-        list.update(new FleetUpdate(EndpointUpdateMode.FULL, 3, List.of(entry("a:1", State.UP, 100))));
+        list.update(new EndpointUpdate(EndpointUpdateMode.FULL, 3, List.of(entry("a:1", State.UP, 100))));
         list.close();
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut < whole.length; cut += 3) {
--- a/gateway/src/test/java/wharfhinge/gateway/upstream/EndingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/upstream/EndingTest.java
@@ -19,14 +19,14 @@
     @CsvSource({
         "NOT_CONNECTED,CONNECT_FAILED",
         "NOT_WRITTEN,CONNECT_FAILED",
-        "STREAM_REFUSED,FULL",
-        "GONE_AWAY,FULL",
+        "STREAM_REFUSED,SATURATED",
+        "GONE_AWAY,SATURATED",
         "STREAM_RESET,RESET",
         "CONNECTION_LOST,RESET",
         "TOO_LARGE,ERROR",
         "TIMED_OUT,TIMEOUT",
         "WITHDRAWN,CANCELLED",
-        "TOO_LATE,MOOT"
+        "TOO_LATE,SUPERSEDED"
     })
     void eachEndingHasOneOutcome(Ending ending, Outcome outcome) {
         assertEquals(outcome, ending.outcome(0, null));
@@ -42,10 +42,10 @@
         "503,,ERROR",
         "0,,ERROR",
         "200,SERVED,SERVED",
-        "503,FULL,FULL",
-        "404,MISS,MISS",
+        "503,FULL,SATURATED",
+        "404,MISS,NOT_LOADED",
         "500,ERROR,ERROR",
-        "200,MISS,MISS"
+        "200,MISS,NOT_LOADED"
     })
     void anAnswersWordsDecideAndWithoutThemNothingIsProven(int status, AnswerCode code, Outcome outcome) {
         assertEquals(outcome, Ending.ANSWERED.outcome(status, code));
--- a/worker/src/main/java/wharfhinge/worker/Worker.java
+++ b/worker/src/main/java/wharfhinge/worker/Worker.java
@@ -18,15 +18,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wharfhinge.decisions.copies.CopyDecisions;
-import wharfhinge.decisions.copies.CopyDecisions.Answer;
-import wharfhinge.decisions.copies.CopyDecisions.CallEnd;
-import wharfhinge.decisions.copies.CopyDecisions.LoadEnd;
-import wharfhinge.decisions.copies.CopyDecisions.Met;
-import wharfhinge.decisions.copies.CopyDecisions.OrderAnswer;
-import wharfhinge.decisions.copies.Figures;
-import wharfhinge.decisions.copies.Ledger;
-import wharfhinge.decisions.copies.Ledger.Part;
+import wharfhinge.decisions.copies.CopyScheduler;
+import wharfhinge.decisions.copies.CopyScheduler.Answer;
+import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
+import wharfhinge.decisions.copies.CopyScheduler.LoadEnd;
+import wharfhinge.decisions.copies.CopyScheduler.Met;
+import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
+import wharfhinge.decisions.copies.MemoryAccounting;
+import wharfhinge.decisions.copies.MemoryAccounting.Part;
+import wharfhinge.decisions.copies.MemoryEstimate;
 import wharfhinge.protocol.AnswerCode;
 import wharfhinge.protocol.CopyNote;
 import wharfhinge.protocol.LoadReport;
@@ -38,10 +38,10 @@
 import wharfhinge.worker.pack.Keys;
 
 /**
- * A worker without its sockets: does what {@link CopyDecisions} decide, on one event loop; loads, stops and calls run on
+ * A worker without its sockets: does what {@link CopyScheduler} decide, on one event loop; loads, stops and calls run on
  * threads of their own and tell the loop how they went. What waits is bounded by the decisions.
  */
-final class Worker implements CopyDecisions.Actions, AutoCloseable {
+final class Worker implements CopyScheduler.Actions, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Worker.class);
     private static final long MS = 1_000_000L;
     private static final int AGAIN_MS = 200;
@@ -76,7 +76,7 @@
     private final EventLoop loop;
     private final WorkerSettings settings;
     private final EventLog events;
-    private final CopyDecisions decisions;
+    private final CopyScheduler decisions;
     private final Regions regions;
     private final Images images;
     private final ProcessMemory process = new ProcessMemory();
@@ -98,7 +98,7 @@
         this.loop = loop;
         this.settings = settings;
         this.events = events;
-        this.decisions = new CopyDecisions(settings.copies(), this);
+        this.decisions = new CopyScheduler(settings.copies(), this);
         this.loaders = Executors.newFixedThreadPool(settings.loadsAtOnce(), threads("load"));
         Path folder = base.resolve(settings.imagesFolder());
         List<PublicKey> trusted = new ArrayList<>();
@@ -206,7 +206,7 @@
 
     /** The books as they are now, in KiB, by name. */
     Map<String, Long> books() {
-        Ledger l = decisions.ledger();
+        MemoryAccounting l = decisions.ledger();
         Map<String, Long> books = new LinkedHashMap<>();
         books.put("total_kb", l.total());
         books.put("free_kb", l.free());
@@ -264,7 +264,7 @@
         try {
             Images.Image image = images.get(function);
             long began = System.nanoTime();
-            Figures figures = new Figures(
+            MemoryEstimate figures = new MemoryEstimate(
                     image.contents().manifest().memoryMb() * 1024L,
                     image.contents().manifest().lanes());
             boolean fits = loop.submit(() -> decisions.measured(System.nanoTime(), copy, figures))
--- a/worker/src/main/java/wharfhinge/worker/WorkerCall.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerCall.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.function.Function;
-import wharfhinge.decisions.copies.Figures;
+import wharfhinge.decisions.copies.MemoryEstimate;
 import wharfhinge.protocol.WorkerProtocol;
 
 /**
@@ -17,7 +17,7 @@
         String gateway,
         String requestClass,
         String boot,
-        Figures hint,
+        MemoryEstimate hint,
         long waitMillis,
         long costUs) {
     private static final long MOST_MS = 3_600_000;
@@ -38,7 +38,7 @@
                 word(h.apply(WorkerProtocol.GATEWAY)),
                 word(h.apply(WorkerProtocol.CLASS)),
                 h.apply(WorkerProtocol.BOOT),
-                new Figures(kb, lanes),
+                new MemoryEstimate(kb, lanes),
                 wait > 0 ? Math.max(1, (long) wait) : MOST_MS,
                 (long) number(h.apply(WorkerProtocol.COST_US), 1e12));
     }
