--- a/engine/src/main/java/wharfhinge/engine/AccessLog.java
+++ b/engine/src/main/java/wharfhinge/engine/AccessLog.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** Told of each final answer and of what staff should read; called by the loop's thread, must not block. */
+/** Receives each final answer and the dispatcher's diagnostics, on the engine's thread. Must not block. */
 public interface AccessLog {
-    /** Forgets all. */
+    /** Discards everything. */
     AccessLog NONE = new AccessLog() {
         @Override
         public boolean isAccessLogEnabled() {
@@ -24,8 +24,8 @@
     /**
      * One final answer.
      *
-     * @param answer served, refused, failed, or left where the client went first
-     * @param trail  for each attempt its worker, how it ended and how long it took
+     * @param answer served, refused, failed, or or left where the client cancelled first
+     * @param trail  for each attempt its worker, result and duration
      */
     record Entry(
             String call,
@@ -36,17 +36,17 @@
             long tookNanos,
             List<String> trail) {}
 
-    /** Whether {@link #onAnswered} is of use: a line of a call has a price. */
+    /** Whether {@link #onAnswered} is worth calling: composing an entry has a cost. */
     default boolean isAccessLogEnabled() {
         return true;
     }
 
-    /** A call ended. */
+    /** A call got its final answer. */
     void onAnswered(Entry line);
 
-    /** The decisions have something to say. */
+    /** The dispatcher reports a diagnostic. */
     void onDiagnostic(String text);
 
-    /** The decisions threw; a new life begins. */
+    /** The dispatcher threw; a new incarnation starts. */
     void onDispatcherRestarted(String event, Throwable cause, int callsEnded);
 }
--- a/engine/src/main/java/wharfhinge/engine/AdmissionGate.java
+++ b/engine/src/main/java/wharfhinge/engine/AdmissionGate.java
@@ -8,50 +8,56 @@
 import wharfhinge.decisions.admission.AdmissionSettings;
 
 /**
- * The door's decisions for many I/O threads: asked before a call is handed over, so that one tenant's flood does not fill the
- * hand-over. Holds its lock for a few steps over the tenants that the settings name.
+ * Shares one {@link AdmissionController} among the I/O threads, which ask it before a call is queued, so that one tenant's flood
+ * does not fill the submission queue. The lock is held for a few steps over the tenants that the settings name.
  */
 final class AdmissionGate {
-    private static final Verdict OPEN = new Verdict(AdmissionController.Decision.ADMITTED, 0);
+    private static final Verdict ADMITTED = new Verdict(AdmissionController.Decision.ADMITTED, 0);
 
-    private final AdmissionController decisions; // guarded by this; null where all are let in
+    private final AdmissionController controller; // guarded by this; null where all are let in
 
     AdmissionGate(AdmissionSettings settings) {
-        decisions = settings == null ? null : new AdmissionController(settings);
+        controller = settings == null ? null : new AdmissionController(settings);
     }
 
-    Verdict arrives(long nanos, String tenant) {
-        if (decisions == null) {
-            return OPEN;
+    Verdict tryAdmit(long now, String tenant) {
+        if (controller == null) {
+            return ADMITTED;
         }
         synchronized (this) {
-            return decisions.onArrival(nanos, tenant);
+            return controller.onArrival(now, tenant);
         }
     }
 
-    void ended(long nanos, String tenant, CallEnd how, long tookNanos, long aimNanos) {
-        if (decisions != null) {
+    void onCallEnded(long now, String tenant, CallEnd callEnd, long tookNanos, long latencyObjectiveNanos) {
+        if (controller != null) {
             synchronized (this) {
-                decisions.onCallEnded(nanos, tenant, how, tookNanos, aimNanos);
+                controller.onCallEnded(now, tenant, callEnd, tookNanos, latencyObjectiveNanos);
             }
         }
     }
 
-    Map<String, Long> figures() {
-        Map<String, Long> figures = new LinkedHashMap<>();
-        if (decisions != null) {
+    Map<String, Long> metrics() {
+        Map<String, Long> metrics = new LinkedHashMap<>();
+        if (controller != null) {
             synchronized (this) {
-                figures.put("door_limit", (long) decisions.limit());
-                for (AdmissionController.TenantMetrics f : decisions.metrics()) {
-                    String of = f.tenant().equals(AdmissionController.OTHERS) ? "others" : f.tenant();
-                    figures.put("door_" + of + "_open", (long) f.pending());
-                    figures.put("door_" + of + "_admitted", f.admitted());
-                    figures.put("door_" + of + "_refused_rate", f.rejectedByRate());
-                    figures.put("door_" + of + "_refused_open", f.rejectedByPending());
-                    figures.put("door_" + of + "_refused_share", f.rejectedByShare());
+                put(metrics, "limit", (long) controller.limit());
+                for (AdmissionController.TenantMetrics tenant : controller.metrics()) {
+                    String of = tenant.tenant().equals(AdmissionController.OTHERS) ? "others" : tenant.tenant();
+                    put(metrics, of + "_open", (long) tenant.pending());
+                    put(metrics, of + "_admitted", tenant.admitted());
+                    put(metrics, of + "_refused_rate", tenant.rejectedByRate());
+                    put(metrics, of + "_refused_open", tenant.rejectedByPending());
+                    put(metrics, of + "_refused_share", tenant.rejectedByShare());
                 }
             }
         }
-        return figures;
+        return metrics;
+    }
+
+    /** Under the standard prefix, and under the deprecated one beside it. */
+    private static void put(Map<String, Long> metrics, String key, long value) {
+        metrics.put("admission_" + key, value);
+        metrics.put("door_" + key, value);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/ChainCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainCall.java
@@ -6,15 +6,15 @@
 import wharfhinge.protocol.CallHead;
 
 /**
- * A chain as the clients' side hands it over.
+ * A chain as a client listener submits it.
  *
  * @param heads      of each step, in the plan's order
  * @param inputs     for each step the names that its input is made of: {@link #CLIENT} or ids of steps
  * @param input      what the client sent
  * @param key        under which finished steps are kept for a retry, or null
- * @param digest     names the chain's text; a key is good for one text only
+ * @param digest     of the chain's text; a key is valid for one text only
  * @param deadlineNanos how long the client waits, counted from {@code receivedAt}
- * @param receivedAt {@link System#nanoTime} when its last byte came
+ * @param receivedAt {@link System#nanoTime} when its last byte was received
  */
 public record ChainCall(
         ChainPlan plan,
@@ -29,10 +29,10 @@
         long receivedAt,
         Joiner joiner,
         Listener listener) {
-    /** The client's input among a step's. */
+    /** The name of the client's input among a step's inputs. */
     public static final String CLIENT = "client";
 
-    /** The same of another tenant, or of none (null). */
+    /** The same chain of another tenant, or of none (null). */
     public ChainCall withTenant(String other) {
         return new ChainCall(
                 plan, heads, inputs, input, id, other, key, digest, deadlineNanos, receivedAt, joiner, listener);
@@ -45,13 +45,13 @@
         byte[] join(List<String> names, List<byte[]> parts);
     }
 
-    /** What became of one step; {@code body} is null unless it was served. */
+    /** The answer of one step; {@code body} is null unless it was served. */
     public record StepAnswer(String worker, long tookNanos, boolean loaded, byte[] body, String contentType) {}
 
-    /** Told the chain's final answer, once, by the loop's thread. */
+    /** Receives the chain's one final answer, on the engine's thread. */
     @FunctionalInterface
     public interface Listener {
-        /** {@code answers} has null where a step was not served in this try or one before. */
+        /** {@code answers} has null where a step was not served in this attempt or an earlier one. */
         void onCompleted(ChainEnd end, List<StepAnswer> answers);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
@@ -22,193 +22,201 @@
 import wharfhinge.protocol.FinalAnswer;
 
 /**
- * Carries chains: tells the decisions on them what happens and does what they say, each step as a call of the loop.
- * The loop's thread alone. What a step's call answers is told as an event of its own, so that neither the decisions on
- * chains nor those on calls are re-entered.
+ * Executes chains: reports events to {@link ChainDecisions} and carries out its actions, each step as a call of the engine. The
+ * answer of a step is queued as an event of its own, so that neither the decisions on chains nor the dispatcher are re-entered.
+ * Confined to the engine's thread.
  */
 final class ChainExecutor implements ChainDecisions.Actions {
-    /** What a runner needs of its loop. */
-    interface Calls {
+    /** What the executor needs of its engine. */
+    interface StepTransport {
         long now();
 
-        long nanos(long at);
+        long toNanoTime(long at);
 
-        void begin(ClientCall step);
+        void startStep(ClientCall step);
 
         void cancel(ClientCall step);
 
-        void expect(Request request);
+        void expectRequest(Request request);
 
-        boolean believedWarm(String function);
+        boolean isCached(String function);
 
-        void later(long delayNanos, Runnable what);
+        void schedule(long delayNanos, Runnable what);
 
-        void tell(String name, Runnable what);
+        void execute(String name, Runnable what);
 
-        void chainOver(ChainCall chain);
+        void onChainCompleted(ChainCall chain);
     }
 
-    private static final class Run {
+    private static final class ChainRun {
         private final long id;
-        private final ChainCall call;
+        private final ChainCall chainCall;
         private final List<ChainCall> listeners = new ArrayList<>(1);
-        private final ClientCall[] out;
+        private final ClientCall[] stepsInFlight;
         private final StepAnswer[] answers;
-        private long bytes;
+        private long retainedBytes;
 
-        Run(long id, ChainCall call) {
+        ChainRun(long id, ChainCall call) {
             this.id = id;
-            this.call = call;
-            this.out = new ClientCall[call.plan().size()];
+            this.chainCall = call;
+            this.stepsInFlight = new ClientCall[call.plan().size()];
             this.answers = new StepAnswer[call.plan().size()];
             listeners.add(call);
         }
     }
 
-    private final Calls calls;
+    private final StepTransport calls;
     private final EngineSettings.Chains settings;
     private final Set<String> tenants;
     private final StepJournal journal;
     private final ChainDecisions decisions;
-    private final FinishedSteps finished;
-    private final Map<Long, Run> runs = new HashMap<>();
-    private final Map<String, Run> byKey = new HashMap<>();
-    private long number;
-    private long bytesHeld;
+    private final FinishedSteps finishedSteps;
+    private final Map<Long, ChainRun> runs = new HashMap<>();
+    private final Map<String, ChainRun> runsByKey = new HashMap<>();
+    private long nextRunId;
+    private long retainedBytes;
     private long resumed;
     private long joined;
-    private volatile long keysKept; // the table itself is not for other threads
+    private volatile long retainedKeys; // the table itself is confined to the engine's thread
 
-    ChainExecutor(Calls calls, EngineSettings.Chains settings, Set<String> tenants, StepJournal journal) {
+    ChainExecutor(StepTransport calls, EngineSettings.Chains settings, Set<String> tenants, StepJournal journal) {
         this.calls = calls;
         this.settings = settings;
         this.tenants = tenants;
         this.journal = journal;
-        this.decisions = new ChainDecisions(settings.settings(), this, calls::believedWarm);
-        this.finished = new FinishedSteps(settings.resumeWindowNanos(), settings.resumeKeys(), settings.resumeBytes());
+        this.decisions = new ChainDecisions(settings.settings(), this, calls::isCached);
+        this.finishedSteps =
+                new FinishedSteps(settings.resumeWindowNanos(), settings.resumeKeys(), settings.resumeBytes());
     }
 
-    /** Takes what a former process kept. */
+    /** Restores the finished steps that an earlier process recorded. */
     void restore() {
         journal.restore((age, tenant, key, digest, steps, step, answer) -> {
             if (age < settings.resumeWindowNanos()) {
-                finished.finished(calls.now() - age, tenant, key, digest, steps, step, answer);
+                finishedSteps.finished(calls.now() - age, tenant, key, digest, steps, step, answer);
             }
         });
     }
 
-    /** Names that are not among the settings' tenants share one, so that made-up names can't take room. */
-    private String tenant(ChainCall c) {
-        return c.tenant() != null && tenants.contains(c.tenant()) ? c.tenant() : "";
+    /** Unknown tenants share one name, so that invented names cannot fill the table of keys. */
+    private String tenantOf(ChainCall chainCall) {
+        return chainCall.tenant() != null && tenants.contains(chainCall.tenant()) ? chainCall.tenant() : "";
     }
 
-    void begin(ChainCall c) {
-        String named = c.key() == null ? null : tenant(c) + '\n' + c.key();
-        Run same = named == null ? null : byKey.get(named);
-        if (same != null) {
-            join(same, c);
+    void start(ChainCall chainCall) {
+        String tenantAndKey = chainCall.key() == null ? null : tenantOf(chainCall) + '\n' + chainCall.key();
+        ChainRun running = tenantAndKey == null ? null : runsByKey.get(tenantAndKey);
+        if (running != null) {
+            join(running, chainCall);
             return;
         }
-        long deadline = calls.now() + c.deadlineNanos() - (calls.nanos(calls.now()) - c.receivedAt());
-        Run run = new Run(number++, c);
+        long deadline =
+                calls.now() + chainCall.deadlineNanos() - (calls.toNanoTime(calls.now()) - chainCall.receivedAt());
+        ChainRun run = new ChainRun(nextRunId++, chainCall);
         runs.put(run.id, run);
-        boolean[] done = null;
-        if (named != null) {
-            byKey.put(named, run);
-            done = resume(run, c);
+        boolean[] finishedBefore = null;
+        if (tenantAndKey != null) {
+            runsByKey.put(tenantAndKey, run);
+            finishedBefore = resume(run, chainCall);
         }
         if (settings.settings().clock() == ChainSettings.Clock.ONE) {
-            calls.later(
+            calls.schedule(
                     deadline - calls.now() - settings.settings().reserveNanos() / 2,
                     () -> decisions.due(calls.now(), run.id));
         }
-        decisions.begin(calls.now(), run.id, c.plan(), tenant(c), deadline, done);
+        decisions.begin(calls.now(), run.id, chainCall.plan(), tenantOf(chainCall), deadline, finishedBefore);
     }
 
-    /** A second try while the first runs listens to it; its own deadline holds. */
-    private void join(Run run, ChainCall c) {
-        if (!run.call.digest().equals(c.digest())) {
-            respond(c, new ChainEnd(ChainEnd.Kind.REFUSED, "key-in-use-for-another-chain", List.of()), run);
+    /** A retry under the key of a running chain gets that chain's answer, within its own deadline. */
+    private void join(ChainRun run, ChainCall chainCall) {
+        if (!run.chainCall.digest().equals(chainCall.digest())) {
+            respond(chainCall, new ChainEnd(ChainEnd.Kind.REFUSED, "key-in-use-for-another-chain", List.of()), run);
             return;
         }
         joined++;
-        run.listeners.add(c);
-        long left = c.deadlineNanos()
-                - (calls.nanos(calls.now()) - c.receivedAt())
+        run.listeners.add(chainCall);
+        long remainingNanos = chainCall.deadlineNanos()
+                - (calls.toNanoTime(calls.now()) - chainCall.receivedAt())
                 - settings.settings().reserveNanos() / 2;
-        calls.later(left, () -> {
-            if (run.listeners.remove(c)) {
-                respond(c, new ChainEnd(ChainEnd.Kind.FAILED, "an-earlier-try-still-runs", List.of()), run);
+        calls.schedule(remainingNanos, () -> {
+            if (run.listeners.remove(chainCall)) {
+                respond(chainCall, new ChainEnd(ChainEnd.Kind.FAILED, "an-earlier-try-still-runs", List.of()), run);
             }
         });
     }
 
-    private boolean[] resume(Run run, ChainCall c) {
-        return finished.resume(
-                        calls.now(), tenant(c), c.key(), c.digest(), c.plan().size())
-                .map(kept -> {
-                    boolean[] done = new boolean[kept.length];
-                    for (int i = 0; i < kept.length; i++) {
-                        if (kept[i] != null) {
-                            done[i] = true;
-                            run.answers[i] = new StepAnswer(null, 0, false, kept[i].body(), kept[i].contentType());
-                            hold(run, kept[i].body().length);
+    private boolean[] resume(ChainRun run, ChainCall chainCall) {
+        return finishedSteps
+                .resume(
+                        calls.now(),
+                        tenantOf(chainCall),
+                        chainCall.key(),
+                        chainCall.digest(),
+                        chainCall.plan().size())
+                .map(retained -> {
+                    boolean[] finishedBefore = new boolean[retained.length];
+                    for (int i = 0; i < retained.length; i++) {
+                        if (retained[i] != null) {
+                            finishedBefore[i] = true;
+                            run.answers[i] =
+                                    new StepAnswer(null, 0, false, retained[i].body(), retained[i].contentType());
+                            retainBytes(run, retained[i].body().length);
                         }
                     }
                     resumed++;
-                    return done;
+                    return finishedBefore;
                 })
                 .orElse(null);
     }
 
-    /** A client that listens went away; the chain goes on while another one listens. */
-    void clientLeft(ChainCall c) {
-        for (Run run : runs.values()) {
-            if (run.listeners.remove(c)) {
-                calls.chainOver(c);
+    /** A client cancelled or disconnected; the chain goes on while another client waits for it. */
+    void onClientCancelled(ChainCall chainCall) {
+        for (ChainRun run : runs.values()) {
+            if (run.listeners.remove(chainCall)) {
+                calls.onChainCompleted(chainCall);
                 if (run.listeners.isEmpty()) {
                     decisions.clientLeft(calls.now(), run.id);
-                    over(run);
+                    remove(run);
                 }
                 return;
             }
         }
     }
 
-    /** The loop stops: every chain gets its answer. */
+    /** The engine stops: ends every chain with its final answer. */
     void endAll() {
-        for (Run run : List.copyOf(runs.values())) {
+        for (ChainRun run : List.copyOf(runs.values())) {
             decisions.due(calls.now(), run.id);
         }
     }
 
-    // ---- What the decisions say -------------------------------------------------------------
+    // ---- Actions of the decisions -----------------------------------------------------------
 
     @Override
-    public void start(long chain, int step, long mayTakeNanos) {
-        Run run = runs.get(chain);
-        CallHead head = run.call.heads().get(step);
-        List<String> names = run.call.inputs().get(step);
+    public void start(long chain, int step, long budgetNanos) {
+        ChainRun run = runs.get(chain);
+        CallHead head = run.chainCall.heads().get(step);
+        List<String> names = run.chainCall.inputs().get(step);
         List<byte[]> parts = new ArrayList<>(names.size());
         for (String name : names) {
-            parts.add(name.equals(ChainCall.CLIENT) ? run.call.input() : run.answers[index(run, name)].body());
+            parts.add(name.equals(ChainCall.CLIENT) ? run.chainCall.input() : run.answers[stepIndex(run, name)].body());
         }
-        byte[] input = parts.size() == 1 ? parts.get(0) : run.call.joiner().join(names, parts);
+        byte[] input = parts.size() == 1 ? parts.get(0) : run.chainCall.joiner().join(names, parts);
         ClientCall call = new ClientCall(
                 head,
                 head.requestClass(),
-                mayTakeNanos,
-                calls.nanos(calls.now()),
+                budgetNanos,
+                calls.toNanoTime(calls.now()),
                 Unpooled.wrappedBuffer(input),
                 null,
-                new StepResponder(run, step, calls.now()));
-        run.out[step] = call;
-        calls.begin(call);
+                new StepResponseSink(run, step, calls.now()));
+        run.stepsInFlight[step] = call;
+        calls.startStep(call);
     }
 
-    private static int index(Run run, String id) {
-        for (int i = 0; i < run.call.plan().size(); i++) {
-            if (run.call.plan().steps().get(i).id().equals(id)) {
+    private static int stepIndex(ChainRun run, String id) {
+        for (int i = 0; i < run.chainCall.plan().size(); i++) {
+            if (run.chainCall.plan().steps().get(i).id().equals(id)) {
                 return i;
             }
         }
@@ -217,100 +225,106 @@
 
     @Override
     public void cancel(long chain, int step) {
-        Run run = runs.get(chain);
-        if (run.out[step] != null) {
-            ClientCall call = run.out[step];
-            run.out[step] = null;
+        ChainRun run = runs.get(chain);
+        if (run.stepsInFlight[step] != null) {
+            ClientCall call = run.stepsInFlight[step];
+            run.stepsInFlight[step] = null;
             calls.cancel(call);
         }
     }
 
     @Override
     public void expect(long chain, int step) {
-        CallHead h = runs.get(chain).call.heads().get(step);
-        calls.expect(new Request(
-                h.id(),
-                h.tenant(),
-                runs.get(chain).call.deadlineNanos(),
-                h.memoryMb(),
-                h.function(),
-                h.costUs() * 1000,
-                h.lanes(),
-                h.loadMillis(),
-                h.requestClass(),
-                h.repeat(),
-                h.write()));
+        CallHead head = runs.get(chain).chainCall.heads().get(step);
+        calls.expectRequest(new Request(
+                head.id(),
+                head.tenant(),
+                runs.get(chain).chainCall.deadlineNanos(),
+                head.memoryMb(),
+                head.function(),
+                head.costUs() * 1000,
+                head.lanes(),
+                head.loadMillis(),
+                head.requestClass(),
+                head.repeat(),
+                head.write()));
     }
 
     @Override
     public void end(long chain, ChainEnd end) {
-        Run run = runs.get(chain);
-        over(run);
-        run.listeners.forEach(c -> respond(c, end, run));
+        ChainRun run = runs.get(chain);
+        remove(run);
+        run.listeners.forEach(chainCall -> respond(chainCall, end, run));
         run.listeners.clear();
     }
 
-    private void respond(ChainCall c, ChainEnd end, Run run) {
-        c.listener().onCompleted(end, Arrays.asList(run.answers));
-        calls.chainOver(c);
+    private void respond(ChainCall chainCall, ChainEnd end, ChainRun run) {
+        chainCall.listener().onCompleted(end, Arrays.asList(run.answers));
+        calls.onChainCompleted(chainCall);
     }
 
-    private void over(Run run) {
+    private void remove(ChainRun run) {
         runs.remove(run.id);
-        bytesHeld -= run.bytes;
-        if (run.call.key() != null) {
-            byKey.remove(tenant(run.call) + '\n' + run.call.key(), run);
+        retainedBytes -= run.retainedBytes;
+        if (run.chainCall.key() != null) {
+            runsByKey.remove(tenantOf(run.chainCall) + '\n' + run.chainCall.key(), run);
         }
     }
 
-    private void hold(Run run, int bytes) {
-        run.bytes += bytes;
-        bytesHeld += bytes;
+    private void retainBytes(ChainRun run, int bytes) {
+        run.retainedBytes += bytes;
+        retainedBytes += bytes;
     }
 
-    // ---- What steps answer ------------------------------------------------------------------
+    // ---- Answers of steps -------------------------------------------------------------------
 
-    private void stepServed(Run run, int step, StepAnswer answer) {
+    private void onStepServed(ChainRun run, int step, StepAnswer answer) {
         if (!runs.containsKey(run.id)) {
             return;
         }
-        run.out[step] = null;
+        run.stepsInFlight[step] = null;
         run.answers[step] = answer;
-        hold(run, answer.body().length);
-        ChainCall c = run.call;
-        if (c.key() != null) {
-            FinishedSteps.Answer kept = new FinishedSteps.Answer(answer.body(), answer.contentType());
-            if (finished.finished(
-                    calls.now(), tenant(c), c.key(), c.digest(), c.plan().size(), step, kept)) {
-                keysKept = finished.size();
+        retainBytes(run, answer.body().length);
+        ChainCall chainCall = run.chainCall;
+        if (chainCall.key() != null) {
+            FinishedSteps.Answer retained = new FinishedSteps.Answer(answer.body(), answer.contentType());
+            if (finishedSteps.finished(
+                    calls.now(),
+                    tenantOf(chainCall),
+                    chainCall.key(),
+                    chainCall.digest(),
+                    chainCall.plan().size(),
+                    step,
+                    retained)) {
+                retainedKeys = finishedSteps.size();
                 if (journal.recordStep(
-                        tenant(c),
-                        c.key(),
-                        c.digest(),
-                        c.plan().size(),
+                        tenantOf(chainCall),
+                        chainCall.key(),
+                        chainCall.digest(),
+                        chainCall.plan().size(),
                         step,
-                        kept,
-                        () -> calls.tell("kept", () -> goOn(run, step, answer)))) {
-                    return; // what waits for it begins once a retry after a crash would find it
+                        retained,
+                        () -> calls.execute("step-recorded", () -> continueAfterStep(run, step, answer)))) {
+                    return; // dependent steps start once the journal has it, so that a retry after a crash finds it
                 }
             }
         }
-        goOn(run, step, answer);
+        continueAfterStep(run, step, answer);
     }
 
-    private void goOn(Run run, int step, StepAnswer answer) {
+    private void continueAfterStep(ChainRun run, int step, StepAnswer answer) {
         if (!runs.containsKey(run.id)) {
             return;
         }
         decisions.stepEnded(calls.now(), run.id, step, StepEnd.SERVED, answer.tookNanos(), answer.loaded());
-        if (bytesHeld > settings.settings().mostBytes()) {
+        if (retainedBytes > settings.settings().mostBytes()) {
             decisions.outOfBytes(calls.now(), run.id);
         }
     }
 
-    private void stepEnded(Run run, int step, FinalAnswer answer, long tookNanos) {
+    private void onStepEnded(ChainRun run, int step, FinalAnswer answer, long tookNanos) {
         if (runs.containsKey(run.id)) {
-            run.out[step] = null;
+            run.stepsInFlight[step] = null;
             decisions.stepEnded(
                     calls.now(),
                     run.id,
@@ -321,62 +335,62 @@
         }
     }
 
-    private final class StepResponder implements ResponseSink {
-        private final Run run;
+    private final class StepResponseSink implements ResponseSink {
+        private final ChainRun run;
         private final int step;
         private final long startedAt;
 
-        StepResponder(Run run, int step, long startedAt) {
+        StepResponseSink(ChainRun run, int step, long startedAt) {
             this.run = run;
             this.step = step;
             this.startedAt = startedAt;
         }
 
         @Override
-        public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata facts) {
+        public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata metadata) {
             byte[] bytes = body == null ? new byte[0] : ByteBufUtil.getBytes(body);
             ReferenceCountUtil.release(body);
-            calls.tell(
+            calls.execute(
                     "step",
-                    () -> stepServed(
+                    () -> onStepServed(
                             run,
                             step,
                             new StepAnswer(
-                                    facts.worker(),
+                                    metadata.worker(),
                                     calls.now() - startedAt,
-                                    facts.loaded(),
+                                    metadata.loaded(),
                                     bytes,
                                     contentType == null ? null : contentType.toString())));
         }
 
         @Override
-        public void sendError(FinalAnswer answer, long coolDownNanos, ResponseMetadata facts) {
-            calls.tell("step", () -> stepEnded(run, step, answer, calls.now() - startedAt));
+        public void sendError(FinalAnswer answer, long retryAfterNanos, ResponseMetadata metadata) {
+            calls.execute("step", () -> onStepEnded(run, step, answer, calls.now() - startedAt));
         }
 
         @Override
-        public void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata facts) {
-            stream.cancel(); // classes that stream are turned away before a chain is taken
-            calls.tell("step", () -> stepEnded(run, step, FinalAnswer.FAILED, calls.now() - startedAt));
+        public void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata metadata) {
+            stream.cancel(); // chains with streaming classes are rejected before they are accepted
+            calls.execute("step", () -> onStepEnded(run, step, FinalAnswer.FAILED, calls.now() - startedAt));
         }
     }
 
-    /** Figures for the status page; read by other threads, so they may be a moment old. */
-    Map<String, Long> figures() {
-        Map<String, Long> figures = Arrays.stream(ChainDecisions.Count.values())
+    /** Metrics for the status page; read by other threads, so they may be slightly stale. */
+    Map<String, Long> metrics() {
+        Map<String, Long> metrics = Arrays.stream(ChainDecisions.Count.values())
                 .collect(Collectors.toMap(
-                        c -> (c == ChainDecisions.Count.CHAINS
+                        chainCall -> (chainCall == ChainDecisions.Count.CHAINS
                                 ? "chains"
-                                : "chain_" + c.name().toLowerCase(java.util.Locale.ROOT)),
+                                : "chain_" + chainCall.name().toLowerCase(java.util.Locale.ROOT)),
                         decisions::count,
                         (a, b) -> a,
                         java.util.LinkedHashMap::new));
-        figures.put("chains_open", (long) decisions.open());
-        figures.put("chain_steps_open", (long) decisions.stepsOpen());
-        figures.put("chain_bytes_held", bytesHeld);
-        figures.put("chain_keys_kept", keysKept);
-        figures.put("chains_resumed", resumed);
-        figures.put("chains_joined", joined);
-        return figures;
+        metrics.put("chains_open", (long) decisions.open());
+        metrics.put("chain_steps_open", (long) decisions.stepsOpen());
+        metrics.put("chain_bytes_held", retainedBytes);
+        metrics.put("chain_keys_kept", retainedKeys);
+        metrics.put("chains_resumed", resumed);
+        metrics.put("chains_joined", joined);
+        return metrics;
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/ClientCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ClientCall.java
@@ -5,13 +5,13 @@
 import wharfhinge.protocol.CallHead;
 
 /**
- * A call as the clients' side hands it over.
+ * A call as a client listener submits it.
  *
- * @param head       checked
+ * @param head       validated
  * @param deadlineNanos how long the client waits, counted from {@code receivedAt}
- * @param receivedAt {@link System#nanoTime} when its last byte came
- * @param body       kept for a repeat; the loop owns it once the call is taken
- * @param clientCancelled set once its client was seen to leave, before the loop comes round to it: nothing more is sent for it
+ * @param receivedAt {@link System#nanoTime} when its last byte was received
+ * @param body       kept for a retry; the engine owns it once the call is accepted
+ * @param clientCancelled set as soon as its client cancels or disconnects; no attempt is sent from then on
  */
 public record ClientCall(
         CallHead head,
@@ -23,7 +23,7 @@
         ResponseSink responseSink,
         AtomicBoolean clientCancelled) {
 
-    /** A call whose client is there. */
+    /** A call whose client is connected. */
     public ClientCall(
             CallHead head,
             String requestClass,
--- a/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
@@ -19,18 +19,19 @@
 import wharfhinge.protocol.CallHead;
 
 /**
- * One thread owns one dispatcher: events in, actions out. An action never re-enters the dispatcher; what it causes at
- * once is told as an event of its own. The time told never runs backwards.
+ * Runs one {@link Dispatcher} on one thread: events in, actions out. An action never re-enters the dispatcher; an event that
+ * it causes at once is queued. The time that the dispatcher is given never runs backwards.
  *
- * <p>Bounds: calls wait for the loop in a hand-over of fixed length, and only so many may be open; a call beyond either
- * is turned away before it counts as taken. Every other event is one end of something that an open call, a probe or an
- * order began, so these are bounded by what is open and are never turned away: losing one would lose a call.
+ * <p>Bounds: calls wait in a submission queue of fixed capacity, and only so many may be pending; a call beyond either limit is
+ * rejected before it is accepted. Every other event ends something that a pending call, a probe or a load order started, so
+ * these are bounded by what is pending and are never rejected: losing one would lose a call.
  *
- * <p>If the dispatcher throws, each open call gets its final answer (refused where nothing was sent, else failed), what
- * is out is reset, and a new dispatcher begins with the list that the loop held. Results of the former life are dropped.
+ * <p>If the dispatcher throws, each pending call gets its final answer (rejected where no attempt was sent, else failed), its
+ * attempts are cancelled, and a new incarnation of the dispatcher starts from the endpoint list held here. Results that belong to
+ * an earlier incarnation are dropped.
  */
 public final class DispatchEngine implements Runnable {
-    /** What became of a call that was handed over. */
+    /** Whether a submitted call was accepted, or why not. */
     public enum SubmissionStatus {
         ACCEPTED("taken"),
         QUEUE_FULL("hand-over-full"),
@@ -62,47 +63,49 @@
     }
 
     /**
-     * What was said to a call.
+     * The answer to a submission.
      *
-     * @param retryAfterNanos where it was not taken and somebody can say when to come back
+     * @param retryAfterNanos when to come back after a rejection; 0 where nobody can say
      */
     public record SubmissionResult(SubmissionStatus status, long retryAfterNanos) {}
 
-    private static final int FUNCTIONS_KNOWN = 16_384;
-    private static final long NEXT_LIFE_NS = TimeUnit.SECONDS.toNanos(1); // after decisions that threw as they began
-    private static final String CLOSE_TIMER = "close"; // these two outlive a life of the dispatcher
+    private static final int MAX_KNOWN_FUNCTIONS = 16_384;
+    private static final long RESTART_DELAY_NANOS =
+            TimeUnit.SECONDS.toNanos(1); // after a dispatcher that threw in its constructor
+    private static final String CLOSE_TIMER = "close"; // these two timers outlive an incarnation of the dispatcher
     private static final String CHAIN_TIMER = "chain";
+    private static final String START_INCARNATION = "start-incarnation";
 
     private final EngineSettings settings;
     private final DispatcherFactory factory;
     private final WorkerTransport workers;
-    private final EndpointSource source;
+    private final EndpointSource endpointSource;
     private final PeerTransport peers;
     private final AccessLog log;
     private final EngineMetrics metrics = new EngineMetrics();
-    private final EventLoop thread;
-    private final SubmissionQueue handOver;
-    private final PendingCalls calls;
-    private final CompletableFuture<Integer> closed = new CompletableFuture<>();
+    private final EventLoop eventLoop;
+    private final SubmissionQueue submissionQueue;
+    private final PendingCalls pending;
+    private final CompletableFuture<Integer> terminated = new CompletableFuture<>();
     private final Map<String, WorkerTransport.FunctionInfo> functions = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, WorkerTransport.FunctionInfo> eldest) {
-            return size() > FUNCTIONS_KNOWN;
+            return size() > MAX_KNOWN_FUNCTIONS;
         }
     };
-    private final EndpointList onEndpointUpdate = new EndpointList();
+    private final EndpointList endpoints = new EndpointList();
     private final ChainExecutor chains;
     private Dispatcher dispatcher;
-    private int life;
+    private int incarnation;
 
-    /** A loop that begins once a thread runs it. */
+    /** An engine that starts once a thread runs it. */
     public DispatchEngine(
             EngineSettings settings,
             DispatcherFactory factory,
             WorkerTransport workers,
-            EndpointSource source,
+            EndpointSource endpointSource,
             PeerTransport peers,
             StepJournal journal,
             AccessLog log,
@@ -110,174 +113,177 @@
         this.settings = settings;
         this.factory = factory;
         this.workers = workers;
-        this.source = source;
+        this.endpointSource = endpointSource;
         this.peers = peers;
         this.log = log;
-        this.thread = new EventLoop(nanoTime, metrics, this::restart);
-        this.handOver = new SubmissionQueue(settings, metrics, nanoTime, thread);
-        this.calls = new PendingCalls(settings, thread, handOver, metrics, log, () -> dispatcher, this::stopIfEmpty);
+        this.eventLoop = new EventLoop(nanoTime, metrics, this::restartDispatcher);
+        this.submissionQueue = new SubmissionQueue(settings, metrics, nanoTime, eventLoop);
+        this.pending = new PendingCalls(
+                settings, eventLoop, submissionQueue, metrics, log, () -> dispatcher, this::stopIfIdle);
         this.chains = new ChainExecutor(
-                new StepCalls(),
+                new EngineStepTransport(),
                 settings.chains(),
                 settings.dispatcher().tenants().stream().map(Tenant::name).collect(Collectors.toSet()),
                 journal);
     }
 
-    /** What the loop counts. */
+    /** Counters and latencies of this engine. Any thread. */
     public EngineMetrics metrics() {
         return metrics;
     }
 
-    /** Calls taken and not yet answered. */
+    /** Calls accepted and not yet answered. Any thread. */
     public int pendingCalls() {
-        return handOver.open();
+        return submissionQueue.pending();
     }
 
     // ---- From other threads -----------------------------------------------------------------
 
-    /** Hands a call over; unless it is taken, nothing is owed for it and its body stays the caller's. */
+    /** Submits a call. Unless it is accepted, no answer follows and the caller keeps its body. */
     public SubmissionResult submit(ClientCall call) {
-        return handOver.offer("query", call.head().tenant(), () -> query(call, true));
+        return submissionQueue.submit("request", call.head().tenant(), () -> startCall(call, true));
     }
 
-    /** Hands a chain over; unless it is taken, nothing is owed for it. It counts as one open call beside its steps. */
+    /** Submits a chain. Unless it is accepted, no answer follows. It counts as one pending call beside its steps. */
     public SubmissionResult submit(ChainCall chain) {
-        return handOver.offer("chain", chain.tenant(), () -> chains.begin(chain));
+        return submissionQueue.submit("chain", chain.tenant(), () -> chains.start(chain));
     }
 
-    /** The client of a chain that was taken went away. */
+    /** The client of an accepted chain cancelled it or disconnected. */
     public void onClientCancelled(ChainCall chain) {
-        thread.tell("chainLeft", () -> chains.clientLeft(chain));
+        eventLoop.execute("chain-cancelled", () -> chains.onClientCancelled(chain));
     }
 
-    /** What is counted of chains. */
+    /** Counters of chains, by key of the status page. */
     public Map<String, Long> chainMetrics() {
-        return chains.figures();
+        return chains.metrics();
     }
 
-    /** What the door counts; nothing where all are let in. */
+    /** Counters of admission, by key of the status page; empty where every tenant is admitted. */
     public Map<String, Long> admissionMetrics() {
-        return handOver.doorFigures();
+        return submissionQueue.admissionMetrics();
     }
 
-    /** The client of a call that was taken went away; from here on no attempt of it is begun, however far the loop is behind. */
+    /** The client of an accepted call cancelled it or disconnected: no further attempt is sent, however late this thread is. */
     public void onClientCancelled(ClientCall call) {
         call.clientCancelled().set(true);
-        thread.tell("clientLeft", () -> calls.left(call, false));
+        eventLoop.execute("client-cancelled", () -> pending.onClientCancelled(call, false));
     }
 
-    /** News of the fleet. */
+    /** The endpoint source has an update. */
     public void onEndpointUpdate(EndpointUpdate update) {
-        thread.tell("members", () -> members(update));
+        eventLoop.execute("endpoint-update", () -> applyEndpointUpdate(update));
     }
 
-    /** Another gateway sent bytes. */
+    /** Another dispatcher sent a datagram. */
     public void onPeerMessage(int peer, byte[] payload) {
-        thread.tell("inbox", () -> dispatcher.onPeerMessage(thread.now(), peer, payload));
+        eventLoop.execute("peer-message", () -> dispatcher.onPeerMessage(eventLoop.now(), peer, payload));
     }
 
-    /** Asks what is believed of all workers for a function; told on the loop's thread. */
-    public void workerStates(String function, Consumer<List<WorkerSnapshot>> to) {
-        thread.tell("believed", () -> to.accept(dispatcher.workerStates(thread.now(), function)));
+    /** Hands the dispatcher's view of all workers for a function to {@code consumer}, on the engine's thread. */
+    public void workerStates(String function, Consumer<List<WorkerSnapshot>> consumer) {
+        eventLoop.execute("worker-states", () -> consumer.accept(dispatcher.workerStates(eventLoop.now(), function)));
     }
 
     /**
-     * Takes no more calls; once all are answered, or the time is over and what is left has been ended, the loop stops.
+     * Starts a graceful shutdown: submissions are rejected from now on, and the engine stops once no call is pending, or after
+     * {@code withinNanos} by ending the calls that are left.
      *
-     * @return how many calls had to be ended
+     * @return the number of calls that had to be ended
      */
     public CompletableFuture<Integer> shutdown(long withinNanos) {
-        handOver.close();
-        thread.tell("close", () -> {
-            thread.timer(withinNanos, CLOSE_TIMER, () -> stop(endEverything("closing")));
-            stopIfEmpty();
+        submissionQueue.close();
+        eventLoop.execute("shutdown", () -> {
+            eventLoop.schedule(withinNanos, CLOSE_TIMER, () -> stop(endAllCalls("closing")));
+            stopIfIdle();
         });
-        return closed;
+        return terminated;
     }
 
-    // ---- A life of the dispatcher -----------------------------------------------------------
+    // ---- Incarnations of the dispatcher -----------------------------------------------------
 
     @Override
     public void run() {
-        thread.takeTime();
+        eventLoop.advanceClock();
         chains.restore();
-        thread.guarded("begin", this::begin);
+        eventLoop.runGuarded(START_INCARNATION, this::startIncarnation);
         try {
-            thread.run();
+            eventLoop.run();
         } finally {
-            closed.complete(endEverything("stopped"));
+            terminated.complete(endAllCalls("stopped"));
         }
     }
 
-    private void begin() {
-        dispatcher = factory.create(thread.now(), settings.seed() + life, settings.dispatcher(), actions());
+    private void startIncarnation() {
+        dispatcher =
+                factory.create(eventLoop.now(), settings.seed() + incarnation, settings.dispatcher(), newActions());
         dispatcher.onEndpointUpdate(
-                thread.now(), EndpointUpdateMode.SNAPSHOT, onEndpointUpdate.revision(), onEndpointUpdate.workers());
+                eventLoop.now(), EndpointUpdateMode.SNAPSHOT, endpoints.revision(), endpoints.endpoints());
     }
 
-    private DispatcherActions actions() {
-        int itsLife = life;
+    private DispatcherActions newActions() {
+        int own = incarnation;
         return new EngineActions(
                 settings,
-                thread,
-                calls,
+                eventLoop,
+                pending,
                 metrics,
                 functions,
                 workers,
-                source,
+                endpointSource,
                 peers,
                 log,
                 () -> dispatcher,
-                () -> life == itsLife);
+                () -> incarnation == own);
     }
 
-    private void restart(String name, Throwable cause) {
-        life++;
-        metrics.add(Counter.RESTARTS);
-        thread.dropTimers(timer -> !timer.equals(CLOSE_TIMER) && !timer.equals(CHAIN_TIMER));
-        int ended = calls.endAll("decisions-restarted", false);
-        log.onDispatcherRestarted(name, cause, ended);
+    private void restartDispatcher(String name, Throwable cause) {
+        incarnation++;
+        metrics.increment(Counter.RESTARTS);
+        eventLoop.cancelTimers(timer -> !timer.equals(CLOSE_TIMER) && !timer.equals(CHAIN_TIMER));
+        int endedCalls = pending.endAll("decisions-restarted", false);
+        log.onDispatcherRestarted(name, cause, endedCalls);
         try {
-            begin();
+            startIncarnation();
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
-            log.onDispatcherRestarted("begin", e, 0);
-            dispatcher = new RejectingDispatcher(actions());
-            thread.timer(NEXT_LIFE_NS, "begin", this::begin);
+            log.onDispatcherRestarted(START_INCARNATION, e, 0);
+            dispatcher = new RejectingDispatcher(newActions());
+            eventLoop.schedule(RESTART_DELAY_NANOS, START_INCARNATION, this::startIncarnation);
         }
-        stopIfEmpty();
+        stopIfIdle();
     }
 
-    /** Chains first: their steps' answers would come too late to be told. */
-    private int endEverything(String why) {
+    /** Chains first: the answers of their steps would come after the chains' own. */
+    private int endAllCalls(String reason) {
         chains.endAll();
-        return calls.endAll(why, true);
+        return pending.endAll(reason, true);
     }
 
-    private void stop(int ended) {
-        thread.stop();
-        closed.complete(ended);
+    private void stop(int endedCalls) {
+        eventLoop.stop();
+        terminated.complete(endedCalls);
     }
 
-    private void stopIfEmpty() {
-        if (handOver.closing() && calls.idle()) {
+    private void stopIfIdle() {
+        if (submissionQueue.closed() && pending.isIdle()) {
             stop(0);
         }
     }
 
     // ---- Events -----------------------------------------------------------------------------
 
-    private void query(ClientCall call, boolean throughDoor) {
-        metrics.add(Counter.ACCEPTED);
-        PendingCall c = calls.add(call, throughDoor);
+    private void startCall(ClientCall call, boolean admitted) {
+        metrics.increment(Counter.ACCEPTED);
+        PendingCall pendingCall = pending.add(call, admitted);
         CallHead head = call.head();
         WorkerTransport.FunctionInfo function =
                 new WorkerTransport.FunctionInfo(head.function(), head.memoryMb(), head.lanes(), head.loadMillis());
         functions.put(head.function(), function);
-        factory.onRequestNamed(thread.now(), c.id, c.outerId());
+        factory.onRequestNamed(eventLoop.now(), pendingCall.id, pendingCall.externalId());
         Request request = new Request(
-                c.id,
+                pendingCall.id,
                 head.tenant(),
-                c.deadline - thread.now(),
+                pendingCall.deadline - eventLoop.now(),
                 head.memoryMb(),
                 head.function(),
                 head.costUs() * 1000,
@@ -286,48 +292,49 @@
                 call.requestClass(),
                 head.repeat(),
                 head.write());
-        dispatcher.onRequest(thread.now(), request);
+        dispatcher.onRequest(eventLoop.now(), request);
     }
 
-    private void members(EndpointUpdate update) {
-        metrics.add(Counter.ENDPOINT_UPDATES);
+    private void applyEndpointUpdate(EndpointUpdate update) {
+        metrics.increment(Counter.ENDPOINT_UPDATES);
         if (update.mode() == EndpointUpdateMode.REJECTED) {
-            dispatcher.onEndpointUpdate(thread.now(), EndpointUpdateMode.REJECTED, update.revision(), List.of());
+            dispatcher.onEndpointUpdate(eventLoop.now(), EndpointUpdateMode.REJECTED, update.revision(), List.of());
             return;
         }
-        EndpointList.Change change = onEndpointUpdate.apply(update, thread.now());
-        change.leaving().forEach(workers::stopSending); // before the decisions, so that nothing slips out between
-        change.listed().forEach(workers::startSending);
-        dispatcher.onEndpointUpdate(thread.now(), update.mode(), update.revision(), change.told());
+        EndpointList.Change change = endpoints.apply(update, eventLoop.now());
+        change.workersToStop()
+                .forEach(workers::stopSending); // before the dispatcher knows, so that no attempt slips out in between
+        change.incarnationsToStart().forEach(workers::startSending);
+        dispatcher.onEndpointUpdate(eventLoop.now(), update.mode(), update.revision(), change.endpoints());
     }
 
     // ---- Steps of chains --------------------------------------------------------------------
 
-    /** What chains need of the loop; a step is a call like any other, and counts as open. */
-    private final class StepCalls implements ChainExecutor.Calls {
+    /** Runs the steps of chains; a step is a call like any other and counts as pending. */
+    private final class EngineStepTransport implements ChainExecutor.StepTransport {
         @Override
         public long now() {
-            return thread.now();
+            return eventLoop.now();
         }
 
         @Override
-        public long nanos(long at) {
-            return thread.clock().nanos(at);
+        public long toNanoTime(long at) {
+            return eventLoop.clock().toNanoTime(at);
         }
 
         @Override
-        public void begin(ClientCall step) {
-            handOver.begun();
-            query(step, false);
+        public void startStep(ClientCall step) {
+            submissionQueue.onStarted();
+            startCall(step, false);
         }
 
         @Override
         public void cancel(ClientCall step) {
-            calls.left(step, settings.dispatcher().limits().cancellation());
+            pending.onClientCancelled(step, settings.dispatcher().limits().cancellation());
         }
 
         @Override
-        public void expect(Request request) {
+        public void expectRequest(Request request) {
             functions.put(
                     request.function(),
                     new WorkerTransport.FunctionInfo(
@@ -335,29 +342,29 @@
                             request.memoryMb(),
                             request.concurrencyPerCopy(),
                             request.loadMillis()));
-            dispatcher.onRequestExpected(thread.now(), request);
+            dispatcher.onRequestExpected(eventLoop.now(), request);
         }
 
         @Override
-        public boolean believedWarm(String function) {
-            return dispatcher.isCached(thread.now(), function);
+        public boolean isCached(String function) {
+            return dispatcher.isCached(eventLoop.now(), function);
         }
 
         @Override
-        public void later(long delayNanos, Runnable what) {
-            thread.timer(delayNanos, CHAIN_TIMER, what);
+        public void schedule(long delayNanos, Runnable what) {
+            eventLoop.schedule(delayNanos, CHAIN_TIMER, what);
         }
 
         @Override
-        public void tell(String name, Runnable what) {
-            thread.tell(name, what);
+        public void execute(String name, Runnable what) {
+            eventLoop.execute(name, what);
         }
 
         @Override
-        public void chainOver(ChainCall chain) {
-            handOver.ended();
-            handOver.leftDoor(chain.tenant(), AdmissionController.CallEnd.OTHERWISE, 0, 0);
-            stopIfEmpty();
+        public void onChainCompleted(ChainCall chain) {
+            submissionQueue.onCompleted();
+            submissionQueue.release(chain.tenant(), AdmissionController.CallEnd.OTHERWISE, 0, 0);
+            stopIfIdle();
         }
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/DispatcherFactory.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatcherFactory.java
@@ -5,15 +5,15 @@
 import wharfhinge.policy.DispatcherActions;
 import wharfhinge.policy.DispatcherSettings;
 
-/** Makes the decisions of one life of the loop. */
+/** Creates the dispatcher of one incarnation. */
 @FunctionalInterface
 public interface DispatcherFactory {
-    /** The product's: {@link CacheAwareDispatcher} as it is. */
+    /** The production dispatcher. */
     DispatcherFactory CACHE_AWARE = CacheAwareDispatcher::new;
 
-    /** A dispatcher that knows nothing yet. */
+    /** A dispatcher without any state. */
     Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
 
-    /** The client's name of a call that the dispatcher is told of next. */
+    /** The client's id of the call that the dispatcher gets next. */
     default void onRequestNamed(long now, String id, String outer) {}
 }
--- a/engine/src/main/java/wharfhinge/engine/EndpointList.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointList.java
@@ -11,55 +11,60 @@
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
 
-/** The list as the loop last held it, with the start of each process on the loop's clock. */
+/** The endpoints as last updated, with each process's start on the engine's clock. Confined to the engine's thread. */
 final class EndpointList {
     private static final long MS = 1_000_000L;
 
-    private record Known(Endpoint worker, String boot) {}
+    private record KnownEndpoint(Endpoint endpoint, String incarnation) {}
 
-    private final Map<String, Known> known = new LinkedHashMap<>();
+    private final Map<String, KnownEndpoint> known = new LinkedHashMap<>();
     private long revision;
 
-    /** Workers that an update brings, processes by worker that may be sent to, and workers that may get nothing new. */
-    record Change(List<Endpoint> told, Map<String, String> listed, List<String> leaving) {}
+    /**
+     * What an update changes.
+     *
+     * @param incarnationsToStart the process by worker that requests may be sent to
+     * @param workersToStop       workers that get nothing new
+     */
+    record Change(List<Endpoint> endpoints, Map<String, String> incarnationsToStart, List<String> workersToStop) {}
 
     Change apply(EndpointUpdate update, long now) {
-        List<Endpoint> told = new ArrayList<>();
-        Map<String, String> listed = new LinkedHashMap<>();
-        List<String> leaving = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
+        Map<String, String> incarnationsToStart = new LinkedHashMap<>();
+        List<String> workersToStop = new ArrayList<>();
         Set<String> named = new HashSet<>();
         revision = update.revision();
         for (RosterEntry entry : update.entries()) {
-            Endpoint worker = worker(entry, now);
-            told.add(worker);
+            Endpoint endpoint = toEndpoint(entry, now);
+            endpoints.add(endpoint);
             named.add(entry.id());
-            if (worker.availability() == Availability.UP) {
-                listed.put(entry.id(), entry.boot());
+            if (endpoint.availability() == Availability.UP) {
+                incarnationsToStart.put(entry.id(), entry.boot());
             } else {
-                leaving.add(entry.id());
+                workersToStop.add(entry.id());
             }
-            if (worker.availability() == Availability.REMOVED) {
+            if (endpoint.availability() == Availability.REMOVED) {
                 known.remove(entry.id());
             } else {
-                known.put(entry.id(), new Known(worker, entry.boot()));
+                known.put(entry.id(), new KnownEndpoint(endpoint, entry.boot()));
             }
         }
         if (update.mode() == EndpointUpdateMode.FULL || update.mode() == EndpointUpdateMode.SNAPSHOT) {
-            known.keySet().stream().filter(id -> !named.contains(id)).forEach(leaving::add);
+            known.keySet().stream().filter(id -> !named.contains(id)).forEach(workersToStop::add);
             known.keySet().retainAll(named);
         }
-        return new Change(told, listed, leaving);
+        return new Change(endpoints, incarnationsToStart, workersToStop);
     }
 
-    List<Endpoint> workers() {
-        return known.values().stream().map(Known::worker).toList();
+    List<Endpoint> endpoints() {
+        return known.values().stream().map(KnownEndpoint::endpoint).toList();
     }
 
     long revision() {
         return revision;
     }
 
-    private Endpoint worker(RosterEntry entry, long now) {
+    private Endpoint toEndpoint(RosterEntry entry, long now) {
         Availability availability =
                 switch (entry.state()) {
                     case UP -> Availability.UP;
@@ -76,14 +81,14 @@
                 startedAt(entry, now));
     }
 
-    /** Ages come late and jitter; the process names itself, so its start is settled when it is first heard of. */
+    /** Reported ages are late and jitter, so a process keeps the start computed when it was first listed. */
     private long startedAt(RosterEntry entry, long now) {
-        Known before = known.get(entry.id());
-        if (before != null && before.boot.equals(entry.boot())) {
-            return before.worker.startedAt();
+        KnownEndpoint previous = known.get(entry.id());
+        if (previous != null && previous.incarnation.equals(entry.boot())) {
+            return previous.endpoint.startedAt();
         }
         if (entry.ageMillis() == RosterEntry.UNTOLD) {
-            return before == null ? 0 : now; // one that took another's address has just started
+            return previous == null ? 0 : now; // a new process at a known address has just started
         }
         return Math.max(0, now - entry.ageMillis() * MS);
     }
--- a/engine/src/main/java/wharfhinge/engine/EndpointSource.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointSource.java
@@ -2,10 +2,10 @@
 
 import java.util.function.Consumer;
 
-/** Where a gateway learns of its workers. Updates come in order, on any thread; no method blocks. */
+/** A source of endpoint updates (a roster, a control feed). Updates are delivered in order, on any thread; no method blocks. */
 public interface EndpointSource extends AutoCloseable {
 
-    /** A source whose lists somebody else tells: {@code started} is given where to, and nothing is asked for. */
+    /** A source whose updates are pushed by somebody else: {@code started} gets the consumer; nothing is ever requested. */
     static EndpointSource pushedBy(Consumer<Consumer<EndpointUpdate>> started) {
         return new EndpointSource() {
             @Override
@@ -24,13 +24,13 @@
         };
     }
 
-    /** Begins; where lists are pushed, updates come from now on. */
+    /** Starts; where updates are pushed, they are delivered from now on. */
     void start(Consumer<EndpointUpdate> updates);
 
-    /** Subscribes to changes or ends that; one update answers, refused where it fails. */
+    /** Starts or ends a watch. One update answers, with mode rejected where that fails. */
     void watch(boolean on);
 
-    /** Asks once for the whole list; one update answers, refused where it fails. */
+    /** Requests the full list once. One update answers, with mode rejected where that fails. */
     void refresh();
 
     @Override
--- a/engine/src/main/java/wharfhinge/engine/EndpointUpdate.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointUpdate.java
@@ -4,5 +4,5 @@
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
 
-/** News of the fleet, in the words of the decisions' interface; {@code entries} is empty where it was refused. */
+/** A change of the endpoint list, or the full list; {@code entries} is empty in mode rejected. Immutable. */
 public record EndpointUpdate(EndpointUpdateMode mode, long revision, List<RosterEntry> entries) {}
--- a/engine/src/main/java/wharfhinge/engine/EngineActions.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineActions.java
@@ -16,154 +16,155 @@
 import wharfhinge.protocol.FinalAnswer;
 
 /**
- * What one life's dispatcher asks for, carried out on the loop's thread; what it causes at once is told as an event of its
- * own. Results that come after that life are dropped.
+ * Carries out the actions of one incarnation of the dispatcher, on the engine's thread. An event that an action causes at once is
+ * queued, never delivered within the action. Results that arrive after that incarnation has ended are dropped.
  */
 final class EngineActions implements DispatcherActions {
     private final EngineSettings settings;
-    private final EventLoop thread;
-    private final PendingCalls calls;
-    private final EngineMetrics stats;
+    private final EventLoop eventLoop;
+    private final PendingCalls pendingCalls;
+    private final EngineMetrics metrics;
     private final Map<String, WorkerTransport.FunctionInfo> functions;
     private final WorkerTransport workers;
-    private final EndpointSource source;
+    private final EndpointSource endpointSource;
     private final PeerTransport peers;
     private final AccessLog log;
     private final Supplier<Dispatcher> dispatcher;
-    private final BooleanSupplier thisLife;
-    private final Set<String> streamed; // names of classes
+    private final BooleanSupplier isCurrentIncarnation;
+    private final Set<String> streamingClasses; // names of classes
 
     /**
-     * Actions for a dispatcher that is made with them.
+     * Actions for a dispatcher that is created with them.
      *
-     * @param functions  figures of the functions called of late, by name
-     * @param dispatcher the one of now
-     * @param thisLife   whether that is still the one these actions were made for
+     * @param functions  what is known of the functions called recently, by name
+     * @param dispatcher the current incarnation
+     * @param isCurrentIncarnation   whether these actions belong to the current incarnation
      */
     EngineActions(
             EngineSettings settings,
-            EventLoop thread,
-            PendingCalls calls,
-            EngineMetrics stats,
+            EventLoop eventLoop,
+            PendingCalls pendingCalls,
+            EngineMetrics metrics,
             Map<String, WorkerTransport.FunctionInfo> functions,
             WorkerTransport workers,
-            EndpointSource source,
+            EndpointSource endpointSource,
             PeerTransport peers,
             AccessLog log,
             Supplier<Dispatcher> dispatcher,
-            BooleanSupplier thisLife) {
+            BooleanSupplier isCurrentIncarnation) {
         this.settings = settings;
-        this.thread = thread;
-        this.calls = calls;
-        this.stats = stats;
+        this.eventLoop = eventLoop;
+        this.pendingCalls = pendingCalls;
+        this.metrics = metrics;
         this.functions = functions;
         this.workers = workers;
-        this.source = source;
+        this.endpointSource = endpointSource;
         this.peers = peers;
         this.log = log;
         this.dispatcher = dispatcher;
-        this.thisLife = thisLife;
-        this.streamed = settings.dispatcher().classes().stream()
+        this.isCurrentIncarnation = isCurrentIncarnation;
+        this.streamingClasses = settings.dispatcher().classes().stream()
                 .filter(RequestClass::streaming)
                 .map(RequestClass::name)
                 .collect(Collectors.toSet());
     }
 
-    private void tellThisLife(String name, Runnable what) {
-        thread.tell(name, () -> {
-            if (thisLife.getAsBoolean()) {
-                what.run();
+    private void executeInIncarnation(String name, Runnable task) {
+        eventLoop.execute(name, () -> {
+            if (isCurrentIncarnation.getAsBoolean()) {
+                task.run();
             }
         });
     }
 
     @Override
     public void sendAttempt(String request, String worker, long timeoutNanos) {
-        PendingCall c = calls.get(request);
-        if (c == null) {
+        PendingCall call = pendingCalls.get(request);
+        if (call == null) {
             return;
         }
-        PendingAttempt a = new PendingAttempt(c, c.attempts.size(), worker, thread.now());
-        c.attempts.add(a);
-        c.live++;
-        long left = c.deadline - thread.now();
-        if (c.answered
-                || left <= 0
+        PendingAttempt attempt = new PendingAttempt(call, call.attempts.size(), worker, eventLoop.now());
+        call.attempts.add(attempt);
+        call.attemptsInFlight++;
+        long remainingNanos = call.deadline - eventLoop.now();
+        if (call.answered
+                || remainingNanos <= 0
                 || timeoutNanos < 0
-                || a.index >= settings.dispatcher().limits().maxAttempts()) {
-            stats.add(Counter.SUPERSEDED);
-            a.sent = WorkerTransport.AttemptHandle.NONE;
-            tellThisLife("moot", () -> calls.end(a, Outcome.SUPERSEDED));
+                || attempt.index >= settings.dispatcher().limits().maxAttempts()) {
+            metrics.increment(Counter.SUPERSEDED);
+            attempt.handle = WorkerTransport.AttemptHandle.NONE;
+            executeInIncarnation("superseded", () -> pendingCalls.endAttempt(attempt, Outcome.SUPERSEDED));
             return;
         }
-        stats.add(Counter.ATTEMPTS);
-        long wait = timeoutNanos == 0 ? left : Math.min(timeoutNanos, left);
-        var head = c.call.head();
-        boolean streams = streamed.contains(c.call.requestClass());
-        a.sent = workers.sendAttempt(
+        metrics.increment(Counter.ATTEMPTS);
+        long attemptTimeoutNanos = timeoutNanos == 0 ? remainingNanos : Math.min(timeoutNanos, remainingNanos);
+        var head = call.clientCall.head();
+        boolean streams = streamingClasses.contains(call.clientCall.requestClass());
+        attempt.handle = workers.sendAttempt(
                 new WorkerTransport.AttemptRequest(
                         worker,
-                        c.outerId(),
-                        a.index,
+                        call.externalId(),
+                        attempt.index,
                         functions.get(head.function()),
-                        c.call.requestClass(),
+                        call.clientCall.requestClass(),
                         head.tenant(),
-                        thread.clock().nanos(thread.now() + wait),
+                        eventLoop.clock().toNanoTime(eventLoop.now() + attemptTimeoutNanos),
                         head.costUs(),
-                        c.call.body(),
-                        c.call.contentType(),
+                        call.clientCall.body(),
+                        call.clientCall.contentType(),
                         streams,
                         head.idempotencyKey(),
-                        c.call.clientCancelled()::get),
+                        call.clientCall.clientCancelled()::get),
                 new WorkerTransport.AttemptListener() {
                     @Override
                     public void onCompleted(ExchangeResult result) {
-                        tellThisLife("completed", () -> calls.attemptEnded(a, result));
+                        executeInIncarnation(
+                                "attempt-completed", () -> pendingCalls.onAttemptCompleted(attempt, result));
                     }
 
                     @Override
                     public void onStreamStarted(WorkerTransport.ResponseStream stream) {
-                        tellThisLife("established", () -> calls.streamBegan(a, stream));
+                        executeInIncarnation("stream-started", () -> pendingCalls.onStreamStarted(attempt, stream));
                     }
                 });
-        thread.timer(wait, "timeout", () -> {
-            if (a.stream == null) {
-                calls.end(a, Outcome.TIMEOUT);
+        eventLoop.schedule(attemptTimeoutNanos, "timeout", () -> {
+            if (attempt.stream == null) {
+                pendingCalls.endAttempt(attempt, Outcome.TIMEOUT);
             }
         });
     }
 
     @Override
     public void cancelAttempt(String request, int attempt) {
-        PendingCall c = calls.get(request);
-        if (c != null && attempt < c.attempts.size() && c.attempts.get(attempt).stream == null) {
-            PendingAttempt a = c.attempts.get(attempt);
-            tellThisLife("cancelled", () -> calls.end(a, Outcome.CANCELLED));
+        PendingCall call = pendingCalls.get(request);
+        if (call != null && attempt < call.attempts.size() && call.attempts.get(attempt).stream == null) {
+            PendingAttempt pendingAttempt = call.attempts.get(attempt);
+            executeInIncarnation("attempt-cancelled", () -> pendingCalls.endAttempt(pendingAttempt, Outcome.CANCELLED));
         }
     }
 
     @Override
-    public void reject(String request, long coolDownNanos) {
-        calls.finalAnswer(request, FinalAnswer.REFUSED, coolDownNanos, Counter.REJECTED);
+    public void reject(String request, long retryAfterNanos) {
+        pendingCalls.endCall(request, FinalAnswer.REFUSED, retryAfterNanos, Counter.REJECTED);
     }
 
     @Override
     public void fail(String request) {
-        calls.finalAnswer(request, FinalAnswer.FAILED, 0, Counter.FAILED);
+        pendingCalls.endCall(request, FinalAnswer.FAILED, 0, Counter.FAILED);
     }
 
     @Override
     public void ensureLoaded(String worker, String function, int count) {
-        stats.add(Counter.LOAD_ORDERS);
+        metrics.increment(Counter.LOAD_ORDERS);
         WorkerTransport.FunctionInfo known =
                 functions.getOrDefault(function, new WorkerTransport.FunctionInfo(function, 0, 0, 0));
         workers.ensureLoaded(
                 worker, known, count, settings.dispatcher().functionLoading().loadTimeoutNanos(), result -> {
                     ReferenceCountUtil.release(result.body());
-                    tellThisLife("resident", () -> dispatcher
+                    executeInIncarnation("load-completed", () -> dispatcher
                             .get()
                             .onLoadCompleted(
-                                    thread.now(),
+                                    eventLoop.now(),
                                     worker,
                                     function,
                                     result.loadedCopies(),
@@ -174,24 +175,24 @@
 
     @Override
     public void unload(String worker, String function) {
-        stats.add(Counter.UNLOADS);
+        metrics.increment(Counter.UNLOADS);
         workers.unload(worker, function);
     }
 
     @Override
     public void probe(String worker) {
-        stats.add(Counter.PROBES);
+        metrics.increment(Counter.PROBES);
         workers.probe(worker, result -> {
             ReferenceCountUtil.release(result.body());
-            tellThisLife("probed", () -> dispatcher
+            executeInIncarnation("probe-completed", () -> dispatcher
                     .get()
-                    .onProbeCompleted(thread.now(), worker, result.outcome(), result.tookNanos(), result.report()));
+                    .onProbeCompleted(eventLoop.now(), worker, result.outcome(), result.tookNanos(), result.report()));
         });
     }
 
     @Override
     public void scheduleTimer(String token, long delayNanos) {
-        thread.timer(delayNanos, "due", () -> dispatcher.get().onTimer(thread.now(), token));
+        eventLoop.schedule(delayNanos, "timer", () -> dispatcher.get().onTimer(eventLoop.now(), token));
     }
 
     @Override
@@ -201,12 +202,12 @@
 
     @Override
     public void watchEndpoints(boolean on) {
-        source.watch(on);
+        endpointSource.watch(on);
     }
 
     @Override
     public void refreshEndpoints() {
-        source.refresh();
+        endpointSource.refresh();
     }
 
     @Override
--- a/engine/src/main/java/wharfhinge/engine/EngineMetrics.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineMetrics.java
@@ -7,11 +7,11 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.Recorder;
 
-/** What the loop counts. The loop writes, any thread may read. */
+/** Counters and latencies of an engine. Written on the engine's thread and by submitters; any thread may read. */
 public final class EngineMetrics {
-    private static final long LONGEST_NS = 60_000_000_000L;
+    private static final long MAX_RECORDED_NANOS = 60_000_000_000L;
 
-    /** Things counted from the start on. */
+    /** What is counted since the start. The status page shows a counter under its name in lower case. */
     public enum Counter {
         ACCEPTED("taken"),
         SERVED,
@@ -48,10 +48,10 @@
     }
 
     private final Map<Counter, LongAdder> counts = new LinkedHashMap<>();
-    private final Recorder age = new Recorder(LONGEST_NS, 2);
-    private final Recorder decision = new Recorder(LONGEST_NS, 2);
-    private final Histogram ages = new Histogram(LONGEST_NS, 2);
-    private final Histogram decisions = new Histogram(LONGEST_NS, 2);
+    private final Recorder recordEventAge = new Recorder(MAX_RECORDED_NANOS, 2);
+    private final Recorder recordDecisionTime = new Recorder(MAX_RECORDED_NANOS, 2);
+    private final Histogram eventAges = new Histogram(MAX_RECORDED_NANOS, 2);
+    private final Histogram decisionTimes = new Histogram(MAX_RECORDED_NANOS, 2);
 
     EngineMetrics() {
         for (Counter count : Counter.values()) {
@@ -59,43 +59,43 @@
         }
     }
 
-    void add(Counter count) {
+    void increment(Counter count) {
         counts.get(count).increment();
     }
 
-    void age(long ns) {
-        age.recordValue(Math.max(0, Math.min(LONGEST_NS, ns)));
+    void recordEventAge(long nanos) {
+        recordEventAge.recordValue(Math.max(0, Math.min(MAX_RECORDED_NANOS, nanos)));
     }
 
-    void decision(long ns) {
-        decision.recordValue(Math.max(0, Math.min(LONGEST_NS, ns)));
+    void recordDecisionTime(long nanos) {
+        recordDecisionTime.recordValue(Math.max(0, Math.min(MAX_RECORDED_NANOS, nanos)));
     }
 
-    /** How often something was counted. */
+    /** The value of a counter. */
     public long count(Counter count) {
         return counts.get(count).sum();
     }
 
-    /** All figures by name: counts, and in microseconds how old events were when told and how long they took. */
+    /** All metrics by key: counters, and in microseconds quantiles of the delay of events and of the dispatcher's time on them. */
     public synchronized Map<String, Long> snapshot() {
-        Map<String, Long> figures = new LinkedHashMap<>();
+        Map<String, Long> snapshot = new LinkedHashMap<>();
         counts.forEach((counter, count) -> {
-            figures.put(counter.key(), count.sum());
+            snapshot.put(counter.key(), count.sum());
             if (counter.deprecatedKey != null) {
-                figures.put(counter.deprecatedKey, count.sum());
+                snapshot.put(counter.deprecatedKey, count.sum());
             }
         });
-        ages.add(age.getIntervalHistogram());
-        decisions.add(decision.getIntervalHistogram());
-        quantiles("event_age_us", ages, figures);
-        quantiles("decision_us", decisions, figures);
-        return figures;
+        eventAges.add(recordEventAge.getIntervalHistogram());
+        decisionTimes.add(recordDecisionTime.getIntervalHistogram());
+        addQuantiles("event_age_us", eventAges, snapshot);
+        addQuantiles("decision_us", decisionTimes, snapshot);
+        return snapshot;
     }
 
-    private static void quantiles(String name, Histogram histogram, Map<String, Long> figures) {
-        figures.put(name + "_p50", histogram.getValueAtPercentile(50) / 1000);
-        figures.put(name + "_p99", histogram.getValueAtPercentile(99) / 1000);
-        figures.put(name + "_p999", histogram.getValueAtPercentile(99.9) / 1000);
-        figures.put(name + "_max", histogram.getMaxValue() / 1000);
+    private static void addQuantiles(String name, Histogram histogram, Map<String, Long> snapshot) {
+        snapshot.put(name + "_p50", histogram.getValueAtPercentile(50) / 1000);
+        snapshot.put(name + "_p99", histogram.getValueAtPercentile(99) / 1000);
+        snapshot.put(name + "_p999", histogram.getValueAtPercentile(99.9) / 1000);
+        snapshot.put(name + "_max", histogram.getMaxValue() / 1000);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/EventLoop.java
+++ b/engine/src/main/java/wharfhinge/engine/EventLoop.java
@@ -9,45 +9,45 @@
 import java.util.function.Predicate;
 
 /**
- * The loop's one thread: takes the events of other threads and its own timers in turns, and tells the time, which never
- * runs backwards. {@link #tell} is for any thread, all else for the loop's own.
+ * Runs tasks of other threads and its own timers, in turns, on one thread, against a clock that never runs backwards.
+ * {@link #execute} is safe for any thread; all other methods are confined to the loop's own.
  */
 final class EventLoop {
-    private static final long LONGEST_WAIT_NS = TimeUnit.SECONDS.toNanos(1);
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private record Event(String name, long stamp, Runnable what) {}
+    private record Event(String name, long enqueuedAt, Runnable task) {}
 
-    private record Timer(long at, long number, String name, Runnable what) {}
+    private record Timer(long dueAt, long sequence, String name, Runnable task) {}
 
     private final LongSupplier nanoTime;
     private final MonotonicClock clock;
-    private final EngineMetrics stats;
+    private final EngineMetrics metrics;
     private final BiConsumer<String, Throwable> onFailure;
     private final LinkedBlockingQueue<Event> events = new LinkedBlockingQueue<>();
     private final PriorityQueue<Timer> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Timer::at).thenComparingLong(Timer::number));
+            new PriorityQueue<>(Comparator.comparingLong(Timer::dueAt).thenComparingLong(Timer::sequence));
     private long now;
-    private long timerNumber;
+    private long nextTimerSequence;
     private boolean stopped;
 
     /**
-     * A thread that begins with {@link #run}.
+     * A loop that starts with {@link #run}.
      *
-     * @param onFailure told the name of the event or timer that threw, and what it threw
+     * @param onFailure gets the name of a task that threw, and the exception
      */
-    EventLoop(LongSupplier nanoTime, EngineMetrics stats, BiConsumer<String, Throwable> onFailure) {
+    EventLoop(LongSupplier nanoTime, EngineMetrics metrics, BiConsumer<String, Throwable> onFailure) {
         this.nanoTime = nanoTime;
         this.clock = new MonotonicClock(nanoTime);
-        this.stats = stats;
+        this.metrics = metrics;
         this.onFailure = onFailure;
     }
 
-    /** Has something done on the loop's thread, after what was told before. */
-    void tell(String name, Runnable what) {
-        events.add(new Event(name, nanoTime.getAsLong(), what));
+    /** Queues a task behind those queued before. */
+    void execute(String name, Runnable task) {
+        events.add(new Event(name, nanoTime.getAsLong(), task));
     }
 
-    /** The time of the event at hand, on {@link #clock}. */
+    /** The time at which the current task started, on {@link #clock}. */
     long now() {
         return now;
     }
@@ -56,65 +56,65 @@
         return clock;
     }
 
-    /** Takes the time anew, before the first event. */
-    void takeTime() {
+    /** Reads the clock before the first task. */
+    void advanceClock() {
         now = clock.now();
     }
 
-    /** Does something so much after the event at hand. */
-    void timer(long delayNanos, String name, Runnable what) {
-        timers.add(new Timer(now + Math.max(0, delayNanos), timerNumber++, name, what));
+    /** Runs a task after a delay, counted from {@link #now}. */
+    void schedule(long delayNanos, String name, Runnable task) {
+        timers.add(new Timer(now + Math.max(0, delayNanos), nextTimerSequence++, name, task));
     }
 
-    void dropTimers(Predicate<String> names) {
+    void cancelTimers(Predicate<String> names) {
         timers.removeIf(timer -> names.test(timer.name()));
     }
 
-    /** No further event is begun. */
+    /** Starts no further task. */
     void stop() {
         stopped = true;
     }
 
-    /** Runs until it is stopped or interrupted. */
+    /** Runs tasks until {@link #stop} or an interrupt. */
     void run() {
         try {
             while (!stopped) {
-                long wait = timers.isEmpty()
-                        ? LONGEST_WAIT_NS
-                        : Math.min(LONGEST_WAIT_NS, timers.peek().at() - clock.now());
-                Event event = wait <= 0 ? events.poll() : events.poll(wait, TimeUnit.NANOSECONDS);
+                long waitNanos = timers.isEmpty()
+                        ? MAX_WAIT_NANOS
+                        : Math.min(MAX_WAIT_NANOS, timers.peek().dueAt() - clock.now());
+                Event event = waitNanos <= 0 ? events.poll() : events.poll(waitNanos, TimeUnit.NANOSECONDS);
                 if (event != null) {
                     now = clock.now();
-                    stats.age(now - clock.at(event.stamp()));
-                    guarded(event.name(), event.what());
+                    metrics.recordEventAge(now - clock.fromNanoTime(event.enqueuedAt()));
+                    runGuarded(event.name(), event.task());
                 }
-                fireTimers();
+                runDueTimers();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void fireTimers() {
+    private void runDueTimers() {
         now = clock.now();
-        for (Timer next = timers.peek(); next != null && next.at() <= now && !stopped; next = timers.peek()) {
+        for (Timer next = timers.peek(); next != null && next.dueAt() <= now && !stopped; next = timers.peek()) {
             timers.poll();
-            stats.age(now - next.at());
-            guarded(next.name(), next.what());
+            metrics.recordEventAge(now - next.dueAt());
+            runGuarded(next.name(), next.task());
             if (!events.isEmpty()) {
-                return; // timers and events take turns, so that neither starves the other
+                return; // timers and queued tasks take turns, so that neither starves the other
             }
         }
     }
 
-    /** Does it, and hands on what it throws; counts how long it took. */
-    void guarded(String name, Runnable what) {
-        long began = nanoTime.getAsLong();
+    /** Runs a task, reports what it throws and records how long it took. */
+    void runGuarded(String name, Runnable task) {
+        long startedAt = nanoTime.getAsLong();
         try {
-            what.run();
+            task.run();
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
             onFailure.accept(name, e);
         }
-        stats.decision(nanoTime.getAsLong() - began);
+        metrics.recordDecisionTime(nanoTime.getAsLong() - startedAt);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/MonotonicClock.java
+++ b/engine/src/main/java/wharfhinge/engine/MonotonicClock.java
@@ -2,10 +2,10 @@
 
 import java.util.function.LongSupplier;
 
-/** Nanoseconds that only advance, whatever the wall clock does. Not for use by several threads. */
+/** A clock in nanoseconds that never runs backwards, whatever the wall clock does. Not thread-safe. */
 final class MonotonicClock {
-    /** So that a worker which started within the day before this gateway has a positive time of its start. */
-    private static final long DAY = 86_400L * 1_000_000_000L;
+    /** Gives a worker that started up to a day before this process a positive start time. */
+    private static final long START_OFFSET_NANOS = 86_400L * 1_000_000_000L;
 
     private final LongSupplier nanoTime;
     private final long base;
@@ -13,23 +13,23 @@
 
     MonotonicClock(LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
-        this.base = nanoTime.getAsLong() - DAY;
-        this.last = DAY;
+        this.base = nanoTime.getAsLong() - START_OFFSET_NANOS;
+        this.last = START_OFFSET_NANOS;
     }
 
-    /** The time now, never less than the last time told. */
+    /** The current time, never less than the last one returned. */
     long now() {
-        last = Math.max(last, at(nanoTime.getAsLong()));
+        last = Math.max(last, fromNanoTime(nanoTime.getAsLong()));
         return last;
     }
 
-    /** A reading of {@link System#nanoTime} on this clock. */
-    long at(long nanos) {
+    /** Converts a reading of {@link System#nanoTime} to this clock. */
+    long fromNanoTime(long nanos) {
         return nanos - base;
     }
 
-    /** The reading of {@link System#nanoTime} at a time of this clock. */
-    long nanos(long at) {
+    /** Converts a time of this clock to a reading of {@link System#nanoTime}. */
+    long toNanoTime(long at) {
         return at + base;
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/PendingCall.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCall.java
@@ -4,64 +4,67 @@
 import java.util.List;
 import wharfhinge.engine.ResponseSink.ResponseMetadata;
 
-/** A call that is open, or whose attempts are; touched by the loop's thread alone. */
+/** An accepted call until it is answered and its last attempt has ended. Confined to the engine's thread. */
 final class PendingCall {
     final String id;
-    final ClientCall call;
-    final long takenAt;
+    final ClientCall clientCall;
+    final long acceptedAt;
     final long deadline;
     final List<PendingAttempt> attempts = new ArrayList<>(2);
-    int live;
+    int attemptsInFlight;
     boolean answered;
-    boolean throughDoor; // steps of chains are not, their chain is
+    boolean admitted; // by the admission gate; the steps of a chain are not, their chain is
 
-    PendingCall(String id, ClientCall call, long takenAt, long deadline) {
+    PendingCall(String id, ClientCall clientCall, long acceptedAt, long deadline) {
         this.id = id;
-        this.call = call;
-        this.takenAt = takenAt;
+        this.clientCall = clientCall;
+        this.acceptedAt = acceptedAt;
         this.deadline = deadline;
     }
 
-    /** What the worker's page calls the call: the client's own id where it gave one. */
-    String outerId() {
-        return call.head().id() != null ? call.head().id() : id;
+    /** The id under which workers and logs know the call: the client's own where it gave one. */
+    String externalId() {
+        return clientCall.head().id() != null ? clientCall.head().id() : id;
     }
 
-    /** Whether an answer to it is on its way from a worker to its client. */
-    boolean streams() {
-        return attempts.stream().anyMatch(a -> a.stream != null && !a.ended);
+    /** Whether a streamed answer is on its way from a worker to the client. */
+    boolean isStreaming() {
+        return attempts.stream().anyMatch(attempt -> attempt.stream != null && !attempt.completed);
     }
 
-    ResponseMetadata facts(String worker, String otherwise, boolean loaded) {
-        List<String> trail = new ArrayList<>(attempts.size());
-        for (PendingAttempt a : attempts) {
-            trail.add(a.worker + ':' + (a.how == null ? "open" : a.how));
+    ResponseMetadata metadata(String worker, String withoutAttempts, boolean loaded) {
+        List<String> summaries = new ArrayList<>(attempts.size());
+        for (PendingAttempt attempt : attempts) {
+            summaries.add(attempt.worker + ':' + (attempt.reason == null ? "open" : attempt.reason));
         }
-        return new ResponseMetadata(worker, trail.isEmpty() ? List.of(otherwise) : trail, attempts.size(), loaded);
+        return new ResponseMetadata(
+                worker, summaries.isEmpty() ? List.of(withoutAttempts) : summaries, attempts.size(), loaded);
     }
 
-    List<String> trail() {
-        List<String> trail = new ArrayList<>(attempts.size());
-        for (PendingAttempt a : attempts) {
-            trail.add(a.worker + ' ' + (a.how == null ? "open" : a.how + ' ' + a.tookNanos / 1000 + "us"));
+    List<String> accessLogSummaries() {
+        List<String> summaries = new ArrayList<>(attempts.size());
+        for (PendingAttempt attempt : attempts) {
+            summaries.add(attempt.worker
+                    + ' '
+                    + (attempt.reason == null ? "open" : attempt.reason + ' ' + attempt.tookNanos / 1000 + "us"));
         }
-        return trail;
+        return summaries;
     }
 
-    /** One attempt. */
+    /** One attempt, from when it is sent until its result is known or it was cancelled. */
     static final class PendingAttempt {
-        final PendingCall call;
+        final PendingCall pendingCall;
         final int index;
         final String worker;
         final long sentAt;
-        WorkerTransport.AttemptHandle sent;
+        WorkerTransport.AttemptHandle handle;
         WorkerTransport.ResponseStream stream;
-        boolean ended;
-        String how;
+        boolean completed;
+        String reason;
         long tookNanos;
 
-        PendingAttempt(PendingCall call, int index, String worker, long sentAt) {
-            this.call = call;
+        PendingAttempt(PendingCall pendingCall, int index, String worker, long sentAt) {
+            this.pendingCall = pendingCall;
             this.index = index;
             this.worker = worker;
             this.sentAt = sentAt;
--- a/engine/src/main/java/wharfhinge/engine/PendingCalls.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCalls.java
@@ -19,248 +19,272 @@
 import wharfhinge.protocol.FinalAnswer;
 
 /**
- * The calls that are open or whose attempts are, from when the loop came round to them to their last end: one final
- * answer for each, and what the dispatcher is told of its attempts. Loop's thread alone.
+ * All pending calls: gives each its one final answer and reports the ends of its attempts to the dispatcher. A call stays until
+ * it is answered and its last attempt has ended. Confined to the engine's thread.
  */
 final class PendingCalls {
-    private final EventLoop thread;
-    private final SubmissionQueue handOver;
-    private final EngineMetrics stats;
+    private final EventLoop eventLoop;
+    private final SubmissionQueue submissionQueue;
+    private final EngineMetrics metrics;
     private final AccessLog log;
     private final Supplier<Dispatcher> dispatcher;
-    private final Runnable whenFewer;
-    private final Map<String, Long> aims = new HashMap<>(); // by class, nanoseconds
-    private final Map<String, PendingCall> calls = new HashMap<>();
-    private final Map<ClientCall, PendingCall> byClient = new IdentityHashMap<>();
-    private long callNumber;
-    private boolean ending;
+    private final Runnable onCallEnded;
+    private final Map<String, Long> latencyObjectives = new HashMap<>(); // by class, nanoseconds
+    private final Map<String, PendingCall> callsById = new HashMap<>();
+    private final Map<ClientCall, PendingCall> callsByClientCall = new IdentityHashMap<>();
+    private long nextCallNumber;
+    private boolean endingAll;
 
     /**
-     * None yet.
+     * An empty table.
      *
-     * @param dispatcher the one of now
-     * @param whenFewer  run after a call was answered or its last attempt ended
+     * @param dispatcher the current incarnation
+     * @param onCallEnded  run after a call was answered or its last attempt ended
      */
     PendingCalls(
             EngineSettings settings,
-            EventLoop thread,
-            SubmissionQueue handOver,
-            EngineMetrics stats,
+            EventLoop eventLoop,
+            SubmissionQueue submissionQueue,
+            EngineMetrics metrics,
             AccessLog log,
             Supplier<Dispatcher> dispatcher,
-            Runnable whenFewer) {
-        this.thread = thread;
-        this.handOver = handOver;
-        this.stats = stats;
+            Runnable onCallEnded) {
+        this.eventLoop = eventLoop;
+        this.submissionQueue = submissionQueue;
+        this.metrics = metrics;
         this.log = log;
         this.dispatcher = dispatcher;
-        this.whenFewer = whenFewer;
-        settings.dispatcher().classes().forEach(c -> aims.put(c.name(), c.latencyObjectiveNanos()));
+        this.onCallEnded = onCallEnded;
+        settings.dispatcher()
+                .classes()
+                .forEach(call -> latencyObjectives.put(call.name(), call.latencyObjectiveNanos()));
     }
 
-    /** Keeps a call that the loop came round to; its deadline counts from when its last byte came. */
-    PendingCall add(ClientCall call, boolean throughDoor) {
-        long deadline = thread.clock().at(call.receivedAt()) + call.deadlineNanos();
-        String id = Long.toString(callNumber++, Character.MAX_RADIX);
-        PendingCall c = new PendingCall(id, call, thread.now(), deadline);
-        c.throughDoor = throughDoor;
-        calls.put(c.id, c);
-        byClient.put(call, c);
-        return c;
+    /** Adds a call taken from the submission queue; its deadline counts from when its last byte was received. */
+    PendingCall add(ClientCall clientCall, boolean admitted) {
+        long deadline = eventLoop.clock().fromNanoTime(clientCall.receivedAt()) + clientCall.deadlineNanos();
+        String id = Long.toString(nextCallNumber++, Character.MAX_RADIX);
+        PendingCall call = new PendingCall(id, clientCall, eventLoop.now(), deadline);
+        call.admitted = admitted;
+        callsById.put(call.id, call);
+        callsByClientCall.put(clientCall, call);
+        return call;
     }
 
-    /** The call of that id, or null. */
+    /** The call with that id, or null if it is no longer pending. */
     PendingCall get(String id) {
-        return calls.get(id);
+        return callsById.get(id);
     }
 
-    /** Whether nothing is open and no answer is on its way to a client, and none is being ended right now. */
-    boolean idle() {
-        return !ending && handOver.open() == 0 && calls.values().stream().noneMatch(PendingCall::streams);
+    /** Whether no call is pending, no streamed answer is on its way and {@link #endAll} is not running. */
+    boolean isIdle() {
+        return !endingAll
+                && submissionQueue.pending() == 0
+                && callsById.values().stream().noneMatch(PendingCall::isStreaming);
     }
 
-    // ---- Ends of attempts -------------------------------------------------------------------
+    // ---- Attempts ---------------------------------------------------------------------------
 
-    /** An attempt ended on the wire. */
-    void attemptEnded(PendingAttempt a, ExchangeResult result) {
-        if (a.ended) {
-            stats.add(Counter.LATE_ANSWERS);
+    /** The transport reports the result of an attempt. */
+    void onAttemptCompleted(PendingAttempt attempt, ExchangeResult result) {
+        if (attempt.completed) {
+            metrics.increment(Counter.LATE_ANSWERS);
             ReferenceCountUtil.release(result.body());
             return;
         }
-        a.ended = true;
-        a.how = result.reason();
-        a.tookNanos = result.tookNanos();
-        PendingCall c = a.call;
-        c.live--;
-        if (a.stream != null) {
+        attempt.completed = true;
+        attempt.reason = result.reason();
+        attempt.tookNanos = result.tookNanos();
+        PendingCall call = attempt.pendingCall;
+        call.attemptsInFlight--;
+        if (attempt.stream != null) {
             ReferenceCountUtil.release(result.body());
-            completed(a, result);
+            notifyDispatcher(attempt, result);
             return;
         }
-        if (result.outcome() == Outcome.SERVED && !c.answered) {
-            c.call.responseSink()
-                    .sendResponse(result.body(), result.contentType(), c.facts(a.worker, "", loaded(result)));
-            answered(c, Counter.SERVED, "served", null);
+        if (result.outcome() == Outcome.SERVED && !call.answered) {
+            call.clientCall
+                    .responseSink()
+                    .sendResponse(
+                            result.body(), result.contentType(), call.metadata(attempt.worker, "", hasLoaded(result)));
+            onAnswered(call, Counter.SERVED, "served", null);
         } else {
-            if (c.answered && result.outcome() == Outcome.SERVED) {
-                stats.add(Counter.LATE_ANSWERS);
+            if (call.answered && result.outcome() == Outcome.SERVED) {
+                metrics.increment(Counter.LATE_ANSWERS);
             }
             ReferenceCountUtil.release(result.body());
         }
-        completed(a, result);
+        notifyDispatcher(attempt, result);
     }
 
-    private static boolean loaded(ExchangeResult result) {
+    private static boolean hasLoaded(ExchangeResult result) {
         return result.cacheStatus() == CacheStatus.LOAD_STARTED || result.cacheStatus() == CacheStatus.LOAD_AWAITED;
     }
 
-    private void completed(PendingAttempt a, ExchangeResult result) {
+    private void notifyDispatcher(PendingAttempt attempt, ExchangeResult result) {
         AttemptCompletion completion = new AttemptCompletion(
-                a.call.id,
+                attempt.pendingCall.id,
                 result.outcome(),
-                a.index,
+                attempt.index,
                 result.tookNanos(),
-                a.worker,
+                attempt.worker,
                 result.cacheStatus(),
                 result.concurrentOnWorker(),
-                a.call.answered,
+                attempt.pendingCall.answered,
                 result.report());
-        dispatcher.get().onAttemptCompleted(thread.now(), completion);
-        forget(a.call);
+        dispatcher.get().onAttemptCompleted(eventLoop.now(), completion);
+        removeIfDone(attempt.pendingCall);
     }
 
-    /** Ends an attempt from this side: the wire is told to stop, the decisions how it ended. */
-    void end(PendingAttempt a, Outcome outcome) {
-        if (!a.ended) {
-            a.sent.cancel();
-            a.ended = true;
-            a.how = reason(outcome);
-            a.tookNanos = thread.now() - a.sentAt;
-            a.call.live--;
-            completed(
-                    a,
-                    new ExchangeResult(outcome, CacheStatus.UNKNOWN, 0, Map.of(), 0, a.tookNanos, null, null, a.how));
+    /** Ends an attempt from this side: cancels it at the transport and reports the outcome to the dispatcher. */
+    void endAttempt(PendingAttempt attempt, Outcome outcome) {
+        if (!attempt.completed) {
+            attempt.handle.cancel();
+            attempt.completed = true;
+            attempt.reason = reason(outcome);
+            attempt.tookNanos = eventLoop.now() - attempt.sentAt;
+            attempt.pendingCall.attemptsInFlight--;
+            notifyDispatcher(
+                    attempt,
+                    new ExchangeResult(
+                            outcome,
+                            CacheStatus.UNKNOWN,
+                            0,
+                            Map.of(),
+                            0,
+                            attempt.tookNanos,
+                            null,
+                            null,
+                            attempt.reason));
         }
     }
 
-    /** The word of the workers' protocol page, as clients are told it and logs hold it. */
+    /** The word of the workers' protocol page, as clients and logs get it. */
     private static String reason(Outcome outcome) {
         return outcome == Outcome.SUPERSEDED ? "moot" : outcome.name().toLowerCase(Locale.ROOT);
     }
 
-    /** A streamed answer began. */
-    void streamBegan(PendingAttempt a, WorkerTransport.ResponseStream stream) {
-        PendingCall c = a.call;
-        if (a.ended || c.answered) {
+    /** The worker has started a streamed answer. */
+    void onStreamStarted(PendingAttempt attempt, WorkerTransport.ResponseStream stream) {
+        PendingCall call = attempt.pendingCall;
+        if (attempt.completed || call.answered) {
             stream.cancel();
-            end(a, Outcome.CANCELLED);
+            endAttempt(attempt, Outcome.CANCELLED);
             return;
         }
-        a.stream = stream;
-        a.how = "streams";
-        stats.add(Counter.STREAMS);
-        c.call.responseSink().startStream(stream, c.facts(a.worker, "", false));
-        answered(c, Counter.SERVED, "served", null);
-        dispatcher.get().onStreamStarted(thread.now(), c.id, a.index, a.worker);
+        attempt.stream = stream;
+        attempt.reason = "streams";
+        metrics.increment(Counter.STREAMS);
+        call.clientCall.responseSink().startStream(stream, call.metadata(attempt.worker, "", false));
+        onAnswered(call, Counter.SERVED, "served", null);
+        dispatcher.get().onStreamStarted(eventLoop.now(), call.id, attempt.index, attempt.worker);
     }
 
-    // ---- Ends of calls ----------------------------------------------------------------------
+    // ---- Final answers ----------------------------------------------------------------------
 
-    /** The client of a call went away; attempts are told to stop where that is allowed, else only what was not sent is. */
-    void left(ClientCall call, boolean cancelAll) {
-        PendingCall c = byClient.get(call);
-        if (c == null) {
+    /**
+     * The client of a call cancelled it or disconnected. With {@code cancelAll} its attempts are cancelled, otherwise only those of
+     * which nothing was sent.
+     */
+    void onClientCancelled(ClientCall clientCall, boolean cancelAll) {
+        PendingCall call = callsByClientCall.get(clientCall);
+        if (call == null) {
             return;
         }
-        if (c.answered) { // but its answer may still flow, which a worker would go on with for nobody
-            c.attempts.stream().filter(a -> !a.ended && a.stream != null).forEach(a -> a.stream.cancel());
+        if (call.answered) { // a streamed answer may still be on its way, for nobody
+            call.attempts.stream()
+                    .filter(attempt -> !attempt.completed && attempt.stream != null)
+                    .forEach(attempt -> attempt.stream.cancel());
             return;
         }
-        answered(c, Counter.CLIENT_CANCELLED, "left", null);
-        dispatcher.get().onClientCancelled(thread.now(), c.id);
-        for (PendingAttempt a : List.copyOf(c.attempts)) {
-            if (!a.ended && (cancelAll || a.stream != null)) {
-                end(a, Outcome.CANCELLED);
-            } else if (!a.ended) {
-                a.sent.cancelIfUnsent(); // what still waits for a connection is for nobody now
+        onAnswered(call, Counter.CLIENT_CANCELLED, "left", null);
+        dispatcher.get().onClientCancelled(eventLoop.now(), call.id);
+        for (PendingAttempt attempt : List.copyOf(call.attempts)) {
+            if (!attempt.completed && (cancelAll || attempt.stream != null)) {
+                endAttempt(attempt, Outcome.CANCELLED);
+            } else if (!attempt.completed) {
+                attempt.handle.cancelIfUnsent(); // it may still wait for a connection
             }
         }
-        forget(c);
+        removeIfDone(call);
     }
 
-    /** The dispatcher ends a call without a worker's answer. */
-    void finalAnswer(String id, FinalAnswer answer, long coolDownNanos, Counter as) {
-        PendingCall c = calls.get(id);
-        if (c != null && !c.answered) {
-            c.call.responseSink().sendError(answer, coolDownNanos, c.facts(null, "not-sent", false));
-            answered(c, as, answer.word(), "not-sent");
-            forget(c);
+    /** The dispatcher rejects or fails a call. */
+    void endCall(String id, FinalAnswer answer, long retryAfterNanos, Counter counter) {
+        PendingCall call = callsById.get(id);
+        if (call != null && !call.answered) {
+            call.clientCall.responseSink().sendError(answer, retryAfterNanos, call.metadata(null, "not-sent", false));
+            onAnswered(call, counter, answer.word(), "not-sent");
+            removeIfDone(call);
         }
     }
 
-    /** Gives every open call its final answer and resets what is out; begun streams belong to their clients. */
-    int endAll(String why, boolean streamsToo) {
-        List<PendingCall> all = new ArrayList<>(calls.values());
+    /** Gives every pending call its final answer and cancels its attempts; started streams go on unless {@code streamsToo}. */
+    int endAll(String reason, boolean streamsToo) {
+        List<PendingCall> all = new ArrayList<>(callsById.values());
         int ended = 0;
-        ending = true;
-        for (PendingCall c : all) {
-            for (PendingAttempt a : c.attempts) {
-                if (!a.ended && (a.stream == null || streamsToo)) {
-                    a.ended = true;
-                    a.sent.cancel();
+        endingAll = true;
+        for (PendingCall call : all) {
+            for (PendingAttempt attempt : call.attempts) {
+                if (!attempt.completed && (attempt.stream == null || streamsToo)) {
+                    attempt.completed = true;
+                    attempt.handle.cancel();
                 }
             }
-            if (!c.answered) {
+            if (!call.answered) {
                 ended++;
-                FinalAnswer answer = c.attempts.isEmpty() ? FinalAnswer.REFUSED : FinalAnswer.FAILED;
-                c.call.responseSink().sendError(answer, 0, c.facts(null, why, false));
-                Counter as = answer == FinalAnswer.REFUSED ? Counter.REJECTED : Counter.FAILED;
-                answered(c, as, answer.word(), why);
+                FinalAnswer answer = call.attempts.isEmpty() ? FinalAnswer.REFUSED : FinalAnswer.FAILED;
+                call.clientCall.responseSink().sendError(answer, 0, call.metadata(null, reason, false));
+                Counter counter = answer == FinalAnswer.REFUSED ? Counter.REJECTED : Counter.FAILED;
+                onAnswered(call, counter, answer.word(), reason);
             }
         }
-        calls.clear();
-        byClient.clear();
-        ending = false;
+        callsById.clear();
+        callsByClientCall.clear();
+        endingAll = false;
         return ended;
     }
 
-    private void answered(PendingCall c, Counter as, String answer, String why) {
-        c.answered = true;
-        stats.add(as);
-        handOver.ended();
-        if (c.throughDoor) {
-            long tookNanos = thread.now() - c.takenAt;
-            handOver.leftDoor(c.call.head().tenant(), doorEnding(as), tookNanos, aims.get(c.call.requestClass()));
+    private void onAnswered(PendingCall call, Counter counter, String answer, String reason) {
+        call.answered = true;
+        metrics.increment(counter);
+        submissionQueue.onCompleted();
+        if (call.admitted) {
+            long tookNanos = eventLoop.now() - call.acceptedAt;
+            submissionQueue.release(
+                    call.clientCall.head().tenant(),
+                    admissionEnd(counter),
+                    tookNanos,
+                    latencyObjectives.get(call.clientCall.requestClass()));
         }
-        ReferenceCountUtil.release(c.call.body());
+        ReferenceCountUtil.release(call.clientCall.body());
         if (log.isAccessLogEnabled()) {
-            List<String> trail = c.trail();
+            List<String> summaries = call.accessLogSummaries();
             log.onAnswered(new AccessLog.Entry(
-                    c.outerId(),
-                    c.call.head().function(),
-                    c.call.requestClass(),
-                    c.call.head().tenant(),
+                    call.externalId(),
+                    call.clientCall.head().function(),
+                    call.clientCall.requestClass(),
+                    call.clientCall.head().tenant(),
                     answer,
-                    thread.now() - thread.clock().at(c.call.receivedAt()),
-                    why == null || !trail.isEmpty() ? trail : List.of(why)));
+                    eventLoop.now() - eventLoop.clock().fromNanoTime(call.clientCall.receivedAt()),
+                    reason == null || !summaries.isEmpty() ? summaries : List.of(reason)));
         }
-        whenFewer.run();
+        onCallEnded.run();
     }
 
-    private static AdmissionController.CallEnd doorEnding(Counter as) {
-        return switch (as) {
+    private static AdmissionController.CallEnd admissionEnd(Counter counter) {
+        return switch (counter) {
             case SERVED -> AdmissionController.CallEnd.ANSWERED;
             case REJECTED -> AdmissionController.CallEnd.REFUSED;
             default -> AdmissionController.CallEnd.OTHERWISE;
         };
     }
 
-    private void forget(PendingCall c) {
-        if (c.answered && c.live == 0) {
-            calls.remove(c.id, c);
-            byClient.remove(c.call, c);
-            whenFewer.run();
+    private void removeIfDone(PendingCall call) {
+        if (call.answered && call.attemptsInFlight == 0) {
+            callsById.remove(call.id, call);
+            callsByClientCall.remove(call.clientCall, call);
+            onCallEnded.run();
         }
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/RejectingDispatcher.java
+++ b/engine/src/main/java/wharfhinge/engine/RejectingDispatcher.java
@@ -9,7 +9,7 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.Request;
 
-/** Stands in while no dispatcher could be made: every call is refused at once, so that each still has its answer. */
+/** Replaces a dispatcher that could not be created: rejects every call at once, so that each still gets its answer. */
 final class RejectingDispatcher implements Dispatcher {
     private final DispatcherActions actions;
 
--- a/engine/src/main/java/wharfhinge/engine/ResponseSink.java
+++ b/engine/src/main/java/wharfhinge/engine/ResponseSink.java
@@ -4,25 +4,25 @@
 import java.util.List;
 import wharfhinge.protocol.FinalAnswer;
 
-/** Where a call's final answer goes; called by the loop's thread once for each call, never blocks. */
+/** Receives the one final answer of a call, on the engine's thread. No method blocks. */
 public interface ResponseSink {
 
     /**
-     * What a client is told beside the answer itself.
+     * What accompanies an answer.
      *
-     * @param worker   the one that served, or null
-     * @param attemptSummaries    what became of each attempt, or why there was none
-     * @param attempts how many there were
-     * @param loaded   whether the one that served loaded, or waited for a load
+     * @param worker   the worker that answered, or null
+     * @param attemptSummaries    worker and result of each attempt, or why there was none
+     * @param attempts the number of attempts
+     * @param loaded   whether the worker had to load the function first
      */
     record ResponseMetadata(String worker, List<String> attemptSummaries, int attempts, boolean loaded) {}
 
-    /** Hands on a worker's answer; takes over {@code body}, which may be null. */
-    void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata facts);
+    /** A worker's answer. Takes ownership of {@code body}, which may be null. */
+    void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata metadata);
 
-    /** Ends the call without an answer: {@link FinalAnswer#REFUSED} or {@link FinalAnswer#FAILED}. */
-    void sendError(FinalAnswer answer, long coolDownNanos, ResponseMetadata facts);
+    /** The call was rejected ({@link FinalAnswer#REFUSED}) or failed ({@link FinalAnswer#FAILED}). */
+    void sendError(FinalAnswer answer, long retryAfterNanos, ResponseMetadata metadata);
 
-    /** A streamed answer begins; what follows comes from {@code stream}, without the loop. */
-    void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata facts);
+    /** A streamed answer starts; its parts come from {@code stream}, not through the engine. */
+    void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata metadata);
 }
--- a/engine/src/main/java/wharfhinge/engine/Slf4jAccessLog.java
+++ b/engine/src/main/java/wharfhinge/engine/Slf4jAccessLog.java
@@ -4,22 +4,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Final answers, remarks and restarts as log lines with fields. */
+/** Writes final answers, diagnostics and restarts of the dispatcher as log lines with fields. */
 public final class Slf4jAccessLog implements AccessLog {
     private static final Logger ANSWERS = LoggerFactory.getLogger("wharfhinge.answers");
-    private static final Logger REMARKS = LoggerFactory.getLogger("wharfhinge.remarks");
-    private static final Logger LOOP = LoggerFactory.getLogger("wharfhinge.loop");
+    private static final Logger DIAGNOSTICS = LoggerFactory.getLogger("wharfhinge.remarks");
+    private static final Logger ENGINE = LoggerFactory.getLogger("wharfhinge.loop");
     private static final long SECOND = 1_000_000_000L;
 
-    private final int remarksPerS;
+    private final int diagnosticsPerSecond;
     private final LongAdder dropped = new LongAdder();
-    private long second;
-    private int inSecond;
+    private long currentSecond;
+    private int loggedInSecond;
     private int droppedInSecond;
 
-    /** At most so many remarks a second. */
-    public Slf4jAccessLog(int remarksPerS) {
-        this.remarksPerS = remarksPerS;
+    /** Logs at most {@code diagnosticsPerSecond} diagnostics a second. */
+    public Slf4jAccessLog(int diagnosticsPerSecond) {
+        this.diagnosticsPerSecond = diagnosticsPerSecond;
     }
 
     /** Diagnostics that were over the rate and so not logged. */
@@ -48,24 +48,25 @@
     @Override
     public void onDiagnostic(String text) {
         long now = System.nanoTime() / SECOND;
-        if (now != second) {
+        if (now != currentSecond) {
             if (droppedInSecond > 0) {
-                REMARKS.info("{} more remarks in that second", droppedInSecond);
+                DIAGNOSTICS.info("{} more diagnostics in that second", droppedInSecond);
             }
-            second = now;
-            inSecond = 0;
+            currentSecond = now;
+            loggedInSecond = 0;
             droppedInSecond = 0;
         }
-        if (++inSecond > remarksPerS) {
+        if (++loggedInSecond > diagnosticsPerSecond) {
             droppedInSecond++;
             dropped.increment();
         } else {
-            REMARKS.info(text);
+            DIAGNOSTICS.info(text);
         }
     }
 
     @Override
     public void onDispatcherRestarted(String event, Throwable cause, int callsEnded) {
-        LOOP.error("the decisions threw on {}; {} open calls were ended, a new life begins", event, callsEnded, cause);
+        ENGINE.error(
+                "dispatcher threw on {}: {} pending calls ended, starting a new incarnation", event, callsEnded, cause);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/StepJournal.java
+++ b/engine/src/main/java/wharfhinge/engine/StepJournal.java
@@ -2,9 +2,9 @@
 
 import wharfhinge.decisions.chain.FinishedSteps;
 
-/** Keeps finished steps over a restart; called by the loop's thread, never blocks. */
+/** Records finished steps of chains across restarts. Called on the engine's thread; never blocks. */
 public interface StepJournal extends AutoCloseable {
-    /** Keeps nothing. */
+    /** Records nothing. */
     StepJournal NONE = new StepJournal() {
         @Override
         public boolean recordStep(
@@ -25,10 +25,10 @@
         public void close() {}
     };
 
-    /** Takes what was kept. */
+    /** Receives what an earlier process recorded. */
     @FunctionalInterface
     interface RestoredStepListener {
-        /** A step that was finished {@code ageNs} ago. */
+        /** A step that finished {@code ageNanos} ago. */
         void onStepRestored(
                 long ageNanos,
                 String tenant,
@@ -40,15 +40,15 @@
     }
 
     /**
-     * A step was finished.
+     * Records a finished step.
      *
-     * @param kept run on another thread once a killed process would not lose it, or once it is known that it can't be kept
-     * @return false where it is not kept; {@code kept} is then never run
+     * @param kept run on another thread once the record survives a crash, or once it is known that it cannot be written
+     * @return false where it is not recorded; {@code kept} is then never run
      */
     boolean recordStep(
             String tenant, String key, String digest, int steps, int step, FinishedSteps.Answer answer, Runnable kept);
 
-    /** Tells all that is kept, before the first chain. */
+    /** Restores all records, before the first chain. */
     void restore(RestoredStepListener to);
 
     @Override
--- a/engine/src/main/java/wharfhinge/engine/SubmissionQueue.java
+++ b/engine/src/main/java/wharfhinge/engine/SubmissionQueue.java
@@ -9,93 +9,93 @@
 import wharfhinge.engine.EngineMetrics.Counter;
 
 /**
- * Hands calls of the I/O threads to the loop's thread, or turns them away before they count as taken: after the loop
- * began to close, by a tenant's limits, or where too many are open or wait for the loop. Any thread.
+ * The bounded queue from the I/O threads to the engine's thread. A call is rejected before it is accepted when the engine is
+ * shutting down, a tenant's quota is used up, too many calls are pending or the queue is full. Safe for use by any thread.
  */
 final class SubmissionQueue {
     private final EngineSettings settings;
-    private final AdmissionGate door;
-    private final EngineMetrics stats;
+    private final AdmissionGate admissionGate;
+    private final EngineMetrics metrics;
     private final LongSupplier nanoTime;
-    private final EventLoop thread;
-    private final AtomicInteger waiting = new AtomicInteger(); // for the loop to come round to them
-    private final AtomicInteger open = new AtomicInteger();
-    private volatile boolean closing;
+    private final EventLoop eventLoop;
+    private final AtomicInteger queued = new AtomicInteger(); // not yet taken by the event loop
+    private final AtomicInteger pending = new AtomicInteger();
+    private volatile boolean closed;
 
-    SubmissionQueue(EngineSettings settings, EngineMetrics stats, LongSupplier nanoTime, EventLoop thread) {
+    SubmissionQueue(EngineSettings settings, EngineMetrics metrics, LongSupplier nanoTime, EventLoop eventLoop) {
         this.settings = settings;
-        this.door = new AdmissionGate(settings.admission());
-        this.stats = stats;
+        this.admissionGate = new AdmissionGate(settings.admission());
+        this.metrics = metrics;
         this.nanoTime = nanoTime;
-        this.thread = thread;
+        this.eventLoop = eventLoop;
     }
 
-    /** Has {@code begin} run on the loop's thread for something that counts as one open call; or says why not. */
-    SubmissionResult offer(String name, String tenant, Runnable begin) {
-        if (closing) {
-            stats.add(Counter.REJECTED_SHUTTING_DOWN);
+    /** Queues {@code start} for the event loop as one pending call, or tells why it is rejected. */
+    SubmissionResult submit(String name, String tenant, Runnable start) {
+        if (closed) {
+            metrics.increment(Counter.REJECTED_SHUTTING_DOWN);
             return new SubmissionResult(SubmissionStatus.SHUTTING_DOWN, 0);
         }
-        AdmissionController.Verdict verdict = door.arrives(nanoTime.getAsLong(), tenant);
+        AdmissionController.Verdict verdict = admissionGate.tryAdmit(nanoTime.getAsLong(), tenant);
         if (verdict.decision() != AdmissionController.Decision.ADMITTED) {
             return new SubmissionResult(SubmissionStatus.of(verdict.decision()), verdict.retryAfterNanos());
         }
-        SubmissionStatus taken = take(name, begin);
-        if (taken != SubmissionStatus.ACCEPTED) {
-            leftDoor(tenant, AdmissionController.CallEnd.OTHERWISE, 0, 0);
+        SubmissionStatus status = enqueue(name, start);
+        if (status != SubmissionStatus.ACCEPTED) {
+            release(tenant, AdmissionController.CallEnd.OTHERWISE, 0, 0);
         }
-        return new SubmissionResult(taken, 0);
+        return new SubmissionResult(status, 0);
     }
 
-    private SubmissionStatus take(String name, Runnable begin) {
-        if (open.incrementAndGet() > settings.maxPendingCalls()) {
-            open.decrementAndGet();
-            stats.add(Counter.REJECTED_TOO_MANY_PENDING);
+    private SubmissionStatus enqueue(String name, Runnable start) {
+        if (pending.incrementAndGet() > settings.maxPendingCalls()) {
+            pending.decrementAndGet();
+            metrics.increment(Counter.REJECTED_TOO_MANY_PENDING);
             return SubmissionStatus.TOO_MANY_PENDING;
         }
-        if (waiting.incrementAndGet() > settings.submissionQueueCapacity()) {
-            waiting.decrementAndGet();
-            open.decrementAndGet();
-            stats.add(Counter.REJECTED_QUEUE_FULL);
+        if (queued.incrementAndGet() > settings.submissionQueueCapacity()) {
+            queued.decrementAndGet();
+            pending.decrementAndGet();
+            metrics.increment(Counter.REJECTED_QUEUE_FULL);
             return SubmissionStatus.QUEUE_FULL;
         }
-        thread.tell(name, () -> {
-            waiting.decrementAndGet();
-            begin.run();
+        eventLoop.execute(name, () -> {
+            queued.decrementAndGet();
+            start.run();
         });
         return SubmissionStatus.ACCEPTED;
     }
 
-    /** A call was begun by the loop itself. */
-    void begun() {
-        open.incrementAndGet();
+    /** The engine itself started a call, the step of a chain. */
+    void onStarted() {
+        pending.incrementAndGet();
     }
 
-    /** One that was taken or begun has ended. */
-    void ended() {
-        open.decrementAndGet();
+    /** A call that was accepted or started has its final answer. */
+    void onCompleted() {
+        pending.decrementAndGet();
     }
 
-    /** One that came through the door has ended. */
-    void leftDoor(String tenant, AdmissionController.CallEnd how, long tookNanos, long aimNanos) {
-        door.ended(nanoTime.getAsLong(), tenant, how, tookNanos, aimNanos);
+    /** Returns an admitted call's place at the admission gate. */
+    void release(String tenant, AdmissionController.CallEnd callEnd, long tookNanos, long latencyObjectiveNanos) {
+        admissionGate.onCallEnded(nanoTime.getAsLong(), tenant, callEnd, tookNanos, latencyObjectiveNanos);
     }
 
-    /** Taken and not yet ended. */
-    int open() {
-        return open.get();
+    /** Calls accepted or started and not yet answered. */
+    int pending() {
+        return pending.get();
     }
 
-    /** Takes no more. */
+    /** Rejects every later submission. */
     void close() {
-        closing = true;
+        closed = true;
     }
 
-    boolean closing() {
-        return closing;
+    boolean closed() {
+        return closed;
     }
 
-    Map<String, Long> doorFigures() {
-        return door.figures();
+    Map<String, Long> admissionMetrics() {
+        return admissionGate.metrics();
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
@@ -8,23 +8,23 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.protocol.RosterEntry;
 
-/** The sockets towards the workers, as the loop uses them. No method blocks; listeners are called by I/O threads. */
+/** Sends attempts, probes and load orders to workers. No method blocks; listeners are called on I/O threads. */
 public interface WorkerTransport extends AutoCloseable {
 
     /**
-     * What a worker needs to know of a function.
+     * What a worker is told of a function.
      *
-     * @param loadMillis the usual time of a load; 0 where untold, as are the others
+     * @param loadMillis the usual time of a load; 0 where unknown, as are the others
      */
     record FunctionInfo(String name, double memoryMb, int concurrencyPerCopy, double loadMillis) {}
 
     /**
-     * One attempt to be sent; {@code body} is not released by the receiver, which takes a reference of its own.
+     * One attempt to be sent. The transport retains {@code body} as long as it needs it.
      *
-     * @param deadlineAt   {@link System#nanoTime} at which the gateway stops waiting; what is left of it is told to the worker as the
-     *                   attempt is written, not as it is ordered
+     * @param deadlineAt   {@link System#nanoTime} at which the engine stops waiting. The worker gets what is left of it when the
+     *                   attempt is written, not when it is requested
      * @param idempotencyKey the client's, passed on unchanged; null where there is none
-     * @param clientCancelled whether the client was seen to have left, by now; asked on I/O threads before a byte is written
+     * @param clientCancelled whether the client has cancelled or disconnected; read on I/O threads before a byte is written
      */
     record AttemptRequest(
             String worker,
@@ -42,10 +42,10 @@
             BooleanSupplier clientCancelled) {}
 
     /**
-     * How an exchange with a worker ended.
+     * The result of an attempt, probe or load order.
      *
-     * @param reason   the same in the words of the wire, for logs
-     * @param loadedCopies copies that stand, for orders
+     * @param reason   the outcome in the words of the workers' protocol
+     * @param loadedCopies loaded copies, for load orders
      * @param body  the receiver releases it; may be null
      */
     record ExchangeResult(
@@ -59,17 +59,17 @@
             CharSequence contentType,
             String reason) {}
 
-    /** An attempt under way. */
+    /** Controls an attempt in flight. */
     interface AttemptHandle {
-        /** Stops it: what is not on the wire never goes there, what is gets a stream reset. No result follows. */
+        /** Cancels it: what was not written never is, what was gets a stream reset. No result follows. */
         void cancel();
 
         /**
-         * Takes it back if none of it was written yet: it ends as {@link Outcome#CANCELLED}, told as any end. What is on the wire goes on.
+         * Cancels it if none of it was written yet; the result is then {@link Outcome#CANCELLED}. What was written goes on.
          */
         void cancelIfUnsent();
 
-        /** Of an attempt that was never begun. */
+        /** The handle of an attempt that was never sent. */
         AttemptHandle NONE = new AttemptHandle() {
             @Override
             public void cancel() {}
@@ -79,33 +79,33 @@
         };
     }
 
-    /** Told how an attempt goes, on an I/O thread. */
+    /** Observes an attempt, on an I/O thread. */
     interface AttemptListener {
-        /** It ended; told once, not after a cancel. */
+        /** The attempt ended. Called at most once, and not after a cancel. */
         void onCompleted(ExchangeResult result);
 
-        /** A streamed answer began; nothing flows until the stream is told where to. */
+        /** A streamed answer started; no part is delivered until somebody subscribes. */
         void onStreamStarted(ResponseStream stream);
     }
 
-    /** A streamed answer, which belongs to one client. */
+    /** A streamed answer on its way to one client. */
     interface ResponseStream {
-        /** Sends all that comes to {@code sink}, from any thread. */
+        /** Delivers all parts to a consumer. Any thread. */
         void subscribe(StreamConsumer sink);
 
-        /** Gives it up. */
+        /** Cancels the stream at the worker. */
         void cancel();
 
         /** The worker's content type, or null. */
         CharSequence contentType();
     }
 
-    /** Takes a streamed answer; called on one I/O thread. */
+    /** Consumes a streamed answer; called on one I/O thread. */
     interface StreamConsumer {
-        /** A part; the sink releases it and runs {@code taken} once it is on its way, which lets more come. */
+        /** A part, which the consumer releases. It runs {@code taken} once the part is written, which lets the next one come. */
         void onData(ByteBuf part, Runnable taken);
 
-        /** The whole came, or the worker broke off. */
+        /** The stream ended; {@code complete} is false where the worker broke off. */
         void onEnd(boolean whole);
     }
 
@@ -115,22 +115,22 @@
     /** Probes a worker. */
     void probe(String worker, Consumer<ExchangeResult> ended);
 
-    /** Orders copies to be held, 0 only asks. */
+    /** Orders a worker to keep {@code count} copies loaded; 0 only queries how many are. */
     void ensureLoaded(String worker, FunctionInfo function, int count, long waitNanos, Consumer<ExchangeResult> ended);
 
-    /** Has idle copies unloaded; no answer is told. */
+    /** Orders a worker to unload idle copies; no result follows. */
     void unload(String worker, String function);
 
-    /** Closes connections that carry nothing. */
+    /** Closes idle connections to a worker. */
     void closeIdleConnections(String worker);
 
-    /** Nothing new may go to a worker: what has not reached the wire ends as a failed connect. */
+    /** Sends nothing new to a worker; what was not yet written ends as a failed connect. */
     void stopSending(String worker);
 
     /**
-     * A worker may be sent to (again).
+     * A worker may be sent to, from now on or again.
      *
-     * @param boot the process that requests are meant for from now on; {@link RosterEntry#NO_BOOT} where none is told
+     * @param boot the process that requests are meant for; {@link RosterEntry#NO_BOOT} where unknown
      */
     void startSending(String worker, String boot);
 
