--- a/app/src/main/java/wharfhinge/app/ReplayCommand.java
+++ b/app/src/main/java/wharfhinge/app/ReplayCommand.java
@@ -20,16 +20,16 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wharfhinge.capture.Account;
-import wharfhinge.capture.Act;
+import wharfhinge.capture.CallExplanation;
 import wharfhinge.capture.CaptureReader;
 import wharfhinge.capture.CaptureReader.Capture;
+import wharfhinge.capture.ClockOffset;
+import wharfhinge.capture.FailurePredicate;
 import wharfhinge.capture.Frame;
-import wharfhinge.capture.Reducer;
+import wharfhinge.capture.FrameJson;
+import wharfhinge.capture.RecordedAction;
 import wharfhinge.capture.Replayer;
-import wharfhinge.capture.Skew;
-import wharfhinge.capture.Symptom;
-import wharfhinge.capture.Text;
+import wharfhinge.capture.TraceMinimizer;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.config.InvalidFileException;
 import wharfhinge.policy.CacheAwareDispatcher;
@@ -155,15 +155,15 @@
 
     private static List<Frame> frames(Path file, List<String> troubles) throws IOException {
         if (file.toString().endsWith(".jsonl")) {
-            return Text.fixture(Files.readAllLines(file));
+            return FrameJson.fixture(Files.readAllLines(file));
         }
         Capture capture = CaptureReader.read(file);
-        troubles.addAll(capture.troubles());
+        troubles.addAll(capture.faults());
         return capture.frames();
     }
 
     private Integer replayed(List<Frame> frames, long end, boolean whole) throws IOException {
-        Account account = new Account(call == null ? "" : call);
+        CallExplanation account = new CallExplanation(call == null ? "" : call);
         Replayer.Result result;
         try (BufferedWriter decided = log == null ? null : Files.newBufferedWriter(log)) {
             result = new Replayer().replay(frames, end, new Replayer.Watcher() {
@@ -175,7 +175,7 @@
                 }
 
                 @Override
-                public void after(long index, Frame frame, List<Act> replayed) {
+                public void after(long index, Frame frame, List<RecordedAction> replayed) {
                     if (call != null) {
                         account.after(index, frame, replayed);
                     }
@@ -191,7 +191,7 @@
         }
         System.out.printf(
                 "%d frames compared in %d lives, %d after a gap left out, %d lost%n",
-                result.compared(), result.lives(), result.skipped(), result.gaps());
+                result.compared(), result.incarnations(), result.skipped(), result.gaps());
         if (result.difference() != null) {
             result.difference().lines().forEach(System.out::println);
             return Program.WANTING;
@@ -208,7 +208,7 @@
     private static void write(BufferedWriter to, Frame frame) {
         if (to != null) {
             try {
-                to.write(Text.line(frame));
+                to.write(FrameJson.line(frame));
                 to.newLine();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -228,15 +228,19 @@
                     public void before(long index, Frame frame, Dispatcher dispatcher) {}
 
                     @Override
-                    public void after(long index, Frame frame, List<Act> replayed) {
+                    public void after(long index, Frame frame, List<RecordedAction> replayed) {
                         if (!replayed.equals(frame.acts())) {
                             first[0] = first[0] < 0 ? index : first[0];
                             differ[0]++;
                             if (shown.size() < 2 * SHOWN) {
                                 shown.add("frame " + index + " captured "
-                                        + frame.acts().stream().map(Act::line).toList());
+                                        + frame.acts().stream()
+                                                .map(RecordedAction::line)
+                                                .toList());
                                 shown.add("frame " + index + " would be "
-                                        + replayed.stream().map(Act::line).toList());
+                                        + replayed.stream()
+                                                .map(RecordedAction::line)
+                                                .toList());
                             }
                         }
                     }
@@ -260,10 +264,10 @@
             return Program.USAGE;
         }
         try {
-            Predicate<List<Frame>> wanted = symptomClass == null ? new Symptom(symptom)::shows : ofClass();
-            Reducer reducer = new Reducer(wanted, mostReplays);
-            List<Frame> few = reducer.reduce(frames);
-            Files.write(out, Reducer.fixture("shows: " + (symptom == null ? symptomClass : symptom), few));
+            Predicate<List<Frame>> wanted = symptomClass == null ? new FailurePredicate(symptom)::matches : ofClass();
+            TraceMinimizer reducer = new TraceMinimizer(wanted, mostReplays);
+            List<Frame> few = reducer.minimize(frames);
+            Files.write(out, TraceMinimizer.fixtureLines("shows: " + (symptom == null ? symptomClass : symptom), few));
             System.out.printf(
                     "%d frames of %d after %d replays, in %s%n", few.size(), frames.size(), reducer.replays(), out);
             return Program.OK;
@@ -304,7 +308,7 @@
             return Long.MAX_VALUE;
         }
         return CaptureReader.index(at).stream()
-                .filter(b -> b.names().mayHold(call))
+                .filter(b -> b.names().mightContain(call))
                 .mapToLong(CaptureReader.BlockHead::lastNanos)
                 .max()
                 .orElse(Long.MAX_VALUE);
@@ -314,7 +318,7 @@
         int blocks = 0;
         for (Path file : files) {
             for (CaptureReader.BlockHead b : CaptureReader.index(file)) {
-                if (b.names().mayHold(find)) {
+                if (b.names().mightContain(find)) {
                     blocks++;
                     System.out.printf(
                             "%s at byte %d: %s, %.1f s, %d frames%n",
@@ -333,21 +337,21 @@
     private record Placed(long wallUs, String gateway, Frame frame) {}
 
     private long aheadUs(Capture first, Capture capture) {
-        Optional<Skew> skew = Skew.between(first, capture);
+        Optional<ClockOffset> skew = ClockOffset.estimate(first, capture);
         System.out.println("# " + capture.gateway()
                 + skew.map(s -> String.format(
                                 Locale.ROOT,
                                 ": clock %.1f ms ahead of %s's, estimated from %d changes of the list, half of them within %.1f ms",
-                                s.aheadUs() / 1000.0,
+                                s.offsetMicros() / 1000.0,
                                 first.gateway(),
                                 s.samples(),
-                                s.spreadUs() / 1000.0))
+                                s.spreadMicros() / 1000.0))
                         .orElse(": shares no change of the list with " + first.gateway()
                                 + ", its clock's skew can't be estimated"));
         Double told = skews.get(capture.gateway());
         return told != null
                 ? (long) (told * 1000)
-                : align ? skew.map(Skew::aheadUs).orElse(0L) : 0;
+                : align ? skew.map(ClockOffset::offsetMicros).orElse(0L) : 0;
     }
 
     private Integer merged() throws IOException {
@@ -355,13 +359,13 @@
         Capture first = null;
         for (Path file : files) {
             Capture capture = CaptureReader.read(file);
-            capture.troubles().forEach(t -> System.out.println("trouble: " + t));
+            capture.faults().forEach(t -> System.out.println("trouble: " + t));
             long aheadUs = first == null ? 0 : aheadUs(first, capture);
             first = first == null ? capture : first;
-            capture.frames().forEach(f -> all.add(new Placed(capture.wallUs(f) - aheadUs, capture.gateway(), f)));
+            capture.frames().forEach(f -> all.add(new Placed(capture.wallMicros(f) - aheadUs, capture.gateway(), f)));
         }
         all.sort(Comparator.comparingLong(Placed::wallUs)); // stable: one gateway's frames keep their order
-        all.forEach(p -> System.out.println(p.wallUs + " " + p.gateway + " " + Text.line(p.frame)));
+        all.forEach(p -> System.out.println(p.wallUs + " " + p.gateway + " " + FrameJson.line(p.frame)));
         return Program.OK;
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/Mutant.java
+++ b/app/src/main/java/wharfhinge/app/drill/Mutant.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
-import wharfhinge.capture.Forwarding;
 import wharfhinge.capture.ForwardingActions;
+import wharfhinge.capture.ForwardingDispatcher;
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.decisions.chain.ChainSettings;
 import wharfhinge.engine.DispatcherFactory;
@@ -232,7 +232,7 @@
 
     /** Decisions that are told that no worker has just started. */
     private static Dispatcher allWarm(Dispatcher to) {
-        return new Forwarding(to) {
+        return new ForwardingDispatcher(to) {
             @Override
             public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {
                 super.onEndpointUpdate(
--- a/app/src/main/java/wharfhinge/app/measure/DecisionCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/DecisionCostCommand.java
@@ -22,7 +22,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import wharfhinge.app.Program;
-import wharfhinge.capture.Act;
+import wharfhinge.capture.RecordedAction;
 import wharfhinge.capture.Recorder;
 import wharfhinge.policy.AttemptCompletion;
 import wharfhinge.policy.Availability;
@@ -197,7 +197,7 @@
         private final Random random = new Random(1);
         private final Dispatcher to;
         private final int workers;
-        private final Act.Kind[] kinds = new Act.Kind[MOST_NOTED];
+        private final RecordedAction.Kind[] kinds = new RecordedAction.Kind[MOST_NOTED];
         private final String[] firsts = new String[MOST_NOTED];
         private final String[] seconds = new String[MOST_NOTED];
         private final long[] delays = new long[MOST_NOTED];
@@ -208,7 +208,7 @@
         private long took;
         private long bytes;
 
-        Fleet(Recorder.Maker maker, int workers, int group) {
+        Fleet(Recorder.DispatcherConstructor maker, int workers, int group) {
             this.workers = workers;
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < workers; i++) {
@@ -262,7 +262,7 @@
             }
         }
 
-        private void note(Act.Kind kind, String first, String second, long delayNanos) {
+        private void note(RecordedAction.Kind kind, String first, String second, long delayNanos) {
             kinds[noted] = kind;
             firsts[noted] = first;
             seconds[noted] = second;
@@ -282,17 +282,17 @@
 
         @Override
         public void sendAttempt(String request, String worker, long timeoutNanos) {
-            note(Act.Kind.ATTEMPT, request, worker, timeoutNanos);
+            note(RecordedAction.Kind.ATTEMPT, request, worker, timeoutNanos);
         }
 
         @Override
         public void probe(String worker) {
-            note(Act.Kind.PROBE, worker, null, 0);
+            note(RecordedAction.Kind.PROBE, worker, null, 0);
         }
 
         @Override
         public void scheduleTimer(String token, long delayNanos) {
-            note(Act.Kind.TIMER, token, null, delayNanos);
+            note(RecordedAction.Kind.TIMER, token, null, delayNanos);
         }
 
         @Override
--- a/app/src/main/java/wharfhinge/app/measure/ReplayBenchmark.java
+++ b/app/src/main/java/wharfhinge/app/measure/ReplayBenchmark.java
@@ -15,8 +15,8 @@
 import org.openjdk.jmh.annotations.State;
 import wharfhinge.capture.CaptureReader;
 import wharfhinge.capture.Frame;
+import wharfhinge.capture.FrameJson;
 import wharfhinge.capture.Replayer;
-import wharfhinge.capture.Text;
 
 /** A whole capture decided again; what a frame costs is this over the number of frames. */
 @State(Scope.Benchmark)
@@ -31,7 +31,7 @@
 
     static List<Frame> read(Path file) throws IOException {
         return file.toString().endsWith(".jsonl")
-                ? Text.fixture(Files.readAllLines(file))
+                ? FrameJson.fixture(Files.readAllLines(file))
                 : CaptureReader.read(file).frames();
     }
 
--- a/capture/src/main/java/wharfhinge/capture/CaptureFile.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureFile.java
@@ -11,17 +11,17 @@
     /** The version that is written. */
     static final int VERSION = 2;
     /** The earliest that is read: its blocks have no filter. */
-    static final int UNFILTERED = 1;
+    static final int VERSION_WITHOUT_FILTER = 1;
     /** Before each block. */
-    static final int MARK = 0x57484231;
+    static final int BLOCK_MARK = 0x57484231;
     /** Of a block's head, after the mark. */
     static final int HEAD_BYTES = 4 + 4 + 4 + 8 + 8 + 4 + 4;
     /** The checksum stands before this byte of a block and covers all from here on. */
-    static final int SUMMED_FROM = 12;
+    static final int CHECKSUM_FROM = 12;
     /** Longest filter. */
-    static final int MOST_FILTER = 1 << 20;
+    static final int MAX_FILTER_BYTES = 1 << 20;
     /** Longest block, packed or not. */
-    static final int MOST_BLOCK = 64 << 20;
+    static final int MAX_BLOCK_BYTES = 64 << 20;
     /** Name of a segment. */
     static final String SUFFIX = ".whcap";
 
@@ -29,7 +29,7 @@
 
     /** Of a block's head in that version, after the mark. */
     static int headBytes(int version) {
-        return version == UNFILTERED ? HEAD_BYTES - 4 : HEAD_BYTES;
+        return version == VERSION_WITHOUT_FILTER ? HEAD_BYTES - 4 : HEAD_BYTES;
     }
 
     /** The head line of a segment; wall and loop time were read together. */
--- a/capture/src/main/java/wharfhinge/capture/CaptureReader.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureReader.java
@@ -24,12 +24,12 @@
      * What was read of one gateway.
      *
      * @param wallMillis   wall clock at {@code nanos} of the gateway's own clock
-     * @param troubles where it was cut or damaged; a {@link Event.Gap} stands there
+     * @param faults where it was cut or damaged; a {@link Event.Gap} stands there
      */
     public record Capture(
-            String gateway, long wallMillis, long nanos, boolean hashed, List<Frame> frames, List<String> troubles) {
+            String gateway, long wallMillis, long nanos, boolean hashed, List<Frame> frames, List<String> faults) {
         /** A frame's time on the wall clock, microseconds. */
-        public long wallUs(Frame frame) {
+        public long wallMicros(Frame frame) {
             return wallMillis * 1000 + (frame.at() - nanos) / 1000;
         }
     }
@@ -45,7 +45,7 @@
             NameFilter names) {}
 
     private record Head(int version, String gateway, long wallMillis, long nanos, boolean hashed, int length) {
-        int blockHead() {
+        int blockHeadBytes() {
             return 4 + CaptureFile.headBytes(version);
         }
     }
@@ -69,10 +69,10 @@
     /** Reads a file, or all segments of a folder that holds one gateway's. */
     public static Capture read(Path at) throws IOException {
         List<Frame> frames = new ArrayList<>();
-        List<String> troubles = new ArrayList<>();
+        List<String> faults = new ArrayList<>();
         Head first = null;
         for (Path segment : segments(at)) {
-            Head head = read(segment, frames, troubles);
+            Head head = read(segment, frames, faults);
             if (first != null && !first.gateway.equals(head.gateway)) {
                 throw new IOException(at + ": holds captures of " + first.gateway + " and " + head.gateway
                         + "; name the files of one");
@@ -82,58 +82,58 @@
         if (first == null) {
             throw new IOException(at + ": holds no capture");
         }
-        return new Capture(first.gateway, first.wallMillis, first.nanos, first.hashed, frames, troubles);
+        return new Capture(first.gateway, first.wallMillis, first.nanos, first.hashed, frames, faults);
     }
 
-    private static Head read(Path segment, List<Frame> frames, List<String> troubles) throws IOException {
+    private static Head read(Path segment, List<Frame> frames, List<String> faults) throws IOException {
         try (DataInputStream in =
                 new DataInputStream(new BufferedInputStream(Files.newInputStream(segment), 1 << 16))) {
-            Head head = head(segment, in);
+            Head head = readHead(segment, in);
             long offset = head.length;
             long size = Files.size(segment);
             while (offset < size) {
-                String trouble = null;
+                String fault = null;
                 int length = 0;
-                if (size - offset < head.blockHead()) {
-                    trouble = "cut inside a block's head";
-                } else if (in.readInt() != CaptureFile.MARK) {
-                    trouble = "no block begins here";
+                if (size - offset < head.blockHeadBytes()) {
+                    fault = "cut inside a block's head";
+                } else if (in.readInt() != CaptureFile.BLOCK_MARK) {
+                    fault = "no block begins here";
                 } else {
                     length = in.readInt();
-                    trouble = block(in, head, length, size - offset - head.blockHead(), frames);
+                    fault = readBlock(in, head, length, size - offset - head.blockHeadBytes(), frames);
                 }
-                if (trouble != null) {
-                    troubles.add(segment.getFileName() + " at byte " + offset + ": " + trouble
+                if (fault != null) {
+                    faults.add(segment.getFileName() + " at byte " + offset + ": " + fault
                             + "; what follows in this segment is left out");
                     long at =
                             frames.isEmpty() ? 0 : frames.get(frames.size() - 1).at();
                     frames.add(new Frame(at, new Event.Gap(1), List.of(), ""));
                     return head;
                 }
-                offset += head.blockHead() + length;
+                offset += head.blockHeadBytes() + length;
             }
             return head;
         }
     }
 
-    private static Head head(Path segment, InputStream in) throws IOException {
+    private static Head readHead(Path segment, InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
-        for (int b = in.read(); b != '\n'; b = in.read()) {
-            if (b < 0 || line.length() > 500) {
+        for (int character = in.read(); character != '\n'; character = in.read()) {
+            if (character < 0 || line.length() > 500) {
                 throw new IOException(segment + ": no capture, its head line does not end");
             }
-            line.append((char) b);
+            line.append((char) character);
         }
         String[] words = line.toString().split(" ");
         if (words.length < 2 || !words[0].equals(CaptureFile.MAGIC)) {
             throw new IOException(segment + ": no capture, found '" + line + "'");
         }
         if (!words[1].matches("[0-9]{1,6}")
-                || Integer.parseInt(words[1]) < CaptureFile.UNFILTERED
+                || Integer.parseInt(words[1]) < CaptureFile.VERSION_WITHOUT_FILTER
                 || Integer.parseInt(words[1]) > CaptureFile.VERSION
                 || words.length != 6) {
             throw new IOException(segment + ": written in version " + words[1] + ", this program reads versions "
-                    + CaptureFile.UNFILTERED + " to " + CaptureFile.VERSION
+                    + CaptureFile.VERSION_WITHOUT_FILTER + " to " + CaptureFile.VERSION
                     + "; replay it with the program that wrote it");
         }
         return new Head(
@@ -146,31 +146,31 @@
     }
 
     /** Null, or what is wrong with the block. */
-    private static String block(DataInputStream in, Head file, int length, long left, List<Frame> frames)
+    private static String readBlock(DataInputStream in, Head file, int length, long left, List<Frame> frames)
             throws IOException {
         int crc = in.readInt();
         byte[] head = in.readNBytes(CaptureFile.headBytes(file.version) - 8);
-        if (length < 0 || length > CaptureFile.MOST_BLOCK) {
+        if (length < 0 || length > CaptureFile.MAX_BLOCK_BYTES) {
             return "a block of " + length + " bytes";
         }
         if (length > left) {
             return "cut inside a block";
         }
-        int filter = file.version == CaptureFile.UNFILTERED
+        int filterBytes = file.version == CaptureFile.VERSION_WITHOUT_FILTER
                 ? 0
                 : ByteBuffer.wrap(head).getInt(head.length - 4);
         byte[] rest = in.readNBytes(length);
-        if (filter < 0 || filter > rest.length) {
-            return "a filter of " + filter + " bytes";
+        if (filterBytes < 0 || filterBytes > rest.length) {
+            return "a filter of " + filterBytes + " bytes";
         }
-        byte[] packed = Arrays.copyOfRange(rest, filter, rest.length);
+        byte[] packed = Arrays.copyOfRange(rest, filterBytes, rest.length);
         CRC32C sum = new CRC32C();
         sum.update(head);
         sum.update(rest);
         ByteBuffer fields = ByteBuffer.wrap(head);
         int plain = fields.getInt(0);
         int count = fields.getInt(COUNT_AT);
-        if ((int) sum.getValue() != crc || plain < 0 || plain > CaptureFile.MOST_BLOCK) {
+        if ((int) sum.getValue() != crc || plain < 0 || plain > CaptureFile.MAX_BLOCK_BYTES) {
             return "wrong checksum";
         }
         try {
@@ -194,24 +194,24 @@
         List<BlockHead> heads = new ArrayList<>();
         for (Path segment : segments(at)) {
             try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(segment)))) {
-                Head head = head(segment, in);
+                Head head = readHead(segment, in);
                 long offset = head.length;
                 long size = Files.size(segment);
-                while (size - offset >= head.blockHead() && in.readInt() == CaptureFile.MARK) {
+                while (size - offset >= head.blockHeadBytes() && in.readInt() == CaptureFile.BLOCK_MARK) {
                     int length = in.readInt();
                     in.readInt();
                     in.readInt();
                     long first = in.readLong();
                     long last = in.readLong();
                     int frames = in.readInt();
-                    int filter = head.version == CaptureFile.UNFILTERED ? 0 : in.readInt();
-                    if (filter < 0
-                            || filter > CaptureFile.MOST_FILTER
-                            || length < filter
-                            || size - offset - head.blockHead() < length) {
+                    int filterBytes = head.version == CaptureFile.VERSION_WITHOUT_FILTER ? 0 : in.readInt();
+                    if (filterBytes < 0
+                            || filterBytes > CaptureFile.MAX_FILTER_BYTES
+                            || length < filterBytes
+                            || size - offset - head.blockHeadBytes() < length) {
                         break;
                     }
-                    NameFilter names = NameFilter.read(in.readNBytes(filter));
+                    NameFilter names = NameFilter.read(in.readNBytes(filterBytes));
                     heads.add(new BlockHead(
                             segment,
                             offset,
@@ -220,8 +220,8 @@
                             last,
                             frames,
                             names));
-                    in.skipNBytes(length - filter);
-                    offset += (long) head.blockHead() + length;
+                    in.skipNBytes(length - filterBytes);
+                    offset += (long) head.blockHeadBytes() + length;
                 }
             }
         }
--- a/capture/src/main/java/wharfhinge/capture/CaptureWriter.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureWriter.java
@@ -30,14 +30,14 @@
  */
 public final class CaptureWriter implements Consumer<Frame>, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(CaptureWriter.class);
-    private static final int BATCH = 256;
-    private static final long BATCH_NS =
+    private static final int BATCH_FRAMES = 256;
+    private static final long MAX_BATCH_NANOS =
             100_000_000L; // of the frames' clock; a dispatcher's own timer comes twice a second
-    private static final int WAITING = 65_536; // frames
+    private static final int MAX_QUEUED_FRAMES = 65_536; // frames
     private static final int BLOCK_FRAMES = 2000;
-    private static final long BLOCK_NS = 500_000_000L;
-    private static final int LEVEL = 1; // the fastest: writing shares the machine with calls
-    private static final long RETRY_NS = 1_000_000_000L;
+    private static final long MAX_BLOCK_NANOS = 500_000_000L;
+    private static final int COMPRESSION_LEVEL = 1; // the fastest: writing shares the machine with calls
+    private static final long RETRY_NANOS = 1_000_000_000L;
 
     /** Figures of a writer. */
     public record Figures(long frames, long lost, long bytes, long segments) {}
@@ -48,19 +48,19 @@
     private final Path folder;
     private final String gateway;
     private final long segmentBytes;
-    private final long mostBytes;
-    private final long mostAgeMillis;
+    private final long maxBytes;
+    private final long maxAgeMillis;
     private final boolean hashed;
-    private final LinkedBlockingQueue<List<Frame>> waiting = new LinkedBlockingQueue<>();
-    private final AtomicInteger framesWaiting = new AtomicInteger();
+    private final LinkedBlockingQueue<List<Frame>> queue = new LinkedBlockingQueue<>();
+    private final AtomicInteger queuedFrames = new AtomicInteger();
     private final Thread thread;
     private final List<Frame> block = new ArrayList<>();
     private FileChannel file;
-    private long inSegment;
-    private long blockBegan;
-    private long nextTry;
-    private List<Frame> batch = new ArrayList<>(BATCH); // the loop's thread alone, as the next
-    private long lostNow; // since the last gap
+    private long segmentSize;
+    private long blockStartedAt;
+    private long nextRetryAt;
+    private List<Frame> batch = new ArrayList<>(BATCH_FRAMES); // the loop's thread alone, as the next
+    private long lostSinceGap; // since the last gap
     private long lostOnDisk; // the writer's thread alone
     private volatile Clocks clocks = new Clocks(System.currentTimeMillis(), 0);
     private volatile long frames;
@@ -73,16 +73,16 @@
      * A writer that begins at once.
      *
      * @param segmentBytes a segment is closed beyond so many
-     * @param mostBytes    of all segments of this gateway in the folder
+     * @param maxBytes    of all segments of this gateway in the folder
      */
     public CaptureWriter(
-            Path folder, String gateway, long segmentBytes, long mostBytes, long mostAgeMillis, boolean hashed)
+            Path folder, String gateway, long segmentBytes, long maxBytes, long maxAgeMillis, boolean hashed)
             throws IOException {
         this.folder = Files.createDirectories(folder);
         this.gateway = gateway;
         this.segmentBytes = segmentBytes;
-        this.mostBytes = mostBytes;
-        this.mostAgeMillis = mostAgeMillis;
+        this.maxBytes = maxBytes;
+        this.maxAgeMillis = maxAgeMillis;
         this.hashed = hashed;
         this.thread = new Thread(this::run, "capture");
         thread.setDaemon(true);
@@ -92,33 +92,33 @@
     /** Hands a frame over; the dispatcher's thread alone calls it. */
     @Override
     public void accept(Frame frame) {
-        if (lostNow > 0 && batch.isEmpty()) {
-            batch.add(new Frame(frame.at(), new Event.Gap(lostNow), List.of(), ""));
+        if (lostSinceGap > 0 && batch.isEmpty()) {
+            batch.add(new Frame(frame.at(), new Event.Gap(lostSinceGap), List.of(), ""));
         }
         batch.add(frame);
-        if (batch.size() >= BATCH
-                || frame.at() - batch.get(0).at() >= BATCH_NS
+        if (batch.size() >= BATCH_FRAMES
+                || frame.at() - batch.get(0).at() >= MAX_BATCH_NANOS
                 || frame.event() instanceof Event.Life) {
-            handOver();
+            enqueueBatch();
         }
     }
 
-    private void handOver() {
+    private void enqueueBatch() {
         if (batch.isEmpty()) {
             return;
         }
         clocks = new Clocks(
                 System.currentTimeMillis(), batch.get(batch.size() - 1).at());
-        if (framesWaiting.get() + batch.size() <= WAITING) {
-            framesWaiting.addAndGet(batch.size());
-            waiting.add(batch);
-            lostNow = 0;
+        if (queuedFrames.get() + batch.size() <= MAX_QUEUED_FRAMES) {
+            queuedFrames.addAndGet(batch.size());
+            queue.add(batch);
+            lostSinceGap = 0;
         } else {
             long gone = batch.size() - (batch.get(0).event() instanceof Event.Gap ? 1 : 0);
-            lostNow += gone;
+            lostSinceGap += gone;
             lost += gone;
         }
-        batch = new ArrayList<>(BATCH);
+        batch = new ArrayList<>(BATCH_FRAMES);
     }
 
     /** What was written and lost so far. */
@@ -128,14 +128,14 @@
 
     private void run() {
         try {
-            while (!closing || !waiting.isEmpty()) {
-                List<Frame> some = waiting.poll(50, TimeUnit.MILLISECONDS);
+            while (!closing || !queue.isEmpty()) {
+                List<Frame> some = queue.poll(50, TimeUnit.MILLISECONDS);
                 if (some != null) {
-                    blockBegan = block.isEmpty() ? System.nanoTime() : blockBegan;
+                    blockStartedAt = block.isEmpty() ? System.nanoTime() : blockStartedAt;
                     block.addAll(some);
-                    framesWaiting.addAndGet(-some.size());
+                    queuedFrames.addAndGet(-some.size());
                 }
-                boolean old = !block.isEmpty() && System.nanoTime() - blockBegan > BLOCK_NS;
+                boolean old = !block.isEmpty() && System.nanoTime() - blockStartedAt > MAX_BLOCK_NANOS;
                 if (block.size() >= BLOCK_FRAMES || old) {
                     flush();
                 }
@@ -156,7 +156,7 @@
             return;
         }
         try {
-            if (System.nanoTime() < nextTry) {
+            if (System.nanoTime() < nextRetryAt) {
                 throw new IOException("waiting before the next try");
             }
             if (lostOnDisk > 0) {
@@ -166,9 +166,9 @@
             frames += block.size();
             lostOnDisk = 0;
         } catch (IOException e) {
-            if (System.nanoTime() >= nextTry) {
+            if (System.nanoTime() >= nextRetryAt) {
                 LOG.warn("capture can't be written, a gap is marked: {}", e.getMessage());
-                nextTry = System.nanoTime() + RETRY_NS;
+                nextRetryAt = System.nanoTime() + RETRY_NANOS;
             }
             long gone = block.stream()
                     .filter(f -> !(f.event() instanceof Event.Gap))
@@ -192,16 +192,16 @@
     }
 
     private void write() throws IOException {
-        if (file == null || inSegment > segmentBytes) {
-            roll();
+        if (file == null || segmentSize > segmentBytes) {
+            startSegment();
         }
         var wire = wharfhinge.capture.wire.Block.newBuilder();
         block.forEach(f -> wire.addFrames(WireCodec.write(f)));
         byte[] plain = wire.build().toByteArray();
-        byte[] packed = Zstd.compress(plain, LEVEL);
-        byte[] filter = NameFilter.of(names()).bytes();
+        byte[] packed = Zstd.compress(plain, COMPRESSION_LEVEL);
+        byte[] filter = NameFilter.of(namesInBlock()).bytes();
         ByteBuffer out = ByteBuffer.allocate(4 + CaptureFile.HEAD_BYTES + filter.length + packed.length);
-        out.putInt(CaptureFile.MARK)
+        out.putInt(CaptureFile.BLOCK_MARK)
                 .putInt(filter.length + packed.length)
                 .putInt(0)
                 .putInt(plain.length)
@@ -213,9 +213,9 @@
                 .put(packed)
                 .flip();
         CRC32C crc = new CRC32C();
-        crc.update(out.array(), CaptureFile.SUMMED_FROM, out.limit() - CaptureFile.SUMMED_FROM);
-        out.putInt(CaptureFile.SUMMED_FROM - 4, (int) crc.getValue());
-        inSegment += out.remaining();
+        crc.update(out.array(), CaptureFile.CHECKSUM_FROM, out.limit() - CaptureFile.CHECKSUM_FROM);
+        out.putInt(CaptureFile.CHECKSUM_FROM - 4, (int) crc.getValue());
+        segmentSize += out.remaining();
         bytes += out.remaining();
         while (out.hasRemaining()) {
             file.write(out);
@@ -223,7 +223,7 @@
     }
 
     /** Of the calls that the block tells of: the gateway's own and the clients'. */
-    private Set<String> names() {
+    private Set<String> namesInBlock() {
         Set<String> names = new HashSet<>();
         for (Frame f : block) {
             if (f.event() instanceof Event.Named n) {
@@ -236,7 +236,7 @@
         return names;
     }
 
-    private void roll() throws IOException {
+    private void startSegment() throws IOException {
         close(file);
         file = null;
         long wall = System.currentTimeMillis();
@@ -246,7 +246,7 @@
         byte[] head =
                 CaptureFile.head(gateway, both.wallMillis, both.nanos, hashed).getBytes(StandardCharsets.US_ASCII);
         file.write(ByteBuffer.wrap(head));
-        inSegment = head.length;
+        segmentSize = head.length;
         bytes += head.length;
         segments++;
         prune(path);
@@ -266,8 +266,8 @@
             sum += Files.size(all.get(i));
             boolean old = System.currentTimeMillis()
                             - Files.getLastModifiedTime(all.get(i)).toMillis()
-                    > mostAgeMillis;
-            if (sum > mostBytes || old) {
+                    > maxAgeMillis;
+            if (sum > maxBytes || old) {
                 Files.deleteIfExists(all.get(i));
             }
         }
@@ -276,7 +276,7 @@
     /** Writes what was handed over, and ends; blocks some seconds at most. Once the dispatcher's thread has made its last call. */
     @Override
     public void close() throws InterruptedException {
-        handOver();
+        enqueueBatch();
         closing = true;
         thread.join(5000);
     }
--- a/capture/src/main/java/wharfhinge/capture/ForwardingActions.java
+++ b/capture/src/main/java/wharfhinge/capture/ForwardingActions.java
@@ -4,75 +4,75 @@
 
 /** Hands every action on; those who stand between change what they must. */
 public class ForwardingActions implements DispatcherActions {
-    private final DispatcherActions to;
+    private final DispatcherActions delegate;
 
     /** Hands on to {@code to}. */
-    protected ForwardingActions(DispatcherActions to) {
-        this.to = to;
+    protected ForwardingActions(DispatcherActions delegate) {
+        this.delegate = delegate;
     }
 
     @Override
     public void sendAttempt(String request, String worker, long timeoutNanos) {
-        to.sendAttempt(request, worker, timeoutNanos);
+        delegate.sendAttempt(request, worker, timeoutNanos);
     }
 
     @Override
     public void cancelAttempt(String request, int attempt) {
-        to.cancelAttempt(request, attempt);
+        delegate.cancelAttempt(request, attempt);
     }
 
     @Override
-    public void reject(String request, long coolDownNanos) {
-        to.reject(request, coolDownNanos);
+    public void reject(String request, long retryAfterNanos) {
+        delegate.reject(request, retryAfterNanos);
     }
 
     @Override
     public void fail(String request) {
-        to.fail(request);
+        delegate.fail(request);
     }
 
     @Override
     public void ensureLoaded(String worker, String function, int count) {
-        to.ensureLoaded(worker, function, count);
+        delegate.ensureLoaded(worker, function, count);
     }
 
     @Override
     public void unload(String worker, String function) {
-        to.unload(worker, function);
+        delegate.unload(worker, function);
     }
 
     @Override
     public void probe(String worker) {
-        to.probe(worker);
+        delegate.probe(worker);
     }
 
     @Override
     public void scheduleTimer(String token, long delayNanos) {
-        to.scheduleTimer(token, delayNanos);
+        delegate.scheduleTimer(token, delayNanos);
     }
 
     @Override
     public void sendToPeers(int peer, byte[] payload) {
-        to.sendToPeers(peer, payload);
+        delegate.sendToPeers(peer, payload);
     }
 
     @Override
     public void watchEndpoints(boolean on) {
-        to.watchEndpoints(on);
+        delegate.watchEndpoints(on);
     }
 
     @Override
     public void refreshEndpoints() {
-        to.refreshEndpoints();
+        delegate.refreshEndpoints();
     }
 
     @Override
     public void closeIdleConnections(String worker) {
-        to.closeIdleConnections(worker);
+        delegate.closeIdleConnections(worker);
     }
 
     @Override
     public void logDiagnostic(String text) {
-        to.logDiagnostic(text);
+        delegate.logDiagnostic(text);
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/Forwarding.java
+++ b/capture/src/main/java/wharfhinge/capture/ForwardingDispatcher.java
@@ -11,71 +11,71 @@
 import wharfhinge.policy.WorkerSnapshot;
 
 /** Hands every event on to other decisions; those who stand before them change what they must. */
-public class Forwarding implements Dispatcher {
-    private final Dispatcher to;
+public class ForwardingDispatcher implements Dispatcher {
+    private final Dispatcher delegate;
 
     /** Hands on to {@code to}. */
-    protected Forwarding(Dispatcher to) {
-        this.to = to;
+    protected ForwardingDispatcher(Dispatcher delegate) {
+        this.delegate = delegate;
     }
 
     @Override
     public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {
-        to.onEndpointUpdate(now, mode, revision, entries);
+        delegate.onEndpointUpdate(now, mode, revision, entries);
     }
 
     @Override
     public void onRequest(long now, Request request) {
-        to.onRequest(now, request);
+        delegate.onRequest(now, request);
     }
 
     @Override
     public void onClientCancelled(long now, String request) {
-        to.onClientCancelled(now, request);
+        delegate.onClientCancelled(now, request);
     }
 
     @Override
     public void onProbeCompleted(long now, String worker, Outcome outcome, long tookNanos, Map<String, Double> report) {
-        to.onProbeCompleted(now, worker, outcome, tookNanos, report);
+        delegate.onProbeCompleted(now, worker, outcome, tookNanos, report);
     }
 
     @Override
     public void onStreamStarted(long now, String request, int attempt, String worker) {
-        to.onStreamStarted(now, request, attempt, worker);
+        delegate.onStreamStarted(now, request, attempt, worker);
     }
 
     @Override
     public void onPeerMessage(long now, int peer, byte[] payload) {
-        to.onPeerMessage(now, peer, payload);
+        delegate.onPeerMessage(now, peer, payload);
     }
 
     @Override
     public void onTimer(long now, String token) {
-        to.onTimer(now, token);
+        delegate.onTimer(now, token);
     }
 
     @Override
     public void onAttemptCompleted(long now, AttemptCompletion completion) {
-        to.onAttemptCompleted(now, completion);
+        delegate.onAttemptCompleted(now, completion);
     }
 
     @Override
     public void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos) {
-        to.onLoadCompleted(now, worker, function, count, outcome, tookNanos);
+        delegate.onLoadCompleted(now, worker, function, count, outcome, tookNanos);
     }
 
     @Override
     public boolean isCached(long now, String function) {
-        return to.isCached(now, function);
+        return delegate.isCached(now, function);
     }
 
     @Override
     public void onRequestExpected(long now, Request request) {
-        to.onRequestExpected(now, request);
+        delegate.onRequestExpected(now, request);
     }
 
     @Override
     public List<WorkerSnapshot> workerStates(long now, String function) {
-        return to.workerStates(now, function);
+        return delegate.workerStates(now, function);
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/Text.java
+++ b/capture/src/main/java/wharfhinge/capture/FrameJson.java
@@ -29,7 +29,7 @@
 import wharfhinge.settings.StoredNames;
 
 /** Frames as lines of JSON: what decision logs and fixtures hold. The same frame gives the same line. */
-public final class Text {
+public final class FrameJson {
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
@@ -41,7 +41,7 @@
         JSON.registerSubtypes(Event.class.getPermittedSubclasses());
     }
 
-    private Text() {}
+    private FrameJson() {}
 
     private static SimpleModule words() {
         SimpleModule words = new SimpleModule("stored words");
--- a/capture/src/main/java/wharfhinge/capture/HashedNames.java
+++ b/capture/src/main/java/wharfhinge/capture/HashedNames.java
@@ -20,12 +20,12 @@
 /**
  * Stands before a dispatcher and has it know functions and tenants by keyed hashes alone (HMAC-SHA-256, 16 digits), so that
  * what is captured of it holds no names and still replays: the decisions themselves go by the hashes. Gateways of one fleet
- * must have one key, for homes are derived from the name. Names are remembered to be told back in orders, {@value #KNOWN} of
+ * must have one key, for homes are derived from the name. Names are remembered to be told back in orders, {@value #MAX_KNOWN_NAMES} of
  * them; an order for one that was forgotten is left out and remarked. One thread.
  */
-public final class HashedNames extends Forwarding {
-    private static final int KNOWN = 65_536;
-    private static final int DIGITS = 16;
+public final class HashedNames extends ForwardingDispatcher {
+    private static final int MAX_KNOWN_NAMES = 65_536;
+    private static final int HASH_DIGITS = 16;
 
     private final Table table;
 
@@ -36,7 +36,7 @@
 
     /** Makes the dispatcher that stands behind. {@code key} is any secret; it is not kept in captures. */
     public static HashedNames before(
-            Recorder.Maker maker,
+            Recorder.DispatcherConstructor maker,
             byte[] key,
             long now,
             long seed,
@@ -124,10 +124,10 @@
             }
             String hash = HexFormat.of()
                     .formatHex(mac.doFinal(name.getBytes(StandardCharsets.UTF_8)))
-                    .substring(0, DIGITS);
+                    .substring(0, HASH_DIGITS);
             hashes.put(name, hash);
             names.put(hash, name);
-            if (hashes.size() > KNOWN) {
+            if (hashes.size() > MAX_KNOWN_NAMES) {
                 String eldest = hashes.keySet().iterator().next();
                 names.remove(hashes.remove(eldest));
             }
--- a/capture/src/main/java/wharfhinge/capture/NameFilter.java
+++ b/capture/src/main/java/wharfhinge/capture/NameFilter.java
@@ -8,7 +8,7 @@
  * a name that is there; admits about one in a hundred that is not. Its form is part of the captures' form. Immutable.
  */
 public final class NameFilter {
-    private static final int BITS_FOR_EACH = 10;
+    private static final int BITS_PER_NAME = 10;
     private static final int PROBES = 7;
     private static final NameFilter ALL = new NameFilter(new byte[0]);
 
@@ -20,7 +20,7 @@
 
     /** Admits these names. */
     static NameFilter of(Collection<String> names) {
-        byte[] bits = new byte[(names.size() * BITS_FOR_EACH + 7) / 8 + 1];
+        byte[] bits = new byte[(names.size() * BITS_PER_NAME + 7) / 8 + 1];
         for (String name : names) {
             long hash = hash(name);
             for (int i = 0; i < PROBES; i++) {
@@ -41,7 +41,7 @@
     }
 
     /** Whether the name may be there. */
-    public boolean mayHold(String name) {
+    public boolean mightContain(String name) {
         long hash = hash(name);
         for (int i = 0; i < PROBES && bits.length > 0; i++) {
             int bit = bit(hash, i, bits.length);
--- a/capture/src/main/java/wharfhinge/capture/Act.java
+++ b/capture/src/main/java/wharfhinge/capture/RecordedAction.java
@@ -3,14 +3,15 @@
 import com.fasterxml.jackson.annotation.JsonInclude;
 
 /**
- * Something that a dispatcher decided. Fields that a kind does not have are empty or 0. Immutable.
+ * An action of a dispatcher. Fields that a kind does not use are empty or 0. Immutable.
  *
  * @param text   of REMARK, the token of TIMER
  * @param number time-out of ATTEMPT and delay of TIMER in ns, index of CANCEL, cool-down of REFUSE in ns, count of HOLD, peer of
  *               PUBLISH, 1 or 0 of LISTEN
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
-public record Act(Kind kind, String request, String worker, String function, String text, long number, String payload) {
+public record RecordedAction(
+        Kind kind, String request, String worker, String function, String text, long number, String payload) {
     /** The methods of {@link wharfhinge.policy.DispatcherActions}. */
     public enum Kind {
         ATTEMPT,
@@ -29,7 +30,7 @@
     }
 
     /** Nulls count as empty. */
-    public Act {
+    public RecordedAction {
         request = request == null ? "" : request;
         worker = worker == null ? "" : worker;
         function = function == null ? "" : function;
--- a/capture/src/main/java/wharfhinge/capture/Replayer.java
+++ b/capture/src/main/java/wharfhinge/capture/Replayer.java
@@ -10,49 +10,50 @@
 import wharfhinge.policy.DispatcherSettings;
 
 /**
- * Tells a capture's events to fresh dispatchers and holds what they decide against what was decided. From a gap on nothing can
- * be said until the next life begins. One thread.
+ * Replays a capture's events into fresh dispatchers and compares their actions with the recorded ones. After a gap, frames are
+ * skipped until the next incarnation starts. Not thread-safe.
  */
 public final class Replayer {
-    private static final int BEFORE = 10;
+    private static final int CONTEXT_FRAMES = 10;
 
     /** The first difference. */
-    public record Difference(long index, Frame captured, List<Act> replayed, String thrown, List<Frame> before) {
-        /** For people. */
+    public record Difference(
+            long index, Frame captured, List<RecordedAction> replayed, String thrown, List<Frame> before) {
+        /** A description for people. */
         public List<String> lines() {
             List<String> lines = new ArrayList<>();
             lines.add("frame " + index + " differs; the " + before.size() + " frames before it:");
-            before.forEach(f -> lines.add("  " + Text.line(f)));
-            lines.add("event:    " + Text.line(new Frame(captured.at(), captured.event(), List.of(), "")));
-            lines.add("captured: " + said(captured.acts(), captured.thrown()));
-            lines.add("replayed: " + said(replayed, thrown));
+            before.forEach(f -> lines.add("  " + FrameJson.line(f)));
+            lines.add("event:    " + FrameJson.line(new Frame(captured.at(), captured.event(), List.of(), "")));
+            lines.add("captured: " + describe(captured.acts(), captured.thrown()));
+            lines.add("replayed: " + describe(replayed, thrown));
             return lines;
         }
 
-        private static String said(List<Act> acts, String thrown) {
-            return acts.stream().map(Act::line).toList() + (thrown.isEmpty() ? "" : " and threw " + thrown);
+        private static String describe(List<RecordedAction> acts, String thrown) {
+            return acts.stream().map(RecordedAction::line).toList() + (thrown.isEmpty() ? "" : " and threw " + thrown);
         }
     }
 
     /**
-     * What a replay came to.
+     * The result of a replay.
      *
      * @param compared frames whose decisions were compared
-     * @param skipped  frames after a gap, before the next life
-     * @param gaps     frames lost, as far as it is told
+     * @param skipped  frames after a gap, before the next incarnation
+     * @param gaps     frames lost, as far as the capture says
      */
-    public record Result(Difference difference, long compared, long skipped, long lives, long gaps) {}
+    public record Result(Difference difference, long compared, long skipped, long incarnations, long gaps) {}
 
-    /** Told of each frame as it is replayed, before the dispatcher is told the event. */
+    /** Observes each frame as it is replayed. */
     public interface Watcher {
-        /** {@code replayed} is the dispatcher as it stands; null before its life begins. */
+        /** Before the event is replayed; {@code dispatcher} is null before an incarnation starts. */
         void before(long index, Frame frame, Dispatcher dispatcher);
 
-        /** What was decided on the same frame. */
-        default void after(long index, Frame frame, List<Act> replayed) {}
+        /** After the event was replayed, with the resulting actions. */
+        default void after(long index, Frame frame, List<RecordedAction> replayed) {}
     }
 
-    private final Recorder.Maker maker;
+    private final Recorder.DispatcherConstructor maker;
     private final UnaryOperator<DispatcherSettings> settings;
 
     /** Replays into {@link CacheAwareDispatcher}. */
@@ -61,7 +62,7 @@
     }
 
     /** Replays into another dispatcher, or with other settings. */
-    public Replayer(Recorder.Maker maker, UnaryOperator<DispatcherSettings> settings) {
+    public Replayer(Recorder.DispatcherConstructor maker, UnaryOperator<DispatcherSettings> settings) {
         this.maker = maker;
         this.settings = settings;
     }
@@ -83,11 +84,11 @@
 
     private Result run(List<Frame> frames, long untilNanos, Watcher watcher, boolean compare) {
         Dispatcher dispatcher = null;
-        Acts acts = new Acts(null);
+        ActionRecorder acts = new ActionRecorder(null);
         Deque<Frame> before = new ArrayDeque<>();
         long compared = 0;
         long skipped = 0;
-        long lives = 0;
+        long incarnations = 0;
         long gaps = 0;
         for (int i = 0; i < frames.size(); i++) {
             Frame frame = frames.get(i);
@@ -103,33 +104,37 @@
                 dispatcher = null;
                 continue;
             } else if (frame.event() instanceof Event.Life life) {
-                acts = new Acts(null);
+                acts = new ActionRecorder(null);
                 dispatcher = maker.create(frame.at(), life.seed(), settings.apply(life.settings()), acts);
-                lives++;
+                incarnations++;
             } else if (dispatcher == null) {
                 skipped++;
                 continue;
             } else {
-                thrown = told(frame, dispatcher);
+                thrown = replayEvent(frame, dispatcher);
             }
-            List<Act> decided = acts.take();
+            List<RecordedAction> decided = acts.drain();
             if (watcher != null) {
                 watcher.after(i, frame, decided);
             }
             compared++;
             if (compare && (!decided.equals(frame.acts()) || !thrown.equals(frame.thrown()))) {
                 return new Result(
-                        new Difference(i, frame, decided, thrown, List.copyOf(before)), compared, skipped, lives, gaps);
+                        new Difference(i, frame, decided, thrown, List.copyOf(before)),
+                        compared,
+                        skipped,
+                        incarnations,
+                        gaps);
             }
             before.add(frame);
-            if (before.size() > BEFORE) {
+            if (before.size() > CONTEXT_FRAMES) {
                 before.poll();
             }
         }
-        return new Result(null, compared, skipped, lives, gaps);
+        return new Result(null, compared, skipped, incarnations, gaps);
     }
 
-    private static String told(Frame frame, Dispatcher dispatcher) {
+    private static String replayEvent(Frame frame, Dispatcher dispatcher) {
         try {
             frame.event().tell(frame.at(), dispatcher);
             return "";
--- a/capture/src/main/java/wharfhinge/capture/WireCodec.java
+++ b/capture/src/main/java/wharfhinge/capture/WireCodec.java
@@ -28,7 +28,7 @@
         return to.build();
     }
 
-    private static wharfhinge.capture.wire.Act.Builder act(Act a) {
+    private static wharfhinge.capture.wire.Act.Builder act(RecordedAction a) {
         return wharfhinge.capture.wire.Act.newBuilder()
                 .setKind(a.kind().name())
                 .setRequest(a.request())
@@ -44,7 +44,7 @@
             to.setLife(wharfhinge.capture.wire.Life.newBuilder()
                     .setNumber(e.number())
                     .setSeed(e.seed())
-                    .setSettingsJson(Text.json(e.settings())));
+                    .setSettingsJson(FrameJson.json(e.settings())));
         } else if (event instanceof Event.Gap e) {
             to.setGap(wharfhinge.capture.wire.Gap.newBuilder().setLost(e.lost()));
         } else if (event instanceof Event.Named e) {
@@ -153,11 +153,11 @@
      * @throws IOException where a later version wrote what this one does not know
      */
     static Frame read(wharfhinge.capture.wire.Frame f) throws IOException {
-        List<Act> acts = new ArrayList<>();
+        List<RecordedAction> acts = new ArrayList<>();
         try {
             for (var a : f.getActsList()) {
-                acts.add(new Act(
-                        Act.Kind.valueOf(a.getKind()),
+                acts.add(new RecordedAction(
+                        RecordedAction.Kind.valueOf(a.getKind()),
                         a.getRequest(),
                         a.getWorker(),
                         a.getFunction(),
@@ -176,7 +176,7 @@
             case LIFE -> new Event.Life(
                     f.getLife().getNumber(),
                     f.getLife().getSeed(),
-                    Text.settings(f.getLife().getSettingsJson()));
+                    FrameJson.settings(f.getLife().getSettingsJson()));
             case GAP -> new Event.Gap(f.getGap().getLost());
             case NAMED -> new Event.Named(f.getNamed().getId(), f.getNamed().getOuter());
             case MEMBERS -> new Event.Members(
--- a/capture/src/test/java/wharfhinge/capture/CaptureTest.java
+++ b/capture/src/test/java/wharfhinge/capture/CaptureTest.java
@@ -45,7 +45,7 @@
     }
 
     private static List<String> lines(List<Frame> frames) {
-        return frames.stream().map(Text::line).toList();
+        return frames.stream().map(FrameJson::line).toList();
     }
 
     @ParameterizedTest
@@ -54,15 +54,15 @@
         List<Frame> story = SmallFleet.story(7, trouble, 120);
         assertTrue(story.size() > 400, "a story with something in it: " + story.size());
         CaptureReader.Capture capture = CaptureReader.read(written(story, 1 << 20));
-        assertEquals(List.of(), capture.troubles());
+        assertEquals(List.of(), capture.faults());
         assertEquals(lines(story), lines(capture.frames()), "nothing is lost or changed on the way to disk and back");
         Replayer.Result result = new Replayer().replay(capture.frames(), Long.MAX_VALUE, null);
         assertNull(
                 result.difference(), () -> String.join("\n", result.difference().lines()));
         assertEquals(story.size(), result.compared());
         assertEquals(
-                lines(Reducer.decided(story)),
-                lines(Reducer.decided(capture.frames())),
+                lines(TraceMinimizer.replayed(story)),
+                lines(TraceMinimizer.replayed(capture.frames())),
                 "twice the same, byte for byte");
     }
 
@@ -71,7 +71,7 @@
         List<Frame> story = new ArrayList<>(SmallFleet.story(7, SmallFleet.Trouble.NONE, 60));
         int at = 0;
         for (int i = 100; at == 0; i++) {
-            at = story.get(i).acts().stream().anyMatch(a -> a.kind() == Act.Kind.ATTEMPT) ? i : 0;
+            at = story.get(i).acts().stream().anyMatch(a -> a.kind() == RecordedAction.Kind.ATTEMPT) ? i : 0;
         }
         Frame f = story.get(at);
         story.set(at, new Frame(f.at(), f.event(), List.of(), ""));
@@ -90,13 +90,13 @@
         Files.write(segment, Arrays.copyOf(bytes, bytes.length - 100)); // as a killed process leaves it
         CaptureReader.Capture capture = CaptureReader.read(segment);
         assertTrue(
-                capture.troubles().get(0).contains("cut inside a block"),
-                capture.troubles().toString());
+                capture.faults().get(0).contains("cut inside a block"),
+                capture.faults().toString());
         Replayer.Result result = new Replayer().replay(capture.frames(), Long.MAX_VALUE, null);
         assertNull(result.difference());
         assertTrue(result.compared() >= 2000 && result.gaps() == 1, result.toString());
         Files.write(segment, Arrays.copyOf(bytes, bytes.length - 1));
-        assertEquals(1, CaptureReader.read(segment).troubles().size());
+        assertEquals(1, CaptureReader.read(segment).faults().size());
     }
 
     @Test
@@ -109,7 +109,7 @@
             byte[] damaged = bytes.clone();
             damaged[at] ^= 0x10;
             Files.write(segment, damaged);
-            assertEquals(1, CaptureReader.read(segment).troubles().size(), "byte " + at);
+            assertEquals(1, CaptureReader.read(segment).faults().size(), "byte " + at);
         }
     }
 
@@ -224,10 +224,10 @@
         List<Frame> story = SmallFleet.story(3, SmallFleet.Trouble.NONE, 300);
         Path segment = CaptureReader.segments(written(story, 1 << 20)).get(0);
         Files.write(segment, unfiltered(Files.readAllBytes(segment)));
-        assertEquals(List.of(), CaptureReader.read(segment).troubles());
+        assertEquals(List.of(), CaptureReader.read(segment).faults());
         assertEquals(lines(story), lines(CaptureReader.read(segment).frames()));
         assertTrue(
-                CaptureReader.index(segment).stream().allMatch(b -> b.names().mayHold("anything")),
+                CaptureReader.index(segment).stream().allMatch(b -> b.names().mightContain("anything")),
                 "it had no index by call");
         assertTrue(CaptureReader.index(segment).size() >= 1);
     }
@@ -243,7 +243,7 @@
                 index.stream().mapToInt(CaptureReader.BlockHead::frames).sum());
         for (String name : List.of("c7", "client-7", "client-3999")) {
             List<CaptureReader.BlockHead> found =
-                    index.stream().filter(b -> b.names().mayHold(name)).toList();
+                    index.stream().filter(b -> b.names().mightContain(name)).toList();
             long told = story.stream()
                     .filter(f -> f.event() instanceof Event.Named n
                             && (n.outer().equals(name) || n.request().equals(name)))
@@ -254,7 +254,7 @@
             assertTrue(found.size() <= 2, name + " in " + found.size() + " of " + index.size());
         }
         long vain = java.util.stream.IntStream.range(0, 1000)
-                .filter(i -> index.get(0).names().mayHold("none-" + i))
+                .filter(i -> index.get(0).names().mightContain("none-" + i))
                 .count();
         assertTrue(vain < 40, "admitted in vain: " + vain);
     }
@@ -273,25 +273,25 @@
         }
         var first = new CaptureReader.Capture("a", 1000, 0, false, one, List.of());
         var second = new CaptureReader.Capture("b", 1120, 500_000_000_000L, false, two, List.of()); // 120 ms ahead
-        Skew skew = Skew.between(first, second).orElseThrow();
+        ClockOffset skew = ClockOffset.estimate(first, second).orElseThrow();
         assertEquals(20, skew.samples());
-        assertEquals(120_500, skew.aheadUs(), 1500);
-        assertTrue(skew.spreadUs() <= 2000, skew.toString());
-        assertTrue(Skew.between(first, new CaptureReader.Capture("c", 1, 0, false, List.of(), List.of()))
+        assertEquals(120_500, skew.offsetMicros(), 1500);
+        assertTrue(skew.spreadMicros() <= 2000, skew.toString());
+        assertTrue(ClockOffset.estimate(first, new CaptureReader.Capture("c", 1, 0, false, List.of(), List.of()))
                 .isEmpty());
     }
 
     @Test
     void anAccountTellsWhyACallWentWhereItWent() {
         List<Frame> story = SmallFleet.story(7, SmallFleet.Trouble.SILENT, 120);
-        Account account = new Account("client-60");
+        CallExplanation account = new CallExplanation("client-60");
         new Replayer().replay(story, Long.MAX_VALUE, account);
         String text = String.join("\n", account.lines());
         assertTrue(text.contains("call c60 (client-60)"), text);
         assertTrue(text.contains("decided: attempt c60 w"), text);
         assertTrue(text.contains("since: "), text);
         assertTrue(text.contains("believed then of 6 workers"), text);
-        Account none = new Account("client-9999");
+        CallExplanation none = new CallExplanation("client-9999");
         new Replayer().replay(story, Long.MAX_VALUE, none);
         assertEquals(List.of(), none.lines());
     }
@@ -314,7 +314,7 @@
     void hashedNamesHideFunctionsAndTenantsAndStillReplay() {
         List<Frame> frames = new ArrayList<>();
         List<String> held = new ArrayList<>();
-        Acts outside = new Acts(null);
+        ActionRecorder outside = new ActionRecorder(null);
         HashedNames names = HashedNames.before(
                 (now, seed, settings, actions) ->
                         new Recorder(CacheAwareDispatcher::new, now, 0, seed, settings, actions, frames::add),
@@ -333,7 +333,9 @@
                 3_000_000,
                 new AttemptCompletion(
                         "c", Outcome.NOT_LOADED, 0, 1, "w0", CacheStatus.UNKNOWN, 0, false, java.util.Map.of()));
-        outside.take().stream().filter(a -> a.kind() == Act.Kind.HOLD).forEach(a -> held.add(a.function()));
+        outside.drain().stream()
+                .filter(a -> a.kind() == RecordedAction.Kind.HOLD)
+                .forEach(a -> held.add(a.function()));
         assertEquals(List.of("secret-function"), held, "outside it has its name");
         assertTrue(
                 lines(frames).stream().noneMatch(l -> l.contains("secret")),
@@ -352,24 +354,25 @@
     @Test
     void aSymptomIsCutDownToItsStory() throws Exception {
         List<Frame> story = SmallFleet.story(7, SmallFleet.Trouble.FAILS, 200);
-        Symptom symptom = new Symptom("remark text=ejected* and attempt worker=w5 >= 2");
-        assertTrue(symptom.shows(story), "a failing worker is ejected and another taken");
-        Reducer reducer = new Reducer(symptom::shows, 3000);
-        List<Frame> few = reducer.reduce(story);
+        FailurePredicate symptom = new FailurePredicate("remark text=ejected* and attempt worker=w5 >= 2");
+        assertTrue(symptom.matches(story), "a failing worker is ejected and another taken");
+        TraceMinimizer reducer = new TraceMinimizer(symptom::matches, 3000);
+        List<Frame> few = reducer.minimize(story);
         assertTrue(few.size() < story.size() / 8, few.size() + " of " + story.size());
-        assertTrue(symptom.shows(few));
+        assertTrue(symptom.matches(few));
         Path file = folder.resolve("f.jsonl");
-        Files.write(file, Reducer.fixture("a failing worker is ejected and another taken", few));
-        List<Frame> read = Text.fixture(Files.readAllLines(file));
+        Files.write(file, TraceMinimizer.fixtureLines("a failing worker is ejected and another taken", few));
+        List<Frame> read = FrameJson.fixture(Files.readAllLines(file));
         assertNull(new Replayer().replay(read, Long.MAX_VALUE, null).difference(), "a test reads it");
-        assertThrows(IllegalArgumentException.class, () -> new Reducer(new Symptom("unload >= 1")::shows, 100)
-                .reduce(story));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new TraceMinimizer(new FailurePredicate("unload >= 1")::matches, 100).minimize(story));
     }
 
     @Test
     void aSymptomThatIsNoneNamesItsTerm() {
         for (String wrong : List.of("jump", "attempt w1", "attempt colour=red", "refuse >= many")) {
-            assertTrue(assertThrows(IllegalArgumentException.class, () -> new Symptom(wrong))
+            assertTrue(assertThrows(IllegalArgumentException.class, () -> new FailurePredicate(wrong))
                     .getMessage()
                     .contains("allowed"));
         }
--- a/capture/src/test/java/wharfhinge/capture/FixturesTest.java
+++ b/capture/src/test/java/wharfhinge/capture/FixturesTest.java
@@ -26,13 +26,13 @@
     @MethodSource("fixtures")
     void isDecidedAsItWasAndShowsWhatItShowed(Path file) throws Exception {
         List<String> lines = Files.readAllLines(file);
-        List<Frame> story = Text.fixture(lines);
+        List<Frame> story = FrameJson.fixture(lines);
         Replayer.Result result = new Replayer().replay(story, Long.MAX_VALUE, null);
         assertNull(
                 result.difference(), () -> String.join("\n", result.difference().lines()));
         assertEquals(story.size(), result.compared());
         String symptom = lines.get(0).replaceFirst("^# shows: ", "");
-        assertTrue(new Symptom(symptom).shows(Reducer.decided(story)), symptom);
+        assertTrue(new FailurePredicate(symptom).matches(TraceMinimizer.replayed(story)), symptom);
         assertTrue(story.size() < 80, "cut down: " + story.size()); // each function asked for is answered by five homes
     }
 }
--- a/capture/src/test/java/wharfhinge/capture/StoredFormatTest.java
+++ b/capture/src/test/java/wharfhinge/capture/StoredFormatTest.java
@@ -28,10 +28,10 @@
     void everyKindOfFrame_isReadAndWrittenAsTheSameLine() throws Exception {
         List<String> lines = Files.readAllLines(GOLDEN.resolve("every-kind.jsonl"));
         assertEquals(lines, lines.stream().map(StoredFormatTest::reread).toList());
-        for (Act.Kind kind : Act.Kind.values()) {
+        for (RecordedAction.Kind kind : RecordedAction.Kind.values()) {
             assertTrue(
-                    lines.stream()
-                            .anyMatch(l -> Text.json(fixtureFrame(l).acts()).contains("\"" + kind(kind) + "\"")),
+                    lines.stream().anyMatch(l -> FrameJson.json(fixtureFrame(l).acts())
+                            .contains("\"" + kind(kind) + "\"")),
                     kind::name);
         }
         for (Class<?> event : Event.class.getPermittedSubclasses()) {
@@ -54,24 +54,24 @@
         for (String line : Files.readAllLines(GOLDEN.resolve("every-kind.jsonl"))) {
             byte[] bytes = WireCodec.write(fixtureFrame(line)).toByteArray();
             written.add(HexFormat.of().formatHex(bytes));
-            assertEquals(line, Text.line(WireCodec.read(wharfhinge.capture.wire.Frame.parseFrom(bytes))));
+            assertEquals(line, FrameJson.line(WireCodec.read(wharfhinge.capture.wire.Frame.parseFrom(bytes))));
         }
         assertEquals(Files.readAllLines(GOLDEN.resolve("every-kind.hex")), written);
     }
 
-    private static String kind(Act.Kind kind) {
-        return Text.json(kind).replace("\"", "");
+    private static String kind(RecordedAction.Kind kind) {
+        return FrameJson.json(kind).replace("\"", "");
     }
 
     private static Frame fixtureFrame(String line) {
         try {
-            return Text.frame(line);
+            return FrameJson.frame(line);
         } catch (java.io.IOException e) {
             throw new AssertionError(line, e);
         }
     }
 
     private static String reread(String line) {
-        return Text.line(fixtureFrame(line));
+        return FrameJson.line(fixtureFrame(line));
     }
 }
