--- a/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
@@ -162,8 +162,8 @@
                             .copy(type.memoryMb(), type.lanes(), type.loadMillis())
                             .costUs((long) (type.workMillis() * 1000))
                             .build())
-                    .thenAccept(r ->
-                            ended.accept(new Answer(r.getClass().getSimpleName().toLowerCase(Locale.ROOT), r.tries())));
+                    .thenAccept(r -> ended.accept(
+                            new Answer(r.getClass().getSimpleName().toLowerCase(Locale.ROOT), r.attempts())));
         };
     }
 
@@ -171,11 +171,11 @@
         return library.equals("http")
                 ? new WharfhingeClient(
                         new HttpTransport(Duration.ofMillis(CONNECT_MS), 8, 1 << 20, null, null),
-                        ClientPolicy.USUAL,
+                        ClientPolicy.DEFAULT,
                         http)
                 : new WharfhingeClient(
                         new GrpcTransport(Duration.ofMillis(CONNECT_MS), 1 << 20, null, null),
-                        ClientPolicy.USUAL,
+                        ClientPolicy.DEFAULT,
                         grpc);
     }
 
--- a/app/src/main/java/wharfhinge/app/measure/ClientBenchmark.java
+++ b/app/src/main/java/wharfhinge/app/measure/ClientBenchmark.java
@@ -43,7 +43,7 @@
     public void open() {
         gateway = protocol.equals("http") ? http : grpc;
         transport = transport();
-        client = new WharfhingeClient(transport(), ClientPolicy.USUAL, List.of(gateway));
+        client = new WharfhingeClient(transport(), ClientPolicy.DEFAULT, List.of(gateway));
     }
 
     private Transport transport() {
--- a/app/src/main/java/wharfhinge/app/measure/ClientCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ClientCostCommand.java
@@ -26,8 +26,8 @@
 import wharfhinge.client.Result;
 import wharfhinge.client.Transport;
 import wharfhinge.client.WharfhingeClient;
+import wharfhinge.client.core.AttemptResult;
 import wharfhinge.client.core.ClientPolicy;
-import wharfhinge.client.core.TryEnd;
 import wharfhinge.client.grpc.GrpcTransport;
 import wharfhinge.client.http.HttpTransport;
 
@@ -156,7 +156,7 @@
     private static Way bare(Transport transport, String gateway, List<AutoCloseable> open) {
         open.add(transport);
         return ended -> transport.send(gateway, CALL, CALL.deadline().toNanos(), false, reply -> {
-            if (reply.end() != TryEnd.SERVED) {
+            if (reply.result() != AttemptResult.SERVED) {
                 System.out.println("not served: " + reply.reason());
             }
             ended.run();
@@ -164,7 +164,7 @@
     }
 
     private static Way library(Transport transport, String gateway, List<AutoCloseable> open) {
-        WharfhingeClient client = new WharfhingeClient(transport, ClientPolicy.USUAL, List.of(gateway));
+        WharfhingeClient client = new WharfhingeClient(transport, ClientPolicy.DEFAULT, List.of(gateway));
         open.add(client);
         return ended -> client.call(CALL).thenAccept(r -> {
             if (!(r instanceof Result.Served)) {
--- a/client-core/src/main/java/wharfhinge/client/core/TryEnd.java
+++ b/client-core/src/main/java/wharfhinge/client/core/AttemptResult.java
@@ -1,14 +1,14 @@
 package wharfhinge.client.core;
 
-/** How one try ended, in the words that both transports share. */
-public enum TryEnd {
+/** The result of one attempt, as both transports report it. */
+public enum AttemptResult {
     /** A worker's answer came. */
     SERVED,
     /** The gateway refused: nothing of it ran that matters. */
     REFUSED,
     /** The gateway failed it: it may have run. */
     FAILED,
-    /** The gateway found the call itself wrong; another try would be as wrong. */
+    /** The gateway found the call itself invalid; a retry would be as invalid. */
     INVALID,
     /** The connection or stream broke, or could not be made, before the call was on its way: it did not run. */
     NOT_SENT,
--- a/client-core/src/main/java/wharfhinge/client/core/CallEnd.java
+++ b/client-core/src/main/java/wharfhinge/client/core/CallResult.java
@@ -4,11 +4,11 @@
  * A call's one final answer.
  *
  * @param mayHaveRun whether some worker may have run it
- * @param comeBackNanos with REFUSED, when a repeat may be of use; 0 where nobody said
- * @param tries      how many there were
+ * @param retryAfterNanos with REFUSED, when a repeat may be of use; 0 where nobody said
+ * @param attempts      how many there were
  * @param reason     why, in a word, for logs
  */
-public record CallEnd(Kind kind, boolean mayHaveRun, long comeBackNanos, int tries, Reason reason) {
+public record CallResult(Kind kind, boolean mayHaveRun, long retryAfterNanos, int attempts, Reason reason) {
     /** What the caller may do next. */
     public enum Kind {
         /** Nothing, it has its answer. */
@@ -17,7 +17,7 @@
         REFUSED,
         /** It may have run: a repeat is harmless only where the call is safe. */
         FAILED,
-        /** The deadline passed; {@link CallEnd#mayHaveRun} tells whether it may have run. */
+        /** The deadline passed; {@link CallResult#mayHaveRun} tells whether it may have run. */
         LATE,
         /** Mend the call: it was never taken. */
         INVALID,
--- a/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
+++ b/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
@@ -9,276 +9,287 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All that a client decides: one deadline over all tries, a budget of further tries, back-off with full jitter that honours a
- * gateway's advice, no repeat of a call that may have run unless it is safe, which gateway, ejection, hedges, a cap on open calls.
- * Told events with their times (nanoseconds of a clock that never runs backwards; the wall clock does not matter), answers with
- * {@link Actions}; each call ends exactly once. An action must not call back into this. One thread.
+ * Every decision of a client: one deadline over all attempts, a retry budget, backoff with full jitter that honours Retry-After, no
+ * retry of a call that may have run unless it is idempotent, the choice of a gateway, ejection, hedged requests, a limit on pending
+ * calls. Gets events with their time (nanoseconds of a clock that never runs backwards) and answers with {@link Actions}; each call
+ * ends exactly once. An action must not call back into this. One thread at a time.
  */
 public final class ClientDecisions {
 
-    /** What it may do. */
+    /** The actions of a client, carried out by whoever drives the decisions. */
     public interface Actions {
-        /** Sends a try; {@code remainingNs} is what is left of the deadline. */
-        void send(long call, int index, String gateway, long remainingNanos, boolean repeat);
+        /** Sends an attempt; {@code remainingNanos} is what is left of the deadline. */
+        void sendAttempt(long call, int index, String gateway, long remainingNanos, boolean repeat);
 
-        /** Nobody waits for this try any more; its end, if told, is ignored. */
-        void abandon(long call, int index);
+        /** Abandons an attempt; its result, if reported, is ignored. */
+        void abandonAttempt(long call, int index);
 
-        /** The one final answer; {@code index} is the try whose answer it is, or -1. */
-        void finish(long call, CallEnd end, int index);
+        /** Completes the call; {@code index} is the attempt whose answer it is, or -1. */
+        void finish(long call, CallResult end, int index);
 
-        /** Asks for {@link ClientDecisions#due} after a delay. */
-        void timer(long call, int token, long delayNanos);
+        /** Requests {@link ClientDecisions#onTimer} after a delay. */
+        void scheduleTimer(long call, int token, long delayNanos);
     }
 
-    private static final int DEADLINE = -1;
-    private static final int NEXT = -2;
-    private static final int HEDGE = -3;
-    private static final int MOST_DOUBLINGS = 30;
+    private static final int DEADLINE_TIMER = -1;
+    private static final int RETRY_TIMER = -2;
+    private static final int HEDGE_TIMER = -3;
+    private static final int MAX_DOUBLINGS = 30;
 
-    private static final class Try {
+    private static final class Attempt {
         private final String gateway;
         private final long sentAt;
-        private boolean over;
+        private boolean ended;
 
-        Try(String gateway, long sentAt) {
+        Attempt(String gateway, long sentAt) {
             this.gateway = gateway;
             this.sentAt = sentAt;
         }
     }
 
-    private static final class Call {
+    private static final class PendingCall {
         private final long id;
         private final CallPlan plan;
         private final long deadline;
-        private final List<Try> tries = new ArrayList<>(2);
-        private final Set<String> tried = new LinkedHashSet<>();
+        private final List<Attempt> attempts = new ArrayList<>(2);
+        private final Set<String> gatewaysTried = new LinkedHashSet<>();
         private boolean mayHaveRun;
-        private boolean streams; // its answer has begun: there is no way back, and no deadline
-        private boolean waits; // for its next try
-        private int waitNumber; // of the last wait; a timer of a former one is ignored
+        private boolean streaming; // its answer has started: no retry and no deadline from now on
+        private boolean waitingForRetry;
+        private int retryTimerNumber; // of the last backoff; timers of earlier ones are ignored
         private int failures;
 
-        Call(long id, CallPlan plan, long deadline) {
+        PendingCall(long id, CallPlan plan, long deadline) {
             this.id = id;
             this.plan = plan;
             this.deadline = deadline;
         }
 
-        private long live() {
-            return tries.stream().filter(t -> !t.over).count();
+        private long attemptsInFlight() {
+            return attempts.stream().filter(t -> !t.ended).count();
         }
     }
 
-    /** What is counted. */
-    public record Figures(int open, double tokens, long ejected, long retries, long hedges) {}
+    /** Counters and gauges of a client. */
+    public record Metrics(int pending, double retryTokens, long ejected, long retries, long hedges) {}
 
     private final ClientPolicy policy;
     private final RandomGenerator random;
     private final Actions actions;
-    private final Gateways gateways;
-    private final Map<Long, Call> calls = new HashMap<>();
-    private double tokens;
+    private final GatewayPool onGatewayList;
+    private final Map<Long, PendingCall> calls = new HashMap<>();
+    private double retryTokens;
     private long retries;
     private long hedges;
 
-    /** Decisions that draw from {@code random} alone. */
+    /** Creates the decisions of one client; all randomness comes from {@code random}. */
     public ClientDecisions(ClientPolicy policy, RandomGenerator random, Actions actions) {
         this.policy = policy;
         this.random = random;
         this.actions = actions;
-        this.gateways = new Gateways(policy, random);
-        this.tokens = policy.retryBurst();
+        this.onGatewayList = new GatewayPool(policy, random);
+        this.retryTokens = policy.retryBurst();
     }
 
-    /** The gateways there are from now on. */
-    public void gateways(List<String> names) {
-        gateways.list(names);
+    /** The list of gateways changed. */
+    public void onGatewayList(List<String> names) {
+        onGatewayList.onGatewayList(names);
     }
 
-    /** What is counted. */
-    public Figures figures() {
-        return new Figures(calls.size(), tokens, gateways.ejected(), retries, hedges);
+    /** Counters and gauges of a client. */
+    public Metrics metrics() {
+        return new Metrics(calls.size(), retryTokens, onGatewayList.ejectedCount(), retries, hedges);
     }
 
-    /** A call comes; {@code id} is the caller's and new. */
-    public void begin(long now, long id, CallPlan plan) {
-        if (calls.size() >= policy.maxOpen()) {
+    /** A new call under a new id. */
+    public void onCall(long now, long id, CallPlan plan) {
+        if (calls.size() >= policy.maxPending()) {
             actions.finish(
                     id,
-                    new CallEnd(CallEnd.Kind.REFUSED, false, policy.backoffNanos(), 0, CallEnd.Reason.TOO_MANY_OPEN),
+                    new CallResult(
+                            CallResult.Kind.REFUSED, false, policy.backoffNanos(), 0, CallResult.Reason.TOO_MANY_OPEN),
                     -1);
             return;
         }
-        tokens = Math.min(policy.retryBurst(), tokens + policy.retryShare());
-        Call c = new Call(id, plan, now + plan.deadlineNanos());
-        calls.put(id, c);
-        actions.timer(id, DEADLINE, plan.deadlineNanos());
+        retryTokens = Math.min(policy.retryBurst(), retryTokens + policy.retryTokensPerCall());
+        PendingCall call = new PendingCall(id, plan, now + plan.deadlineNanos());
+        calls.put(id, call);
+        actions.scheduleTimer(id, DEADLINE_TIMER, plan.deadlineNanos());
         if (plan.hedge()) {
-            actions.timer(id, HEDGE, policy.hedgeNanos());
+            actions.scheduleTimer(id, HEDGE_TIMER, policy.hedgeNanos());
         }
-        send(now, c);
+        send(now, call);
     }
 
-    /** The caller gives up. */
-    public void cancel(long now, long id) {
-        Call c = calls.get(id);
-        if (c != null) {
-            finish(now, c, CallEnd.Kind.CANCELLED, CallEnd.Reason.CALLER, 0, -1);
+    /** The caller cancelled a call. */
+    public void onCancelled(long now, long id) {
+        PendingCall call = calls.get(id);
+        if (call != null) {
+            finish(now, call, CallResult.Kind.CANCELLED, CallResult.Reason.CALLER, 0, -1);
         }
     }
 
-    /** A timer that was asked for is due. */
-    public void due(long now, long id, int token) {
-        Call c = calls.get(id);
-        if (c == null || c.streams) {
+    /** A timer fired. */
+    public void onTimer(long now, long id, int token) {
+        PendingCall call = calls.get(id);
+        if (call == null || call.streaming) {
             return;
         }
-        if (token == DEADLINE) {
-            finish(now, c, CallEnd.Kind.LATE, CallEnd.Reason.DEADLINE, 0, -1);
-        } else if (token == HEDGE) {
-            hedge(now, c);
-        } else if (token <= NEXT) {
-            next(now, c, token);
-        } else if (token < c.tries.size()) {
-            silent(now, c, token);
+        if (token == DEADLINE_TIMER) {
+            finish(now, call, CallResult.Kind.LATE, CallResult.Reason.DEADLINE, 0, -1);
+        } else if (token == HEDGE_TIMER) {
+            sendHedge(now, call);
+        } else if (token <= RETRY_TIMER) {
+            sendRetry(now, call, token);
+        } else if (token < call.attempts.size()) {
+            onSilent(now, call, token);
         }
     }
 
     /**
-     * A streamed answer begins with this try: the deadline no longer runs, other copies are given up, and there is no further try, for its
-     * first parts are the caller's already. False where nobody waits for this try any more.
+     * A streamed answer starts with this attempt: the deadline no longer runs, other attempts are abandoned, and there is no retry, since
+     * the caller has the first parts already. Returns false where the attempt was abandoned.
      */
-    public boolean began(long now, long id, int index) {
-        Call c = calls.get(id);
-        if (c == null || c.streams || c.tries.get(index).over) {
+    public boolean onStreamStarted(long now, long id, int index) {
+        PendingCall call = calls.get(id);
+        if (call == null || call.streaming || call.attempts.get(index).ended) {
             return false;
         }
-        c.streams = true;
-        giveUp(now, c, index, false);
+        call.streaming = true;
+        abandonAttempts(now, call, index, false);
         return true;
     }
 
-    /** A try ended; {@code adviceNs} is when to come back, 0 where nobody said. */
-    public void ended(long now, long id, int index, TryEnd end, long adviceNanos) {
-        Call c = calls.get(id);
-        if (c == null || c.tries.get(index).over) {
+    /** An attempt ended; {@code retryAfterNanos} is the gateway's Retry-After, 0 without one. */
+    public void onAttemptEnded(long now, long id, int index, AttemptResult end, long retryAfterNanos) {
+        PendingCall call = calls.get(id);
+        if (call == null || call.attempts.get(index).ended) {
             return;
         }
-        Try t = c.tries.get(index);
-        t.over = true;
-        gateways.ended(now, t.gateway, end != TryEnd.BROKEN && end != TryEnd.NOT_SENT);
-        if (c.streams && end != TryEnd.SERVED) {
-            c.mayHaveRun = true;
-            finish(now, c, CallEnd.Kind.FAILED, CallEnd.Reason.BROKE_OFF, 0, index);
+        Attempt attempt = call.attempts.get(index);
+        attempt.ended = true;
+        onGatewayList.onAttemptEnded(
+                now, attempt.gateway, end != AttemptResult.BROKEN && end != AttemptResult.NOT_SENT);
+        if (call.streaming && end != AttemptResult.SERVED) {
+            call.mayHaveRun = true;
+            finish(now, call, CallResult.Kind.FAILED, CallResult.Reason.BROKE_OFF, 0, index);
             return;
         }
         switch (end) {
-            case SERVED -> finish(now, c, CallEnd.Kind.SERVED, CallEnd.Reason.ANSWERED, 0, index);
-            case INVALID -> finish(now, c, CallEnd.Kind.INVALID, CallEnd.Reason.ANSWERED, 0, index);
-            case REFUSED, NOT_SENT -> again(now, c, index, end, adviceNanos);
+            case SERVED -> finish(now, call, CallResult.Kind.SERVED, CallResult.Reason.ANSWERED, 0, index);
+            case INVALID -> finish(now, call, CallResult.Kind.INVALID, CallResult.Reason.ANSWERED, 0, index);
+            case REFUSED, NOT_SENT -> retryOrFinish(now, call, index, end, retryAfterNanos);
             case FAILED, BROKEN -> {
-                c.mayHaveRun = true;
-                again(now, c, index, end, 0);
+                call.mayHaveRun = true;
+                retryOrFinish(now, call, index, end, 0);
             }
         }
     }
 
-    private void send(long now, Call c) {
-        c.waits = false;
-        String gateway = gateways.choose(now, c.tried, c.plan.safe());
+    private void send(long now, PendingCall call) {
+        call.waitingForRetry = false;
+        String gateway = onGatewayList.choose(now, call.gatewaysTried, call.plan.idempotent());
         if (gateway == null) {
-            finish(now, c, CallEnd.Kind.REFUSED, CallEnd.Reason.NO_GATEWAY, policy.backoffNanos(), -1);
+            finish(now, call, CallResult.Kind.REFUSED, CallResult.Reason.NO_GATEWAY, policy.backoffNanos(), -1);
             return;
         }
-        c.tried.add(gateway);
-        c.tries.add(new Try(gateway, now));
-        int index = c.tries.size() - 1;
-        if (c.plan.safe() && now + policy.silentNanos() < c.deadline) {
-            actions.timer(c.id, index, policy.silentNanos());
+        call.gatewaysTried.add(gateway);
+        call.attempts.add(new Attempt(gateway, now));
+        int index = call.attempts.size() - 1;
+        if (call.plan.idempotent() && now + policy.silentNanos() < call.deadline) {
+            actions.scheduleTimer(call.id, index, policy.silentNanos());
         }
-        actions.send(c.id, index, gateway, c.deadline - now, index > 0);
+        actions.sendAttempt(call.id, index, gateway, call.deadline - now, index > 0);
     }
 
-    /** A try ended without an answer. */
-    private void again(long now, Call c, int index, TryEnd end, long adviceNanos) {
-        if (c.live() > 0 || c.waits) {
-            return; // another copy may still serve it, or its turn is set
+    /** An attempt ended without an answer: retries within budget and deadline, or ends the call. */
+    private void retryOrFinish(long now, PendingCall call, int index, AttemptResult end, long retryAfterNanos) {
+        if (call.attemptsInFlight() > 0 || call.waitingForRetry) {
+            return; // another attempt may still be answered, or a retry is scheduled
         }
-        boolean ran = c.mayHaveRun;
-        if (ran && !c.plan.safe()) {
-            finish(now, c, CallEnd.Kind.FAILED, CallEnd.Reason.UNSAFE, 0, index);
+        boolean mayHaveRun = call.mayHaveRun;
+        if (mayHaveRun && !call.plan.idempotent()) {
+            finish(now, call, CallResult.Kind.FAILED, CallResult.Reason.UNSAFE, 0, index);
             return;
         }
-        CallEnd.Kind kind = ran ? CallEnd.Kind.FAILED : CallEnd.Kind.REFUSED;
-        if (tokens < 1) {
-            finish(now, c, kind, CallEnd.Reason.BUDGET_SPENT, adviceNanos, index);
+        CallResult.Kind kind = mayHaveRun ? CallResult.Kind.FAILED : CallResult.Kind.REFUSED;
+        if (retryTokens < 1) {
+            finish(now, call, kind, CallResult.Reason.BUDGET_SPENT, retryAfterNanos, index);
             return;
         }
-        boolean elsewhere = end == TryEnd.NOT_SENT && c.failures == 0; // the connection's fault, not load: at once
-        long most = Math.min(policy.backoffMostNanos(), policy.backoffNanos() << Math.min(c.failures, MOST_DOUBLINGS));
-        c.failures++;
-        long wait = elsewhere ? 0 : adviceNanos + (long) (random.nextDouble() * most);
-        if (now + wait >= c.deadline) {
-            finish(now, c, kind, CallEnd.Reason.NO_TIME_TO_COME_BACK, adviceNanos, index);
+        boolean retryAtOnce = end == AttemptResult.NOT_SENT && call.failures == 0; // a connection fault, not overload
+        long maxBackoffNanos =
+                Math.min(policy.maxBackoffNanos(), policy.backoffNanos() << Math.min(call.failures, MAX_DOUBLINGS));
+        call.failures++;
+        long waitNanos = retryAtOnce ? 0 : retryAfterNanos + (long) (random.nextDouble() * maxBackoffNanos);
+        if (now + waitNanos >= call.deadline) {
+            finish(now, call, kind, CallResult.Reason.NO_TIME_TO_COME_BACK, retryAfterNanos, index);
             return;
         }
-        tokens--;
+        retryTokens--;
         retries++;
-        c.waits = true;
-        c.waitNumber++;
-        actions.timer(c.id, NEXT - 2 * c.waitNumber, wait);
+        call.waitingForRetry = true;
+        call.retryTimerNumber++;
+        actions.scheduleTimer(call.id, RETRY_TIMER - 2 * call.retryTimerNumber, waitNanos);
     }
 
-    private void next(long now, Call c, int token) {
-        if (c.waits && token == NEXT - 2 * c.waitNumber) {
-            send(now, c);
+    private void sendRetry(long now, PendingCall call, int token) {
+        if (call.waitingForRetry && token == RETRY_TIMER - 2 * call.retryTimerNumber) {
+            send(now, call);
         }
     }
 
-    /** A safe call's try says nothing: another gateway gets it, and this one is given up. */
-    private void silent(long now, Call c, int index) {
-        Try t = c.tries.get(index);
-        if (t.over || tokens < 1 || c.live() > 1) {
+    /** An idempotent call's attempt got no answer for too long: it is abandoned, another gateway gets the call. */
+    private void onSilent(long now, PendingCall call, int index) {
+        Attempt attempt = call.attempts.get(index);
+        if (attempt.ended || retryTokens < 1 || call.attemptsInFlight() > 1) {
             return;
         }
-        t.over = true;
-        c.mayHaveRun = true;
-        gateways.ended(now, t.gateway, false);
-        actions.abandon(c.id, index);
-        tokens--;
+        attempt.ended = true;
+        call.mayHaveRun = true;
+        onGatewayList.onAttemptEnded(now, attempt.gateway, false);
+        actions.abandonAttempt(call.id, index);
+        retryTokens--;
         retries++;
-        send(now, c);
+        send(now, call);
     }
 
-    private void hedge(long now, Call c) {
-        if (c.live() == 1 && !c.waits && tokens >= 1) {
-            tokens--;
+    private void sendHedge(long now, PendingCall call) {
+        if (call.attemptsInFlight() == 1 && !call.waitingForRetry && retryTokens >= 1) {
+            retryTokens--;
             hedges++;
-            send(now, c);
+            send(now, call);
         }
     }
 
-    /** Abandons all tries but one; tells whether any was out. */
-    private boolean giveUp(long now, Call c, int but, boolean late) {
-        boolean out = false;
-        for (int i = 0; i < c.tries.size(); i++) {
-            Try t = c.tries.get(i);
-            if (!t.over && i != but) {
-                t.over = true;
-                out = true;
-                boolean silent = late && now - t.sentAt >= policy.silentNanos(); // it owed an answer by now
-                gateways.ended(now, t.gateway, silent ? Boolean.FALSE : null);
-                actions.abandon(c.id, i);
+    /** Abandons all attempts except one; returns whether any was in flight. */
+    private boolean abandonAttempts(long now, PendingCall call, int except, boolean deadlinePassed) {
+        boolean anyInFlight = false;
+        for (int i = 0; i < call.attempts.size(); i++) {
+            Attempt attempt = call.attempts.get(i);
+            if (!attempt.ended && i != except) {
+                attempt.ended = true;
+                anyInFlight = true;
+                boolean silent =
+                        deadlinePassed && now - attempt.sentAt >= policy.silentNanos(); // an answer was due by now
+                onGatewayList.onAttemptEnded(now, attempt.gateway, silent ? Boolean.FALSE : null);
+                actions.abandonAttempt(call.id, i);
             }
         }
-        return out;
+        return anyInFlight;
     }
 
-    private void finish(long now, Call c, CallEnd.Kind kind, CallEnd.Reason reason, long comeBackNanos, int index) {
-        boolean out = giveUp(now, c, -1, kind == CallEnd.Kind.LATE);
-        calls.remove(c.id);
-        boolean ran = kind != CallEnd.Kind.INVALID && (c.mayHaveRun || out || kind == CallEnd.Kind.SERVED);
-        actions.finish(c.id, new CallEnd(kind, ran, comeBackNanos, c.tries.size(), reason), index);
+    private void finish(
+            long now,
+            PendingCall call,
+            CallResult.Kind kind,
+            CallResult.Reason reason,
+            long retryAfterNanos,
+            int index) {
+        boolean anyInFlight = abandonAttempts(now, call, -1, kind == CallResult.Kind.LATE);
+        calls.remove(call.id);
+        boolean mayHaveRun =
+                kind != CallResult.Kind.INVALID && (call.mayHaveRun || anyInFlight || kind == CallResult.Kind.SERVED);
+        actions.finish(call.id, new CallResult(kind, mayHaveRun, retryAfterNanos, call.attempts.size(), reason), index);
     }
 }
--- a/client-core/src/test/java/wharfhinge/client/core/ClientDecisionsTest.java
+++ b/client-core/src/test/java/wharfhinge/client/core/ClientDecisionsTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import wharfhinge.client.core.CallEnd.Kind;
-import wharfhinge.client.core.CallEnd.Reason;
+import wharfhinge.client.core.CallResult.Kind;
+import wharfhinge.client.core.CallResult.Reason;
 
 /** What a client decides, case by case and over random stories; simulated time. */
 class ClientDecisionsTest {
@@ -25,11 +25,11 @@
 
     private static Sim sim(java.util.function.Function<Sim.Sent, Sim.Answer> gateways, String... names) {
         Sim sim = new Sim(POLICY, 1, gateways);
-        sim.client.gateways(List.of(names));
+        sim.client.onGatewayList(List.of(names));
         return sim;
     }
 
-    private static CallEnd end(Sim sim, CallPlan plan) {
+    private static CallResult end(Sim sim, CallPlan plan) {
         sim.call(1, plan);
         sim.run(5000 * MS);
         assertEquals(List.of(), sim.faults);
@@ -38,8 +38,8 @@
 
     @Test
     void aServedCallIsServed() {
-        Sim sim = sim(s -> Sim.Answer.of(TryEnd.SERVED, 20), "a", "b");
-        assertEquals(new CallEnd(Kind.SERVED, true, 0, 1, Reason.ANSWERED), end(sim, UNSAFE));
+        Sim sim = sim(s -> Sim.Answer.of(AttemptResult.SERVED, 20), "a", "b");
+        assertEquals(new CallResult(Kind.SERVED, true, 0, 1, Reason.ANSWERED), end(sim, UNSAFE));
         assertEquals(1000 * MS, sim.sent.get(0).remainingNanos());
     }
 
@@ -49,21 +49,21 @@
         sim.call(1, new CallPlan(1000 * MS, true, true));
         sim.run(150 * MS); // a hedge is out by now
         assertEquals(2, sim.tries(1));
-        assertTrue(sim.client.began(sim.now, 1, 0));
-        assertFalse(sim.client.began(sim.now, 1, 1), "the other copy was given up");
+        assertTrue(sim.client.onStreamStarted(sim.now, 1, 0));
+        assertFalse(sim.client.onStreamStarted(sim.now, 1, 1), "the other copy was given up");
         sim.run(5000 * MS);
         assertEquals(2, sim.tries(1));
         assertEquals(null, sim.ends.get(1L));
-        sim.client.ended(sim.now, 1, 0, TryEnd.BROKEN, 0);
-        assertEquals(new CallEnd(Kind.FAILED, true, 0, 2, Reason.BROKE_OFF), sim.ends.get(1L));
+        sim.client.onAttemptEnded(sim.now, 1, 0, AttemptResult.BROKEN, 0);
+        assertEquals(new CallResult(Kind.FAILED, true, 0, 2, Reason.BROKE_OFF), sim.ends.get(1L));
     }
 
     @Test
     void aRefusedCallComesBackAfterTheAdviceWithinOneDeadline() {
         Sim sim = sim(
                 s -> s.index() == 0
-                        ? new Sim.Answer(TryEnd.REFUSED, 10 * MS, 200 * MS)
-                        : Sim.Answer.of(TryEnd.SERVED, 10),
+                        ? new Sim.Answer(AttemptResult.REFUSED, 10 * MS, 200 * MS)
+                        : Sim.Answer.of(AttemptResult.SERVED, 10),
                 "a",
                 "b");
         assertEquals(Kind.SERVED, end(sim, UNSAFE).kind());
@@ -75,26 +75,26 @@
 
     @Test
     void adviceLongerThanTheTimeLeftIsTheAnswerAtOnce() {
-        Sim sim = sim(s -> new Sim.Answer(TryEnd.REFUSED, 10 * MS, 2000 * MS), "a", "b");
-        CallEnd end = end(sim, SAFE);
-        assertEquals(new CallEnd(Kind.REFUSED, false, 2000 * MS, 1, Reason.NO_TIME_TO_COME_BACK), end);
+        Sim sim = sim(s -> new Sim.Answer(AttemptResult.REFUSED, 10 * MS, 2000 * MS), "a", "b");
+        CallResult end = end(sim, SAFE);
+        assertEquals(new CallResult(Kind.REFUSED, false, 2000 * MS, 1, Reason.NO_TIME_TO_COME_BACK), end);
         assertEquals(15 * MS, sim.endedAt.get(1L), "not held back to the deadline");
     }
 
     @Test
     void anUnsafeCallThatMayHaveRunIsNeverRepeated() {
-        for (TryEnd how : new TryEnd[] {TryEnd.BROKEN, TryEnd.FAILED}) {
+        for (AttemptResult how : new AttemptResult[] {AttemptResult.BROKEN, AttemptResult.FAILED}) {
             Sim sim = sim(s -> Sim.Answer.of(how, 10), "a", "b");
-            assertEquals(new CallEnd(Kind.FAILED, true, 0, 1, Reason.UNSAFE), end(sim, UNSAFE));
+            assertEquals(new CallResult(Kind.FAILED, true, 0, 1, Reason.UNSAFE), end(sim, UNSAFE));
         }
-        Sim sim = sim(s -> Sim.Answer.of(s.index() == 0 ? TryEnd.NOT_SENT : TryEnd.SERVED, 10), "a", "b");
-        assertEquals(2, end(sim, UNSAFE).tries(), "what never went out may go elsewhere, and at once");
+        Sim sim = sim(s -> Sim.Answer.of(s.index() == 0 ? AttemptResult.NOT_SENT : AttemptResult.SERVED, 10), "a", "b");
+        assertEquals(2, end(sim, UNSAFE).attempts(), "what never went out may go elsewhere, and at once");
         assertEquals(10 * MS, sim.sent.get(1).at() - sim.sent.get(0).at());
     }
 
     @Test
     void aSafeCallOnASilentGatewayGoesElsewhere() {
-        Sim sim = sim(s -> s.gateway().equals("a") ? null : Sim.Answer.of(TryEnd.SERVED, 10), "a", "b");
+        Sim sim = sim(s -> s.gateway().equals("a") ? null : Sim.Answer.of(AttemptResult.SERVED, 10), "a", "b");
         for (int i = 1; i <= 40; i++) {
             sim.call(i, SAFE);
             sim.run(400 * MS);
@@ -104,25 +104,25 @@
                 .filter(s -> s.gateway().equals("a") && s.at() > 3000 * MS)
                 .count();
         assertTrue(late <= 8, "left out, but for trials whose pause doubles: " + late);
-        assertEquals(1, sim.client.figures().ejected());
+        assertEquals(1, sim.client.metrics().ejected());
     }
 
     @Test
     void anUnsafeCallOnASilentGatewayIsLateAndMayHaveRun() {
         Sim sim = sim(s -> null, "a");
-        assertEquals(new CallEnd(Kind.LATE, true, 0, 1, Reason.DEADLINE), end(sim, UNSAFE));
+        assertEquals(new CallResult(Kind.LATE, true, 0, 1, Reason.DEADLINE), end(sim, UNSAFE));
         assertEquals(1005 * MS, sim.endedAt.get(1L));
     }
 
     @Test
     void anAnswerAfterTheDeadlineIsDropped() {
-        Sim sim = sim(s -> Sim.Answer.of(TryEnd.SERVED, 1500), "a");
+        Sim sim = sim(s -> Sim.Answer.of(AttemptResult.SERVED, 1500), "a");
         assertEquals(Kind.LATE, end(sim, UNSAFE).kind());
     }
 
     @Test
     void furtherTriesAreABudgetNotAMultiple() {
-        Sim sim = sim(s -> Sim.Answer.of(TryEnd.REFUSED, 1), "a", "b", "c");
+        Sim sim = sim(s -> Sim.Answer.of(AttemptResult.REFUSED, 1), "a", "b", "c");
         for (int i = 0; i < 1000; i++) {
             sim.call(i, SAFE);
             sim.run(10 * MS);
@@ -136,11 +136,15 @@
     @Test
     void aHedgeTakesTheFirstAnswerAndATokenAndAnotherGateway() {
         Sim sim = sim(
-                s -> s.index() == 0 ? Sim.Answer.of(TryEnd.SERVED, 250) : Sim.Answer.of(TryEnd.SERVED, 20), "a", "b");
-        assertEquals(2, end(sim, new CallPlan(1000 * MS, true, true)).tries());
+                s -> s.index() == 0
+                        ? Sim.Answer.of(AttemptResult.SERVED, 250)
+                        : Sim.Answer.of(AttemptResult.SERVED, 20),
+                "a",
+                "b");
+        assertEquals(2, end(sim, new CallPlan(1000 * MS, true, true)).attempts());
         assertEquals(125 * MS, sim.endedAt.get(1L));
         assertNotEquals(sim.sent.get(0).gateway(), sim.sent.get(1).gateway());
-        assertEquals(1, sim.client.figures().hedges());
+        assertEquals(1, sim.client.metrics().hedges());
         assertThrows(IllegalArgumentException.class, () -> new CallPlan(1, false, true));
     }
 
@@ -152,29 +156,29 @@
         }
         assertEquals(Reason.TOO_MANY_OPEN, sim.ends.get(50L).reason());
         assertFalse(sim.ends.get(50L).mayHaveRun());
-        assertEquals(50, sim.client.figures().open());
+        assertEquals(50, sim.client.metrics().pending());
     }
 
     @Test
     void cancelEndsItAtEachStage() {
-        Sim sim = sim(s -> s.index() == 0 ? new Sim.Answer(TryEnd.REFUSED, 10 * MS, 100 * MS) : null, "a", "b");
+        Sim sim = sim(s -> s.index() == 0 ? new Sim.Answer(AttemptResult.REFUSED, 10 * MS, 100 * MS) : null, "a", "b");
         for (long after : new long[] {0, 5, 50, 180}) { // at once, sent, waiting to come back, sent again
             sim.call(after, SAFE);
-            sim.at(after * MS, () -> sim.client.cancel(sim.now, after));
+            sim.at(after * MS, () -> sim.client.onCancelled(sim.now, after));
             sim.run(2000 * MS);
             assertEquals(Kind.CANCELLED, sim.ends.get(after).kind());
         }
         assertEquals(List.of(), sim.faults);
-        assertEquals(0, sim.client.figures().open());
+        assertEquals(0, sim.client.metrics().pending());
     }
 
     @Test
     void theListMayChangeAndBeEmpty() {
-        Sim sim = sim(s -> Sim.Answer.of(TryEnd.SERVED, 10));
+        Sim sim = sim(s -> Sim.Answer.of(AttemptResult.SERVED, 10));
         assertEquals(Reason.NO_GATEWAY, end(sim, SAFE).reason());
-        sim.client.gateways(List.of("a"));
+        sim.client.onGatewayList(List.of("a"));
         sim.call(2, SAFE);
-        sim.client.gateways(List.of("b"));
+        sim.client.onGatewayList(List.of("b"));
         sim.run(100 * MS);
         assertEquals(Kind.SERVED, sim.ends.get(2L).kind(), "what is out at one that left is answered");
         sim.call(3, SAFE);
@@ -184,7 +188,7 @@
     @Test
     void wrongSettingsAreNamed() {
         var wrong = assertThrows(IllegalArgumentException.class, () -> new ClientPolicy(0, 0.2, 5, 1, 1, 1, 1, 1, 1));
-        assertEquals("maxOpen: found 0, allowed: above 0", wrong.getMessage());
+        assertEquals("maxPending: found 0, allowed: above 0", wrong.getMessage());
     }
 
     /** Whatever gateways do: one end for each call by its deadline, unsafe ones never twice, tries within the budget. */
@@ -193,14 +197,16 @@
         Random story = new Random(seed);
         Sim sim = new Sim(POLICY, seed, s -> {
             int draw = story.nextInt(10);
-            TryEnd end = TryEnd.values()[story.nextInt(TryEnd.values().length)];
+            AttemptResult end = AttemptResult.values()[story.nextInt(AttemptResult.values().length)];
             return draw == 0
                     ? null
                     : new Sim.Answer(
-                            draw < 5 ? TryEnd.SERVED : end, story.nextInt(400) * MS, story.nextInt(3) * 150 * MS);
+                            draw < 5 ? AttemptResult.SERVED : end,
+                            story.nextInt(400) * MS,
+                            story.nextInt(3) * 150 * MS);
         });
         List<String> names = List.of("a", "b", "c", "d").subList(0, gateways);
-        sim.client.gateways(names);
+        sim.client.onGatewayList(names);
         int calls = 120;
         java.util.Map<Long, CallPlan> plans = new java.util.HashMap<>();
         java.util.Map<Long, Long> begun = new java.util.HashMap<>();
@@ -215,12 +221,12 @@
         sim.run(3000 * MS);
         assertEquals(List.of(), sim.faults);
         assertEquals(calls, sim.ends.size());
-        assertEquals(0, sim.client.figures().open());
+        assertEquals(0, sim.client.metrics().pending());
         long tries = 0;
         for (long i = 0; i < calls; i++) {
-            CallEnd end = sim.ends.get(i);
+            CallResult end = sim.ends.get(i);
             assertTrue(sim.endedAt.get(i) - begun.get(i) <= plans.get(i).deadlineNanos(), "in time");
-            tries += end.tries();
+            tries += end.attempts();
             if (end.kind() == Kind.REFUSED) {
                 assertFalse(end.mayHaveRun(), "refused means it did not run");
             }
--- a/client-core/src/test/java/wharfhinge/client/core/Sim.java
+++ b/client-core/src/test/java/wharfhinge/client/core/Sim.java
@@ -13,8 +13,8 @@
     static final long MS = 1_000_000L;
 
     /** How a gateway answers a try: after a time, or never. */
-    record Answer(TryEnd end, long afterNanos, long adviceNanos) {
-        static Answer of(TryEnd end, long afterMillis) {
+    record Answer(AttemptResult end, long afterNanos, long adviceNanos) {
+        static Answer of(AttemptResult end, long afterMillis) {
             return new Answer(end, afterMillis * MS, 0);
         }
     }
@@ -25,7 +25,7 @@
 
     final ClientDecisions client;
     final List<Sent> sent = new ArrayList<>();
-    final Map<Long, CallEnd> ends = new HashMap<>();
+    final Map<Long, CallResult> ends = new HashMap<>();
     final Map<Long, Long> endedAt = new HashMap<>();
     final List<String> faults = new ArrayList<>();
     private final PriorityQueue<Due> queue =
@@ -42,10 +42,10 @@
     }
 
     void call(long id, CallPlan plan) {
-        if (!plan.safe()) {
+        if (!plan.idempotent()) {
             unsafe.add(id);
         }
-        client.begin(now, id, plan);
+        client.onCall(now, id, plan);
     }
 
     void at(long delayNanos, Runnable what) {
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public void send(long call, int index, String gateway, long remainingNanos, boolean repeat) {
+    public void sendAttempt(long call, int index, String gateway, long remainingNanos, boolean repeat) {
         Sent s = new Sent(now, call, index, gateway, remainingNanos, repeat);
         sent.add(s);
         if (ends.containsKey(call) || remainingNanos <= 0) {
@@ -75,19 +75,20 @@
         }
         if (answer != null) {
             at(answer.afterNanos, () -> {
-                if (unsafe.contains(call) && (answer.end == TryEnd.BROKEN || answer.end == TryEnd.FAILED)) {
+                if (unsafe.contains(call)
+                        && (answer.end == AttemptResult.BROKEN || answer.end == AttemptResult.FAILED)) {
                     ran.add(call);
                 }
             });
-            at(answer.afterNanos, () -> client.ended(now, call, index, answer.end, answer.adviceNanos));
+            at(answer.afterNanos, () -> client.onAttemptEnded(now, call, index, answer.end, answer.adviceNanos));
         }
     }
 
     @Override
-    public void abandon(long call, int index) {}
+    public void abandonAttempt(long call, int index) {}
 
     @Override
-    public void finish(long call, CallEnd end, int index) {
+    public void finish(long call, CallResult end, int index) {
         if (ends.put(call, end) != null) {
             faults.add("two ends for " + call);
         }
@@ -95,8 +96,8 @@
     }
 
     @Override
-    public void timer(long call, int token, long delayNanos) {
-        at(delayNanos, () -> client.due(now, call, token));
+    public void scheduleTimer(long call, int token, long delayNanos) {
+        at(delayNanos, () -> client.onTimer(now, call, token));
     }
 
     long tries(long call) {
--- a/client-grpc/src/main/java/wharfhinge/client/grpc/GrpcTransport.java
+++ b/client-grpc/src/main/java/wharfhinge/client/grpc/GrpcTransport.java
@@ -20,7 +20,7 @@
 import java.util.function.Supplier;
 import wharfhinge.client.Call;
 import wharfhinge.client.Transport;
-import wharfhinge.client.core.TryEnd;
+import wharfhinge.client.core.AttemptResult;
 import wharfhinge.protocol.grpc.CallReply;
 import wharfhinge.protocol.grpc.CallRequest;
 import wharfhinge.protocol.grpc.GatewayGrpc;
@@ -39,23 +39,23 @@
         t.setDaemon(true);
         return t;
     });
-    private final Duration connectWithin;
-    private final int mostAnswerBytes;
+    private final Duration connectTimeout;
+    private final int maxResponseBytes;
     private final SslContext tls;
     private final Supplier<String> token;
 
     /**
      * A transport.
      *
-     * @param connectWithin until a try is on its way; then it ends as not sent
+     * @param connectTimeout until a try is on its way; then it ends as not sent
      * @param tls           made with {@link GrpcSslContexts}; null without TLS
      * @param token         asked for each try, a bearer token or null; null where there are none
      */
-    public GrpcTransport(Duration connectWithin, int mostAnswerBytes, SslContext tls, Supplier<String> token) {
+    public GrpcTransport(Duration connectTimeout, int maxResponseBytes, SslContext tls, Supplier<String> token) {
         this.token = token == null ? () -> null : token;
         timers.setRemoveOnCancelPolicy(true);
-        this.connectWithin = connectWithin;
-        this.mostAnswerBytes = mostAnswerBytes;
+        this.connectTimeout = connectTimeout;
+        this.maxResponseBytes = maxResponseBytes;
         this.tls = tls;
     }
 
@@ -63,25 +63,25 @@
         return channels.computeIfAbsent(gateway, name -> {
             NettyChannelBuilder builder = NettyChannelBuilder.forTarget("dns:///" + name)
                     .directExecutor()
-                    .maxInboundMessageSize(mostAnswerBytes);
+                    .maxInboundMessageSize(maxResponseBytes);
             return (tls == null ? builder.usePlaintext() : builder.sslContext(tls)).build();
         });
     }
 
     @Override
-    public Try send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener) {
+    public AttemptHandle send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener) {
         Exchange exchange = new Exchange(gateway, listener);
-        exchange.begin(call, remainingNanos, repeat);
+        exchange.start(call, remainingNanos, repeat);
         return exchange;
     }
 
     /** One try; told its end once, after it was abandoned not at all. */
-    private final class Exchange implements Try {
+    private final class Exchange implements AttemptHandle {
         private final String gateway;
         private final Listener listener;
-        private final AtomicBoolean over = new AtomicBoolean();
+        private final AtomicBoolean ended = new AtomicBoolean();
         private volatile boolean sent;
-        private boolean streams;
+        private boolean streaming;
         private ClientCall<CallRequest, CallReply> rpc;
         private volatile ScheduledFuture<?> connecting; // null on a connection that stood
 
@@ -90,7 +90,7 @@
             this.listener = listener;
         }
 
-        void begin(Call call, long remainingNanos, boolean repeat) {
+        void start(Call call, long remainingNanos, boolean repeat) {
             CallOptions timed = call.streams()
                     ? CallOptions.DEFAULT // its parts may come for as long as they like
                     : CallOptions.DEFAULT.withDeadlineAfter(remainingNanos, TimeUnit.NANOSECONDS);
@@ -109,14 +109,14 @@
             boolean connected = channel.getState(false) == ConnectivityState.READY;
             rpc = channel.newCall(
                     call.streams() ? GatewayGrpc.getStreamMethod() : GatewayGrpc.getCallMethod(), options);
-            streams = call.streams();
+            streaming = call.streams();
             Metadata headers = new Metadata();
             String bearer = token.get();
             if (bearer != null) {
                 headers.put(GrpcProtocol.AUTHORIZATION, "Bearer " + bearer);
             }
-            rpc.start(new Answers(), headers);
-            rpc.request(streams ? 1 : 2); // parts are asked for one by one
+            rpc.start(new ResponseListener(), headers);
+            rpc.request(streaming ? 1 : 2); // parts are asked for one by one
             rpc.sendMessage(request(call, repeat, remainingNanos));
             rpc.halfClose();
             if (connected) {
@@ -124,19 +124,19 @@
             }
             connecting = timers.schedule(
                     () -> {
-                        if (!sent && over.compareAndSet(false, true)) {
-                            listener.ended(
-                                    Transport.Reply.without(TryEnd.NOT_SENT, gateway + ": accepted, and says nothing"));
+                        if (!sent && ended.compareAndSet(false, true)) {
+                            listener.onEnded(Transport.Reply.withoutBody(
+                                    AttemptResult.NOT_SENT, gateway + ": accepted, and says nothing"));
                             rpc.cancel("not on its way in time", null);
                         }
                     },
-                    connectWithin.toMillis(),
+                    connectTimeout.toMillis(),
                     TimeUnit.MILLISECONDS);
         }
 
         @Override
         public void abandon() {
-            over.set(true);
+            ended.set(true);
             ScheduledFuture<?> timer = connecting;
             if (timer != null) {
                 timer.cancel(false);
@@ -145,32 +145,32 @@
         }
 
         private void end(Transport.Reply reply) {
-            if (over.compareAndSet(false, true)) {
-                listener.ended(reply);
+            if (ended.compareAndSet(false, true)) {
+                listener.onEnded(reply);
             }
         }
 
-        private final class Answers extends ClientCall.Listener<CallReply> {
+        private final class ResponseListener extends ClientCall.Listener<CallReply> {
             private CallReply reply;
 
             @Override
             public void onMessage(CallReply message) {
-                if (!streams) {
+                if (!streaming) {
                     reply = message;
                     return;
                 }
                 if (reply == null) {
                     reply = message.toBuilder().clearBody().build();
-                    if (!over.get()) {
-                        listener.began(
+                    if (!ended.get()) {
+                        listener.onStreamStarted(
                                 message.getWorker(),
                                 message.getContentType().isEmpty() ? null : message.getContentType());
                     }
                 }
-                if (message.getBody().isEmpty() || over.get()) {
+                if (message.getBody().isEmpty() || ended.get()) {
                     rpc.request(1);
                 } else {
-                    listener.part(message.getBody().toByteArray(), () -> rpc.request(1));
+                    listener.onPart(message.getBody().toByteArray(), () -> rpc.request(1));
                 }
             }
 
@@ -182,7 +182,7 @@
                 }
                 if (status.isOk() && reply != null) {
                     end(new Transport.Reply(
-                            TryEnd.SERVED,
+                            AttemptResult.SERVED,
                             reply.getBody().toByteArray(),
                             reply.getContentType(),
                             reply.getWorker(),
@@ -196,10 +196,10 @@
 
         private Transport.Reply without(Status status, Metadata trailers) {
             String answer = trailers.get(GrpcProtocol.ANSWER);
-            TryEnd end = "refused".equals(answer)
-                    ? TryEnd.REFUSED
+            AttemptResult end = "refused".equals(answer)
+                    ? AttemptResult.REFUSED
                     : "failed".equals(answer)
-                            ? TryEnd.FAILED
+                            ? AttemptResult.FAILED
                             : switch (status.getCode()) {
                                 case INVALID_ARGUMENT,
                                         NOT_FOUND,
@@ -207,8 +207,8 @@
                                         RESOURCE_EXHAUSTED,
                                         UNAUTHENTICATED,
                                         PERMISSION_DENIED,
-                                        OUT_OF_RANGE -> TryEnd.INVALID;
-                                default -> sent ? TryEnd.BROKEN : TryEnd.NOT_SENT;
+                                        OUT_OF_RANGE -> AttemptResult.INVALID;
+                                default -> sent ? AttemptResult.BROKEN : AttemptResult.NOT_SENT;
                             };
             String advice = trailers.get(GrpcProtocol.RETRY_AFTER_MS);
             long adviceNanos = advice != null && advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
@@ -221,7 +221,7 @@
                     adviceNanos,
                     reason != null
                             ? reason
-                            : end == TryEnd.INVALID ? status.getDescription() : gateway + ": " + status);
+                            : end == AttemptResult.INVALID ? status.getDescription() : gateway + ": " + status);
         }
     }
 
--- a/client-http/src/main/java/wharfhinge/client/http/Exchange.java
+++ b/client-http/src/main/java/wharfhinge/client/http/Exchange.java
@@ -22,11 +22,11 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import wharfhinge.client.Call;
 import wharfhinge.client.Transport;
-import wharfhinge.client.core.TryEnd;
+import wharfhinge.client.core.AttemptResult;
 import wharfhinge.protocol.ClientProtocol;
 
 /** One try on one stream. Told its end once; after it was abandoned not at all. */
-final class Exchange implements Transport.Try {
+final class Exchange implements Transport.AttemptHandle {
     private static final long MS = 1_000_000L;
     private static final int CLIENT_ERRORS = 400;
     private static final int SERVER_ERRORS = 500;
@@ -34,11 +34,11 @@
     private final String gateway;
     private final Call call;
     private final long deadline;
-    private final boolean repeat;
-    private final int mostAnswerBytes;
+    private final boolean retry;
+    private final int maxResponseBytes;
     private final String token; // never logged
     private final Transport.Listener listener;
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean ended = new AtomicBoolean();
     private volatile boolean sent;
     private volatile Channel stream;
 
@@ -46,66 +46,67 @@
             String gateway,
             Call call,
             long remainingNanos,
-            boolean repeat,
-            int mostAnswerBytes,
+            boolean retry,
+            int maxResponseBytes,
             String token,
             Transport.Listener listener) {
         this.token = token;
         this.gateway = gateway;
         this.call = call;
         this.deadline = System.nanoTime() + remainingNanos;
-        this.repeat = repeat;
-        this.mostAnswerBytes = mostAnswerBytes;
+        this.retry = retry;
+        this.maxResponseBytes = maxResponseBytes;
         this.listener = listener;
     }
 
-    boolean over() {
-        return over.get();
+    boolean ended() {
+        return ended.get();
     }
 
     /** It never was on its way. */
-    void notSent(String why) {
-        end(Transport.Reply.without(TryEnd.NOT_SENT, gateway + ": " + why));
+    void notSent(String reason) {
+        end(Transport.Reply.withoutBody(AttemptResult.NOT_SENT, gateway + ": " + reason));
     }
 
-    void broke(String why) {
-        end(Transport.Reply.without(sent ? TryEnd.BROKEN : TryEnd.NOT_SENT, gateway + ": " + why));
+    void fail(String reason) {
+        end(Transport.Reply.withoutBody(sent ? AttemptResult.BROKEN : AttemptResult.NOT_SENT, gateway + ": " + reason));
     }
 
     void end(Transport.Reply reply) {
-        if (over.compareAndSet(false, true)) {
-            listener.ended(reply);
+        if (ended.compareAndSet(false, true)) {
+            listener.onEnded(reply);
         }
     }
 
     @Override
     public void abandon() {
-        over.set(true);
-        Channel on = stream;
-        if (on != null) {
-            on.close(); // resets the stream: the gateway learns that its client left
+        ended.set(true);
+        Channel channel = stream;
+        if (channel != null) {
+            channel.close(); // resets the stream: the gateway learns that its client left
         }
     }
 
     /** Goes out on a stream of its own. */
-    void go(Channel on) {
-        stream = on;
-        if (over.get()) {
-            on.close();
+    void start(Channel channel) {
+        stream = channel;
+        if (ended.get()) {
+            channel.close();
             return;
         }
-        on.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(false), new Resets());
+        channel.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(false), new ResetHandler());
         if (call.streams()) {
-            on.config().setAutoRead(false); // read on as the caller asks for more: flow control holds the gateway back
-            on.pipeline().addLast(new StreamedAnswer(this, listener, mostAnswerBytes));
-            on.read();
+            channel.config()
+                    .setAutoRead(false); // read on as the caller asks for more: flow control holds the gateway back
+            channel.pipeline().addLast(new StreamedResponseHandler(this, listener, maxResponseBytes));
+            channel.read();
         } else {
-            on.pipeline().addLast(new HttpObjectAggregator(mostAnswerBytes), new Answers());
+            channel.pipeline().addLast(new HttpObjectAggregator(maxResponseBytes), new ResponseHandler());
         }
-        on.writeAndFlush(request()).addListener(written -> {
+        channel.writeAndFlush(request()).addListener(written -> {
             if (!written.isSuccess()) {
                 notSent("not written: " + written.cause());
-                on.close();
+                channel.close();
             }
         });
         sent = true; // from here on a break may have come after the bytes left
@@ -129,7 +130,7 @@
         set(h, ClientProtocol.MEMORY_MB, call.memoryMb() > 0 ? Double.toString(call.memoryMb()) : null);
         set(h, ClientProtocol.LANES, call.lanes() > 0 ? Integer.toString(call.lanes()) : null);
         set(h, ClientProtocol.LOAD_MS, call.loadMillis() > 0 ? Double.toString(call.loadMillis()) : null);
-        set(h, ClientProtocol.REPEAT, repeat ? "1" : null);
+        set(h, ClientProtocol.REPEAT, retry ? "1" : null);
         set(h, ClientProtocol.WRITE, call.write() ? "1" : null);
         return request;
     }
@@ -141,7 +142,7 @@
     }
 
     /** A stream that the gateway refused was not looked at. */
-    private final class Resets extends io.netty.channel.ChannelInboundHandlerAdapter {
+    private final class ResetHandler extends io.netty.channel.ChannelInboundHandlerAdapter {
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
             if (event instanceof Http2GoAwayFrame) {
@@ -151,7 +152,7 @@
                 if (reset.errorCode() == Http2Error.REFUSED_STREAM.code()) {
                     notSent("stream refused");
                 } else {
-                    broke("stream reset, code " + reset.errorCode());
+                    fail("stream reset, code " + reset.errorCode());
                 }
                 ctx.close();
             }
@@ -159,7 +160,7 @@
         }
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             end(reply(response));
@@ -167,34 +168,37 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            broke("connection or stream closed");
+            fail("connection or stream closed");
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            broke(cause.toString());
+            fail(cause.toString());
             ctx.close();
         }
     }
 
-    private static Transport.Reply reply(FullHttpResponse r) {
-        return reply(r, ByteBufUtil.getBytes(r.content()));
+    private static Transport.Reply reply(FullHttpResponse response) {
+        return reply(response, ByteBufUtil.getBytes(response.content()));
     }
 
     /** What headers and body mean. */
-    static Transport.Reply reply(HttpResponse r, byte[] body) {
-        HttpHeaders h = r.headers();
+    static Transport.Reply reply(HttpResponse response, byte[] body) {
+        HttpHeaders h = response.headers();
         String answer = h.get(ClientProtocol.ANSWER, "");
-        int status = r.status().code();
-        TryEnd end =
+        int status = response.status().code();
+        AttemptResult end =
                 switch (answer) {
-                    case "served" -> TryEnd.SERVED;
-                    case "refused" -> TryEnd.REFUSED;
-                    case "failed" -> TryEnd.FAILED;
-                    default -> status >= CLIENT_ERRORS && status < SERVER_ERRORS ? TryEnd.INVALID : TryEnd.FAILED;
+                    case "served" -> AttemptResult.SERVED;
+                    case "refused" -> AttemptResult.REFUSED;
+                    case "failed" -> AttemptResult.FAILED;
+                    default -> status >= CLIENT_ERRORS && status < SERVER_ERRORS
+                            ? AttemptResult.INVALID
+                            : AttemptResult.FAILED;
                 };
-        String reason =
-                end == TryEnd.INVALID ? new String(body, StandardCharsets.UTF_8).strip() : h.get(ClientProtocol.REASON);
+        String reason = end == AttemptResult.INVALID
+                ? new String(body, StandardCharsets.UTF_8).strip()
+                : h.get(ClientProtocol.REASON);
         String advice = h.get(ClientProtocol.RETRY_AFTER_MS, "");
         long adviceNanos = advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
         return new Transport.Reply(
--- a/client-http/src/main/java/wharfhinge/client/http/Peer.java
+++ b/client-http/src/main/java/wharfhinge/client/http/GatewayConnections.java
@@ -19,16 +19,16 @@
 import java.util.concurrent.TimeUnit;
 
 /** The connections to one gateway. What finds none with a free stream waits for one that is being made; where all are full it ends. */
-final class Peer {
-    private static final int STREAMS_UNTOLD = 100;
-    private static final int MOST_WAITING = 10_000;
+final class GatewayConnections {
+    private static final int DEFAULT_MAX_STREAMS = 100;
+    private static final int MAX_WAITING = 10_000;
 
     private final String name;
     private final HttpTransport transport;
     private final List<Connection> connections = new ArrayList<>(); // guarded by this
     private boolean closed;
 
-    Peer(String name, HttpTransport transport) {
+    GatewayConnections(String name, HttpTransport transport) {
         this.name = name;
         this.transport = transport;
     }
@@ -38,31 +38,39 @@
         private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
         private Channel channel;
         private boolean ready;
-        private boolean leaving;
+        private boolean draining;
         private int streams;
-        private int most = STREAMS_UNTOLD;
+        private int maxStreams = DEFAULT_MAX_STREAMS;
     }
 
     void send(Exchange exchange) {
-        Connection on = null;
+        Connection available = null;
         Connection fresh = null;
-        String why = null;
+        String reason = null;
         synchronized (this) {
-            for (Connection c : connections) {
-                if (c.ready && !c.leaving && c.streams < c.most && (on == null || c.streams < on.streams)) {
-                    on = c;
+            for (Connection connection : connections) {
+                if (connection.ready
+                        && !connection.draining
+                        && connection.streams < connection.maxStreams
+                        && (available == null || connection.streams < available.streams)) {
+                    available = connection;
                 }
             }
-            if (on != null) {
-                on.streams++;
+            if (available != null) {
+                available.streams++;
             } else {
                 Connection made = connections.stream()
-                        .filter(c -> !c.ready && !c.leaving && c.waiting.size() < STREAMS_UNTOLD)
+                        .filter(connection -> !connection.ready
+                                && !connection.draining
+                                && connection.waiting.size() < DEFAULT_MAX_STREAMS)
                         .findFirst()
                         .orElse(null);
-                boolean room = connections.stream().filter(c -> !c.leaving).count() < transport.connectionsEach();
+                boolean room = connections.stream()
+                                .filter(connection -> !connection.draining)
+                                .count()
+                        < transport.connectionsPerGateway();
                 if (closed) {
-                    why = "client closed";
+                    reason = "client closed";
                 } else if (made != null) {
                     made.waiting.add(exchange);
                 } else if (room) {
@@ -71,26 +79,28 @@
                     connections.add(fresh);
                 } else {
                     made = connections.stream()
-                            .filter(c -> !c.ready && !c.leaving && c.waiting.size() < MOST_WAITING)
+                            .filter(connection -> !connection.ready
+                                    && !connection.draining
+                                    && connection.waiting.size() < MAX_WAITING)
                             .findFirst()
                             .orElse(null);
-                    why = made == null ? "all connections are full" : null;
+                    reason = made == null ? "all connections are full" : null;
                     if (made != null) {
                         made.waiting.add(exchange);
                     }
                 }
             }
         }
-        if (why != null) {
-            exchange.notSent(why);
-        } else if (on != null) {
-            open(on, exchange);
+        if (reason != null) {
+            exchange.notSent(reason);
+        } else if (available != null) {
+            openStream(available, exchange);
         } else if (fresh != null) {
             connect(fresh);
         }
     }
 
-    private void connect(Connection c) {
+    private void connect(Connection connection) {
         int colon = name.lastIndexOf(':');
         ChannelFuture connecting;
         try {
@@ -106,17 +116,17 @@
                                                     Http2FrameCodecBuilder.forClient()
                                                             .build(),
                                                     new Http2MultiplexHandler(new ChannelInboundHandlerAdapter()),
-                                                    new Watch(c));
+                                                    new ConnectionHandler(connection));
                                 }
                             })
                     .connect();
         } catch (RuntimeException e) {
-            gone(c, "address: found '" + name + "', allowed: host:port");
+            onClosed(connection, "address: found '" + name + "', allowed: host:port");
             return;
         }
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
-                gone(c, "not connected: " + done.cause().getMessage());
+                onClosed(connection, "not connected: " + done.cause().getMessage());
                 return;
             }
             Channel channel = connecting.channel();
@@ -124,71 +134,72 @@
                     .schedule(
                             () -> {
                                 synchronized (this) {
-                                    if (c.ready) {
+                                    if (connection.ready) {
                                         return;
                                     }
                                 }
-                                gone(c, "accepted, and says nothing");
+                                onClosed(connection, "accepted, and says nothing");
                                 channel.close();
                             },
-                            transport.connectWithin().toMillis(),
+                            transport.connectTimeout().toMillis(),
                             TimeUnit.MILLISECONDS);
         });
     }
 
-    private void open(Connection c, Exchange exchange) {
-        new Http2StreamChannelBootstrap(c.channel)
+    private void openStream(Connection connection, Exchange exchange) {
+        new Http2StreamChannelBootstrap(connection.channel)
                 .handler(new ChannelInboundHandlerAdapter())
                 .open()
                 .addListener((Future<Http2StreamChannel> opened) -> {
                     if (opened.isSuccess()) {
                         Http2StreamChannel stream = opened.getNow();
-                        stream.closeFuture().addListener(closed -> freed(c));
-                        exchange.go(stream);
+                        stream.closeFuture().addListener(closed -> onStreamClosed(connection));
+                        exchange.start(stream);
                     } else {
-                        freed(c);
+                        onStreamClosed(connection);
                         exchange.notSent("no stream: " + opened.cause().getMessage());
                     }
                 });
     }
 
-    private synchronized void freed(Connection c) {
-        c.streams--;
-        if (c.leaving && c.streams == 0 && c.channel != null) {
-            c.channel.close();
+    private synchronized void onStreamClosed(Connection connection) {
+        connection.streams--;
+        if (connection.draining && connection.streams == 0 && connection.channel != null) {
+            connection.channel.close();
         }
     }
 
-    private void ready(Connection c, Channel channel, Long most) {
-        List<Exchange> go = new ArrayList<>();
-        List<Exchange> over = new ArrayList<>();
+    private void onReady(Connection connection, Channel channel, Long maxStreams) {
+        List<Exchange> startable = new ArrayList<>();
+        List<Exchange> unplaced = new ArrayList<>();
         synchronized (this) {
-            c.most = most == null ? c.most : (int) Math.min(most, Integer.MAX_VALUE);
-            c.channel = channel;
-            c.ready = true;
-            while (!c.waiting.isEmpty()) {
-                Exchange next = c.waiting.poll();
-                if (!next.over() && c.streams < c.most) {
-                    c.streams++;
-                    go.add(next);
-                } else if (!next.over()) {
-                    over.add(next);
+            connection.maxStreams =
+                    maxStreams == null ? connection.maxStreams : (int) Math.min(maxStreams, Integer.MAX_VALUE);
+            connection.channel = channel;
+            connection.ready = true;
+            while (!connection.waiting.isEmpty()) {
+                Exchange next = connection.waiting.poll();
+                if (!next.ended() && connection.streams < connection.maxStreams) {
+                    connection.streams++;
+                    startable.add(next);
+                } else if (!next.ended()) {
+                    unplaced.add(next);
                 }
             }
         }
-        go.forEach(e -> open(c, e));
-        over.forEach(this::send);
+        startable.forEach(e -> openStream(connection, e));
+        unplaced.forEach(this::send);
     }
 
-    private void gone(Connection c, String why) {
+    private void onClosed(Connection connection, String reason) {
         List<Exchange> waiting;
         synchronized (this) {
-            c.leaving = true;
-            connections.remove(c);
-            waiting = new ArrayList<>(c.waiting);
-            c.waiting.clear();
+            connection.draining = true;
+            connections.remove(connection);
+            waiting = new ArrayList<>(connection.waiting);
+            connection.waiting.clear();
         }
-        waiting.forEach(e -> e.notSent(why));
+        waiting.forEach(e -> e.notSent(reason));
     }
 
     void close() {
@@ -197,31 +208,31 @@
             closed = true;
             all = new ArrayList<>(connections);
         }
-        for (Connection c : all) {
-            gone(c, "client closed");
-            if (c.channel != null) {
-                c.channel.close();
+        for (Connection connection : all) {
+            onClosed(connection, "client closed");
+            if (connection.channel != null) {
+                connection.channel.close();
             }
         }
     }
 
     /** What the gateway says of the connection itself. */
-    private final class Watch extends ChannelInboundHandlerAdapter {
-        private final Connection of;
+    private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
+        private final Connection connection;
 
-        Watch(Connection of) {
-            this.of = of;
+        ConnectionHandler(Connection connection) {
+            this.connection = connection;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof Http2SettingsFrame settings) {
-                ready(of, ctx.channel(), settings.settings().maxConcurrentStreams());
+                onReady(connection, ctx.channel(), settings.settings().maxConcurrentStreams());
             } else if (message instanceof Http2GoAwayFrame) {
-                synchronized (Peer.this) { // no new streams; those open are answered
-                    of.leaving = true;
-                    connections.remove(of);
-                    if (of.streams == 0) {
+                synchronized (GatewayConnections.this) { // no new streams; those open are answered
+                    connection.draining = true;
+                    connections.remove(connection);
+                    if (connection.streams == 0) {
                         ctx.close();
                     }
                 }
@@ -231,13 +242,13 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) throws Exception {
-            gone(of, "connection closed");
+            onClosed(connection, "connection closed");
             super.channelInactive(ctx);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            gone(of, cause.toString());
+            onClosed(connection, cause.toString());
             ctx.close();
         }
     }
--- a/client-http/src/main/java/wharfhinge/client/http/HttpTransport.java
+++ b/client-http/src/main/java/wharfhinge/client/http/HttpTransport.java
@@ -28,27 +28,31 @@
  */
 public final class HttpTransport implements Transport {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final ConcurrentHashMap<String, Peer> peers = new ConcurrentHashMap<>();
-    private final Duration connectWithin;
-    private final int connectionsEach;
-    private final int mostAnswerBytes;
+    private final ConcurrentHashMap<String, GatewayConnections> connectionsByGateway = new ConcurrentHashMap<>();
+    private final Duration connectTimeout;
+    private final int connectionsPerGateway;
+    private final int maxResponseBytes;
     private final SslContext tls;
     private final Supplier<String> token;
 
     /**
      * A transport.
      *
-     * @param connectWithin   until the gateway's first words; then tries that wait end as not sent
-     * @param connectionsEach most connections to one gateway
+     * @param connectTimeout   until the gateway's first words; then tries that wait end as not sent
+     * @param connectionsPerGateway most connections to one gateway
      * @param tls             null without TLS
      * @param token           asked for each try, a bearer token or null; null where there are none
      */
     public HttpTransport(
-            Duration connectWithin, int connectionsEach, int mostAnswerBytes, SslContext tls, Supplier<String> token) {
+            Duration connectTimeout,
+            int connectionsPerGateway,
+            int maxResponseBytes,
+            SslContext tls,
+            Supplier<String> token) {
         this.token = token == null ? () -> null : token;
-        this.connectWithin = connectWithin;
-        this.connectionsEach = connectionsEach;
-        this.mostAnswerBytes = mostAnswerBytes;
+        this.connectTimeout = connectTimeout;
+        this.connectionsPerGateway = connectionsPerGateway;
+        this.maxResponseBytes = maxResponseBytes;
         this.tls = tls;
     }
 
@@ -65,18 +69,21 @@
     }
 
     @Override
-    public Try send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener) {
-        Exchange exchange = new Exchange(gateway, call, remainingNanos, repeat, mostAnswerBytes, token.get(), listener);
-        peers.computeIfAbsent(gateway, name -> new Peer(name, this)).send(exchange);
+    public AttemptHandle send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener) {
+        Exchange exchange =
+                new Exchange(gateway, call, remainingNanos, repeat, maxResponseBytes, token.get(), listener);
+        connectionsByGateway
+                .computeIfAbsent(gateway, name -> new GatewayConnections(name, this))
+                .send(exchange);
         return exchange;
     }
 
-    int connectionsEach() {
-        return connectionsEach;
+    int connectionsPerGateway() {
+        return connectionsPerGateway;
     }
 
-    Duration connectWithin() {
-        return connectWithin;
+    Duration connectTimeout() {
+        return connectTimeout;
     }
 
     /** Begins a connection; the initializer gets the channel before TLS is done. */
@@ -85,7 +92,7 @@
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectWithin.toMillis())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeout.toMillis())
                 .remoteAddress(host, port)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -100,7 +107,7 @@
 
     @Override
     public void close() {
-        peers.values().forEach(Peer::close);
+        connectionsByGateway.values().forEach(GatewayConnections::close);
         group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS);
     }
 }
--- a/client-http/src/main/java/wharfhinge/client/http/StreamedAnswer.java
+++ b/client-http/src/main/java/wharfhinge/client/http/StreamedResponseHandler.java
@@ -11,25 +11,25 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.io.ByteArrayOutputStream;
 import wharfhinge.client.Transport;
-import wharfhinge.client.core.TryEnd;
+import wharfhinge.client.core.AttemptResult;
 import wharfhinge.protocol.ClientProtocol;
 
 /**
  * Hands a served answer on in parts, one read at a time; any other answer is short, collected and told whole. On the stream's event loop.
  */
-final class StreamedAnswer extends SimpleChannelInboundHandler<HttpObject> {
+final class StreamedResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
     private final Exchange exchange;
     private final Transport.Listener listener;
-    private final int mostBytes;
+    private final int maxResponseBytes;
     private final ByteArrayOutputStream words = new ByteArrayOutputStream(); // of an answer that is not a stream
     private HttpResponse head;
     private boolean streams;
     private boolean asked; // the caller wants more than what was read
 
-    StreamedAnswer(Exchange exchange, Transport.Listener listener, int mostBytes) {
+    StreamedResponseHandler(Exchange exchange, Transport.Listener listener, int maxResponseBytes) {
         this.exchange = exchange;
         this.listener = listener;
-        this.mostBytes = mostBytes;
+        this.maxResponseBytes = maxResponseBytes;
     }
 
     @Override
@@ -38,28 +38,29 @@
             head = response;
             streams = "served".equals(response.headers().get(ClientProtocol.ANSWER));
             asked = true;
-            if (streams && !exchange.over()) {
-                listener.began(
+            if (streams && !exchange.ended()) {
+                listener.onStreamStarted(
                         response.headers().get(ClientProtocol.WORKER),
                         response.headers().get(HttpHeaderNames.CONTENT_TYPE));
             }
         }
         if (message instanceof HttpContent content) {
             ByteBuf bytes = content.content();
-            if (streams && bytes.isReadable() && !exchange.over()) {
+            if (streams && bytes.isReadable() && !exchange.ended()) {
                 asked = false;
-                listener.part(ByteBufUtil.getBytes(bytes), () -> ctx.executor().execute(() -> {
-                    asked = true;
-                    ctx.read();
-                }));
-            } else if (!streams && words.size() + bytes.readableBytes() <= mostBytes) {
+                listener.onPart(
+                        ByteBufUtil.getBytes(bytes), () -> ctx.executor().execute(() -> {
+                            asked = true;
+                            ctx.read();
+                        }));
+            } else if (!streams && words.size() + bytes.readableBytes() <= maxResponseBytes) {
                 words.writeBytes(ByteBufUtil.getBytes(bytes));
             }
             if (message instanceof LastHttpContent) {
                 exchange.end(
                         streams
                                 ? new Transport.Reply(
-                                        TryEnd.SERVED,
+                                        AttemptResult.SERVED,
                                         new byte[0],
                                         head.headers().get(HttpHeaderNames.CONTENT_TYPE),
                                         head.headers().get(ClientProtocol.WORKER),
@@ -79,12 +80,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        exchange.broke("connection or stream closed");
+        exchange.fail("connection or stream closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        exchange.broke(cause.toString());
+        exchange.fail(cause.toString());
         ctx.close();
     }
 }
--- a/client/src/main/java/wharfhinge/client/Transport.java
+++ b/client/src/main/java/wharfhinge/client/Transport.java
@@ -1,45 +1,46 @@
 package wharfhinge.client;
 
-import wharfhinge.client.core.TryEnd;
+import wharfhinge.client.core.AttemptResult;
 
-/** Carries tries to gateways, and nothing else: it decides nothing, repeats nothing and has no time-outs of its own but to connect. */
+/** Carries attempts to gateways: decides nothing, retries nothing and has no timeout of its own but the connect timeout. */
 public interface Transport extends AutoCloseable {
 
     /**
-     * How a try ended.
+     * The outcome of an attempt.
      *
-     * @param adviceNanos when to come back, 0 where nobody said
+     * @param retryAfterNanos when to come back, 0 where nobody said
      * @param reason   for people; the body's place where there is none
      */
-    record Reply(TryEnd end, byte[] body, String contentType, String worker, long adviceNanos, String reason) {
-        /** One without an answer. */
-        public static Reply without(TryEnd end, String reason) {
+    record Reply(
+            AttemptResult result, byte[] body, String contentType, String worker, long retryAfterNanos, String reason) {
+        /** A reply without an answer. */
+        public static Reply withoutBody(AttemptResult end, String reason) {
             return new Reply(end, new byte[0], null, null, 0, reason);
         }
     }
 
-    /** Told once how a try ended, on any thread; not after it was abandoned. */
+    /** Observes an attempt, on any thread; not called after it was abandoned. */
     interface Listener {
-        /** It ended; of an answer in parts, after its last part, with an empty body. */
-        void ended(Reply reply);
+        /** The attempt ended, once; for a streamed answer after its last part, with an empty body. */
+        void onEnded(Reply reply);
 
-        /** An answer in parts began. Only for calls that stream, once, before all parts. */
-        default void began(String worker, String contentType) {}
+        /** A streamed answer started. Only for streaming calls, once, before the first part. */
+        default void onStreamStarted(String worker, String contentType) {}
 
         /** A part, in order; the next one is read from the network only once {@code more} was run, on any thread. */
-        default void part(byte[] bytes, Runnable more) {
+        default void onPart(byte[] bytes, Runnable more) {
             more.run();
         }
     }
 
-    /** A try under way. */
-    interface Try {
-        /** Nobody waits any more: the gateway is told that the client left. */
+    /** An attempt in flight. */
+    interface AttemptHandle {
+        /** Abandons it: the gateway learns that the client has cancelled. */
         void abandon();
     }
 
-    /** Sends a try to a gateway, {@code host:port}. Never blocks. */
-    Try send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener);
+    /** Sends an attempt to a gateway, {@code host:port}. Never blocks. */
+    AttemptHandle send(String gateway, Call call, long remainingNanos, boolean repeat, Listener listener);
 
     @Override
     void close();
--- a/client/src/main/java/wharfhinge/client/WharfhingeClient.java
+++ b/client/src/main/java/wharfhinge/client/WharfhingeClient.java
@@ -14,8 +14,8 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wharfhinge.client.core.CallEnd;
 import wharfhinge.client.core.CallPlan;
+import wharfhinge.client.core.CallResult;
 import wharfhinge.client.core.ClientDecisions;
 import wharfhinge.client.core.ClientPolicy;
 
@@ -27,15 +27,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(WharfhingeClient.class);
 
     /** A call under way. */
-    private static final class Open {
+    private static final class PendingCall {
         private final Call call;
         private final CompletableFuture<Result> result;
-        private final Parts parts; // null for answers that come whole
-        private final Map<Integer, Transport.Try> out = new HashMap<>();
+        private final ResponsePartListener parts; // null for answers that come whole
+        private final Map<Integer, Transport.AttemptHandle> attemptsInFlight = new HashMap<>();
         private final Map<Integer, Transport.Reply> replies = new HashMap<>();
         private final List<Future<?>> timers = new ArrayList<>(2);
 
-        Open(Call call, CompletableFuture<Result> result, Parts parts) {
+        PendingCall(Call call, CompletableFuture<Result> result, ResponsePartListener parts) {
             this.parts = parts;
             this.call = call;
             this.result = result;
@@ -43,9 +43,9 @@
     }
 
     private final Transport transport;
-    private final ScheduledThreadPoolExecutor thread;
+    private final ScheduledThreadPoolExecutor executor;
     private final ClientDecisions decisions;
-    private final Map<Long, Open> calls = new HashMap<>();
+    private final Map<Long, PendingCall> calls = new HashMap<>();
     private final AtomicLong ids = new AtomicLong();
     private final long origin = System.nanoTime();
     private volatile boolean closed;
@@ -59,14 +59,14 @@
     public WharfhingeClient(Transport transport, ClientPolicy policy, List<String> gateways) {
         this.transport = Objects.requireNonNull(transport, "transport");
         Objects.requireNonNull(policy, "policy");
-        this.thread = new ScheduledThreadPoolExecutor(1, r -> {
-            Thread t = new Thread(r, "wharfhinge-client");
-            t.setDaemon(true);
-            return t;
+        this.executor = new ScheduledThreadPoolExecutor(1, r -> {
+            Thread daemon = new Thread(r, "wharfhinge-client");
+            daemon.setDaemon(true);
+            return daemon;
         });
-        thread.setRemoveOnCancelPolicy(true);
-        thread.setRejectedExecutionHandler((late, pool) -> LOG.debug("told after the client was closed"));
-        this.decisions = new ClientDecisions(policy, RandomGenerator.getDefault(), new Doing());
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setRejectedExecutionHandler((late, pool) -> LOG.debug("told after the client was closed"));
+        this.decisions = new ClientDecisions(policy, RandomGenerator.getDefault(), new TransportActions());
         gateways(gateways);
     }
 
@@ -77,17 +77,17 @@
     /** The gateways there are from now on; calls under way end where they are. */
     public void gateways(List<String> names) {
         List<String> list = List.copyOf(names);
-        thread.execute(() -> decisions.gateways(list));
+        executor.execute(() -> decisions.onGatewayList(list));
     }
 
     /** What is counted; asked of the client's own thread. */
-    public CompletableFuture<ClientDecisions.Figures> figures() {
-        return CompletableFuture.supplyAsync(decisions::figures, thread);
+    public CompletableFuture<ClientDecisions.Metrics> metrics() {
+        return CompletableFuture.supplyAsync(decisions::metrics, executor);
     }
 
     /** Calls. Cancelling the future gives the call up: its tries are abandoned and gateways told. */
     public CompletableFuture<Result> call(Call call) {
-        return begin(call, null);
+        return start(call, null);
     }
 
     /**
@@ -95,11 +95,11 @@
      * are not all. Refusals, further tries and the deadline are as for other calls until the answer begins. Cancelling the future ends the
      * stream; what {@code to} throws ends it too, as cancelled.
      */
-    public CompletableFuture<Result> stream(Call call, Parts to) {
-        return begin(call, Objects.requireNonNull(to, "to"));
+    public CompletableFuture<Result> stream(Call call, ResponsePartListener to) {
+        return start(call, Objects.requireNonNull(to, "to"));
     }
 
-    private CompletableFuture<Result> begin(Call call, Parts parts) {
+    private CompletableFuture<Result> start(Call call, ResponsePartListener parts) {
         if (call.streams() != (parts != null)) {
             throw new IllegalArgumentException("call " + call.function() + ": found "
                     + (call.streams() ? "one that streams" : "one that " + "does not stream")
@@ -107,23 +107,23 @@
         }
         CompletableFuture<Result> result = new CompletableFuture<>();
         long id = ids.incrementAndGet();
-        long begun = now();
+        long submittedAt = now();
         if (closed) {
             result.complete(new Result.Cancelled(false, 0));
             return result;
         }
-        thread.execute(() -> {
-            calls.put(id, new Open(call, result, parts));
-            long waited = now() - begun;
-            long left = Math.max(1, call.deadline().toNanos() - waited);
-            decisions.begin(now(), id, new CallPlan(left, call.safe(), call.hedge()));
+        executor.execute(() -> {
+            calls.put(id, new PendingCall(call, result, parts));
+            long waitedNanos = now() - submittedAt;
+            long remainingNanos = Math.max(1, call.deadline().toNanos() - waitedNanos);
+            decisions.onCall(now(), id, new CallPlan(remainingNanos, call.safe(), call.hedge()));
         });
         if (closed) { // while it was handed over: nobody may be left to take it
             result.complete(new Result.Cancelled(false, 0));
         }
         result.whenComplete((r, e) -> {
             if (result.isCancelled() && !closed) {
-                thread.execute(() -> decisions.cancel(now(), id));
+                executor.execute(() -> decisions.onCancelled(now(), id));
             }
         });
         return result;
@@ -146,45 +146,52 @@
     @Override
     public void close() throws InterruptedException {
         closed = true;
-        thread.execute(() -> List.copyOf(calls.keySet()).forEach(id -> decisions.cancel(now(), id)));
-        thread.shutdown();
-        thread.awaitTermination(Duration.ofSeconds(1).toMillis(), TimeUnit.MILLISECONDS);
-        thread.shutdownNow();
+        executor.execute(() -> List.copyOf(calls.keySet()).forEach(id -> decisions.onCancelled(now(), id)));
+        executor.shutdown();
+        executor.awaitTermination(Duration.ofSeconds(1).toMillis(), TimeUnit.MILLISECONDS);
+        executor.shutdownNow();
         transport.close();
     }
 
     /** What the decisions ask for; on the client's thread. */
-    private final class Doing implements ClientDecisions.Actions {
+    private final class TransportActions implements ClientDecisions.Actions {
         @Override
-        public void send(long id, int index, String gateway, long remainingNanos, boolean repeat) {
-            Open open = calls.get(id);
-            open.out.put(index, transport.send(gateway, open.call, remainingNanos, repeat, new Told(id, index, open)));
+        public void sendAttempt(long id, int index, String gateway, long remainingNanos, boolean repeat) {
+            PendingCall pendingCall = calls.get(id);
+            pendingCall.attemptsInFlight.put(
+                    index,
+                    transport.send(
+                            gateway,
+                            pendingCall.call,
+                            remainingNanos,
+                            repeat,
+                            new AttemptListener(id, index, pendingCall)));
         }
 
         @Override
-        public void abandon(long id, int index) {
-            Transport.Try out = calls.get(id).out.remove(index);
-            if (out != null) {
-                out.abandon();
+        public void abandonAttempt(long id, int index) {
+            Transport.AttemptHandle handle = calls.get(id).attemptsInFlight.remove(index);
+            if (handle != null) {
+                handle.abandon();
             }
         }
 
         @Override
-        public void finish(long id, CallEnd end, int index) {
-            Open open = calls.remove(id);
-            open.timers.forEach(t -> t.cancel(false)); // long deadlines must not pile up
-            Transport.Reply reply = index < 0 ? null : open.replies.get(index);
-            open.result.complete(result(end, reply));
+        public void finish(long id, CallResult end, int index) {
+            PendingCall pendingCall = calls.remove(id);
+            pendingCall.timers.forEach(t -> t.cancel(false)); // long deadlines must not pile up
+            Transport.Reply reply = index < 0 ? null : pendingCall.replies.get(index);
+            pendingCall.result.complete(result(end, reply));
         }
 
         @Override
-        public void timer(long id, int token, long delayNanos) {
+        public void scheduleTimer(long id, int token, long delayNanos) {
             calls.get(id)
                     .timers
-                    .add(thread.schedule(
+                    .add(executor.schedule(
                             () -> {
                                 try {
-                                    decisions.due(now(), id, token);
+                                    decisions.onTimer(now(), id, token);
                                 } catch (RuntimeException e) {
                                     LOG.error("client's decisions", e);
                                 }
@@ -195,58 +202,58 @@
     }
 
     /** What the transport tells of one try, handed to the client's thread in order. */
-    private final class Told implements Transport.Listener {
+    private final class AttemptListener implements Transport.Listener {
         private final long id;
         private final int index;
-        private final Open open;
-        private boolean streams; // on the client's thread
+        private final PendingCall pendingCall;
+        private boolean streaming; // on the client's thread
 
-        Told(long id, int index, Open open) {
+        AttemptListener(long id, int index, PendingCall pendingCall) {
             this.id = id;
             this.index = index;
-            this.open = open;
+            this.pendingCall = pendingCall;
         }
 
         @Override
-        public void ended(Transport.Reply reply) {
-            thread.execute(() -> {
-                if (calls.get(id) == open) {
-                    open.replies.put(index, reply);
-                    open.out.remove(index);
-                    decisions.ended(now(), id, index, reply.end(), reply.adviceNanos());
+        public void onEnded(Transport.Reply reply) {
+            executor.execute(() -> {
+                if (calls.get(id) == pendingCall) {
+                    pendingCall.replies.put(index, reply);
+                    pendingCall.attemptsInFlight.remove(index);
+                    decisions.onAttemptEnded(now(), id, index, reply.result(), reply.retryAfterNanos());
                 }
             });
         }
 
         @Override
-        public void began(String worker, String contentType) {
-            thread.execute(() -> {
-                streams = calls.get(id) == open && decisions.began(now(), id, index);
-                told(() -> open.parts.began(worker, contentType));
+        public void onStreamStarted(String worker, String contentType) {
+            executor.execute(() -> {
+                streaming = calls.get(id) == pendingCall && decisions.onStreamStarted(now(), id, index);
+                deliver(() -> pendingCall.parts.onStarted(worker, contentType));
             });
         }
 
         @Override
-        public void part(byte[] bytes, Runnable more) {
-            thread.execute(() -> told(() -> open.parts.part(bytes, more)));
+        public void onPart(byte[] bytes, Runnable more) {
+            executor.execute(() -> deliver(() -> pendingCall.parts.onPart(bytes, more)));
         }
 
-        private void told(Runnable what) {
-            if (!streams || calls.get(id) != open) {
+        private void deliver(Runnable delivery) {
+            if (!streaming || calls.get(id) != pendingCall) {
                 return;
             }
             try {
-                what.run();
+                delivery.run();
             } catch (RuntimeException e) {
                 LOG.warn("the reader of a streamed answer failed, it is given up", e);
-                decisions.cancel(now(), id);
+                decisions.onCancelled(now(), id);
             }
         }
     }
 
-    private static Result result(CallEnd end, Transport.Reply reply) {
+    private static Result result(CallResult end, Transport.Reply reply) {
         String reason = (reply == null || reply.reason() == null ? "" : reply.reason())
-                + (end.reason() == CallEnd.Reason.ANSWERED
+                + (end.reason() == CallResult.Reason.ANSWERED
                         ? ""
                         : " ("
                                 + end.reason()
@@ -254,12 +261,12 @@
                                         .toLowerCase(java.util.Locale.ROOT)
                                         .replace('_', '-') + ")");
         return switch (end.kind()) {
-            case SERVED -> new Result.Served(reply.body(), reply.contentType(), reply.worker(), end.tries());
-            case REFUSED -> new Result.Refused(Duration.ofNanos(end.comeBackNanos()), reason.strip(), end.tries());
-            case FAILED -> new Result.Failed(reason.strip(), end.tries());
-            case LATE -> new Result.Late(end.mayHaveRun(), end.tries());
-            case INVALID -> new Result.Invalid(reason.strip(), end.tries());
-            case CANCELLED -> new Result.Cancelled(end.mayHaveRun(), end.tries());
+            case SERVED -> new Result.Served(reply.body(), reply.contentType(), reply.worker(), end.attempts());
+            case REFUSED -> new Result.Refused(Duration.ofNanos(end.retryAfterNanos()), reason.strip(), end.attempts());
+            case FAILED -> new Result.Failed(reason.strip(), end.attempts());
+            case LATE -> new Result.Late(end.mayHaveRun(), end.attempts());
+            case INVALID -> new Result.Invalid(reason.strip(), end.attempts());
+            case CANCELLED -> new Result.Cancelled(end.mayHaveRun(), end.attempts());
         };
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharfhinge.client.Call;
-import wharfhinge.client.Parts;
+import wharfhinge.client.ResponsePartListener;
 import wharfhinge.client.Result;
 import wharfhinge.client.Transport;
 import wharfhinge.client.WharfhingeClient;
@@ -107,18 +107,18 @@
     /** All fields but times and ports. */
     private static List<Object> fields(Result r) {
         if (r instanceof Result.Served s) {
-            return List.of("served", new String(s.body(), StandardCharsets.UTF_8), s.tries());
+            return List.of("served", new String(s.body(), StandardCharsets.UTF_8), s.attempts());
         } else if (r instanceof Result.Refused s) {
-            return List.of("refused", s.reason(), s.tries());
+            return List.of("refused", s.reason(), s.attempts());
         } else if (r instanceof Result.Failed s) {
-            return List.of("failed", s.reason().replaceAll("127.0.0.1:[0-9]+", "W"), s.tries());
+            return List.of("failed", s.reason().replaceAll("127.0.0.1:[0-9]+", "W"), s.attempts());
         } else if (r instanceof Result.Late s) {
-            return List.of("late", s.mayHaveRun(), s.tries());
+            return List.of("late", s.mayHaveRun(), s.attempts());
         } else if (r instanceof Result.Invalid s) {
-            return List.of("invalid", s.reason(), s.tries());
+            return List.of("invalid", s.reason(), s.attempts());
         }
         Result.Cancelled s = (Result.Cancelled) r;
-        return List.of("cancelled", s.mayHaveRun(), s.tries());
+        return List.of("cancelled", s.mayHaveRun(), s.attempts());
     }
 
     private static List<Object> get(CompletableFuture<Result> result) throws Exception {
@@ -199,7 +199,7 @@
                         i++) { // until the broken one is drawn first
                     safe = get(client.call(safe(2000).build()));
                 }
-                return List.of(unsafe instanceof Result.Failed ? "failed" : unsafe.toString(), unsafe.tries(), safe);
+                return List.of(unsafe instanceof Result.Failed ? "failed" : unsafe.toString(), unsafe.attempts(), safe);
             }
         });
     }
@@ -266,7 +266,7 @@
                 worker.next();
                 call.cancel(true);
                 Rig.await("the gateway knows", () -> rig.figure("left") == 1);
-                assertEquals(0, client.figures().get(2, TimeUnit.SECONDS).open());
+                assertEquals(0, client.metrics().get(2, TimeUnit.SECONDS).pending());
                 return List.of("left", rig.figure("left"));
             }
         });
@@ -291,7 +291,7 @@
                             ? 0
                             : 1; // served or refused: each has its one answer
                 }
-                assertEquals(0, client.figures().get(2, TimeUnit.SECONDS).open());
+                assertEquals(0, client.metrics().get(2, TimeUnit.SECONDS).pending());
                 return List.of(answered);
             }
         });
@@ -315,7 +315,7 @@
                                 get(client.call(once(1000).tenant("busy").build()));
                         Result second =
                                 client.call(once(1000).tenant("busy").build()).get(5, TimeUnit.SECONDS);
-                        long comeBack = ((Result.Refused) second).comeBack().toMillis();
+                        long comeBack = ((Result.Refused) second).retryAfter().toMillis();
                         List<Object> other =
                                 get(client.call(once(1000).tenant("calm").build()));
                         assertEquals(1, rig.figure("door_busy_refused_rate"));
@@ -354,13 +354,13 @@
                 boolean second = waiting.cancel(true);
                 Rig.await("nothing is open", () -> rig.figure("open_calls") == 0);
                 return List.of(
-                        first, second, client.figures().get(2, TimeUnit.SECONDS).open());
+                        first, second, client.metrics().get(2, TimeUnit.SECONDS).pending());
             }
         });
     }
 
     /** Keeps what came; asks for more at once, or only when told. */
-    private static final class Reader implements Parts {
+    private static final class Reader implements ResponsePartListener {
         final BlockingQueue<String> parts = new LinkedBlockingQueue<>();
         final boolean slow;
         volatile Runnable more;
@@ -370,12 +370,12 @@
         }
 
         @Override
-        public void began(String worker, String contentType) {
+        public void onStarted(String worker, String contentType) {
             parts.add("began");
         }
 
         @Override
-        public void part(byte[] bytes, Runnable next) {
+        public void onPart(byte[] bytes, Runnable next) {
             parts.add(new String(bytes, StandardCharsets.UTF_8));
             more = next;
             if (!slow) {
@@ -429,7 +429,7 @@
                                 end,
                                 got,
                                 r instanceof Result.Failed ? "failed" : r.toString(),
-                                r.tries(),
+                                r.attempts(),
                                 rig.figure("taken"));
                     }
                 });
