--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/DecayingCounter.java
@@ -0,0 +1,23 @@
+package wharfhinge.policy;
+
+/** A count that decays exponentially over a time window, so that it tells of the recent past. Not thread-safe. */
+class DecayingCounter {
+    private final long windowNanos;
+    private double count;
+    private long updatedAt;
+
+    DecayingCounter(long windowNanos) {
+        this.windowNanos = windowNanos;
+    }
+
+    /** The count as it has decayed by {@code now}, which must not be before the time last given. */
+    final double valueAt(long now) {
+        count *= Math.exp((updatedAt - now) / (double) windowNanos);
+        updatedAt = now;
+        return count;
+    }
+
+    final void add(double amount, long now) {
+        count = valueAt(now) + amount;
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/DispatcherComponents.java
@@ -0,0 +1,54 @@
+package wharfhinge.policy;
+
+/**
+ * The collaborators of one dispatcher that each own one part of its state, wired in the order of their dependencies: none
+ * knows one below it. {@link RequestRouter} and the handlers, which coordinate them, take what they need from here.
+ */
+final class DispatcherComponents {
+    final DispatcherContext context;
+    final LoadReportTracker loadReports;
+    final ConcurrencyLimiter limiter;
+    final WorkerRegistry registry;
+    final FunctionCacheIndex cache;
+    final PreferredWorkers preferred;
+    final FunctionTraffic traffic;
+    final FunctionAssignment assignment;
+    final SlowStartBudget slowStart;
+    final OutlierDetector outliers;
+    final IdempotencyGuard idempotency;
+    final RetryBudget retryBudget;
+    final EligibilityFilter eligibility;
+    final LoadScheduler loads;
+    final WorkerRanker ranker;
+    final AdmissionController admission;
+    final PendingReplies replies;
+    final ProbeCoordinator probes;
+    final ResidencyQueries residency;
+    final RequestQueue queue;
+    final AttemptTracker attempts;
+
+    DispatcherComponents(DispatcherContext context) {
+        this.context = context;
+        loadReports = new LoadReportTracker(context);
+        limiter = new ConcurrencyLimiter(context, loadReports);
+        registry = new WorkerRegistry(context, limiter.initialLimit());
+        cache = new FunctionCacheIndex(context);
+        preferred = new PreferredWorkers(registry);
+        traffic = new FunctionTraffic(context);
+        assignment = new FunctionAssignment(context, registry, preferred, cache, traffic);
+        slowStart = new SlowStartBudget(context, registry);
+        outliers = new OutlierDetector(context, registry, limiter, slowStart, traffic);
+        idempotency = new IdempotencyGuard(context);
+        retryBudget = new RetryBudget();
+        eligibility = new EligibilityFilter(registry, assignment, idempotency, slowStart, outliers);
+        loads = new LoadScheduler(context);
+        ranker = new WorkerRanker(
+                context, registry, eligibility, cache, preferred, assignment, limiter, loadReports, loads);
+        admission = new AdmissionController(context, registry, eligibility, limiter);
+        replies = new PendingReplies(context);
+        probes = new ProbeCoordinator(context, eligibility, ranker, loadReports, admission, replies);
+        residency = new ResidencyQueries(context, cache, traffic, assignment, preferred, eligibility, ranker, replies);
+        queue = new RequestQueue(context, loads);
+        attempts = new AttemptTracker(context, cache, loads, outliers, slowStart, idempotency, retryBudget);
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/EligibilityFilter.java
@@ -0,0 +1,105 @@
+package wharfhinge.policy;
+
+import java.util.List;
+
+/**
+ * The workers that may get the request being handled. Only the excluded ones are marked, with the number of the query,
+ * so that a request costs nothing for the workers that are well.
+ */
+final class EligibilityFilter {
+    /** Ejected workers are left out while at least this share of the fleet remains. */
+    private static final double MIN_REMAINING_SHARE = 0.5;
+
+    private final WorkerRegistry registry;
+    private final FunctionAssignment assignment;
+    private final IdempotencyGuard idempotency;
+    private final SlowStartBudget slowStart;
+    private final OutlierDetector outliers;
+    private long generation;
+    private int eligibleCount;
+
+    EligibilityFilter(
+            WorkerRegistry registry,
+            FunctionAssignment assignment,
+            IdempotencyGuard idempotency,
+            SlowStartBudget slowStart,
+            OutlierDetector outliers) {
+        this.registry = registry;
+        this.assignment = assignment;
+        this.idempotency = idempotency;
+        this.slowStart = slowStart;
+        this.outliers = outliers;
+    }
+
+    /** Whether the worker may get the request given to {@link #select} last. */
+    boolean isEligible(WorkerState worker) {
+        return worker.up && worker.excludedInGeneration != generation;
+    }
+
+    int eligibleCount() {
+        return eligibleCount;
+    }
+
+    void exclude(WorkerState worker) {
+        if (isEligible(worker)) {
+            eligibleCount--;
+        }
+        worker.excludedInGeneration = generation;
+    }
+
+    /** Works out which workers may get this request now; whether there are any. */
+    boolean select(RequestState state) {
+        assignment.refresh();
+        generation++;
+        eligibleCount = registry.active().size();
+        boolean unrestricted =
+                registry.restricted().isEmpty() && state.attempts.isEmpty() && state.triedWorkers.isEmpty();
+        if (!unrestricted) {
+            excludeForbidden(state);
+            excludeEjected(state);
+            excludeTried(state);
+        }
+        return eligibleCount > 0;
+    }
+
+    private void excludeForbidden(RequestState state) {
+        boolean firstSend = state.possiblyExecuted.isEmpty() && !state.finished;
+        List<WorkerState> questionable = firstSend ? registry.restricted() : registry.active();
+        for (WorkerState worker : questionable) {
+            if (!idempotency.maySend(state, worker) || !slowStart.hasToken(worker)) {
+                exclude(worker);
+            }
+        }
+    }
+
+    /** Leaves out ejected workers, unless too few would remain. */
+    private void excludeEjected(RequestState state) {
+        int ejected = 0;
+        for (WorkerState worker : registry.restricted()) {
+            if (worker.ejected && isEligible(worker)) {
+                ejected++;
+            }
+        }
+        if (ejected == 0 || eligibleCount - ejected < MIN_REMAINING_SHARE * registry.upCount()) {
+            return;
+        }
+        for (WorkerState worker : registry.restricted()) {
+            if (outliers.isShutOut(worker, state)) {
+                exclude(worker);
+            }
+        }
+    }
+
+    /** Leaves out workers that were tried already, unless none would remain. */
+    private void excludeTried(RequestState state) {
+        int eligibleTried = 0;
+        for (WorkerState worker : state.triedWorkers) {
+            if (isEligible(worker)) {
+                eligibleTried++;
+            }
+        }
+        if (eligibleTried < eligibleCount) {
+            state.triedWorkers.forEach(this::exclude);
+        }
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/IdempotencyGuard.java
@@ -0,0 +1,68 @@
+package wharfhinge.policy;
+
+import java.util.Objects;
+
+/** Decides on every path whether a request may be sent again, and whether its client may be told to retry. */
+final class IdempotencyGuard {
+    private final DispatcherContext context;
+
+    IdempotencyGuard(DispatcherContext context) {
+        this.context = context;
+    }
+
+    /** Whether the request may be sent to this worker now, given its attempts so far. */
+    boolean maySend(RequestState state, WorkerState worker) {
+        if (state.finished || state.inFlight > 0 && !context.settings.limits().hedging()) {
+            return false;
+        }
+        Effect effect = state.requestClass.effect();
+        return effect == Effect.IDEMPOTENT
+                || state.possiblyExecuted.isEmpty()
+                || effect == Effect.DEDUPLICATED && isDeduplicated(state, worker);
+    }
+
+    /** Whether the worker's deduplication scope still remembers all attempts that may have run. */
+    private boolean isDeduplicated(RequestState state, WorkerState worker) {
+        RequestClass requestClass = state.requestClass;
+        long windowNanos = requestClass.deduplicationWindowNanos() - 2 * context.settings.tickNanos();
+        return state.possiblyExecuted.stream()
+                .allMatch(attempt -> isSameScope(requestClass.deduplicationScope(), attempt.worker(), worker)
+                        && context.now - attempt.sentAt() < windowNanos);
+    }
+
+    private static boolean isSameScope(DeduplicationScope scope, WorkerState first, WorkerState second) {
+        if (scope == DeduplicationScope.ALL) {
+            return true;
+        }
+        return scope == DeduplicationScope.ZONE
+                ? Objects.equals(first.endpoint.zone(), second.endpoint.zone())
+                : first.endpoint.cell() == second.endpoint.cell();
+    }
+
+    /** Whether the client may be told that a retry is harmless. */
+    boolean mayReject(RequestState state) {
+        Effect effect = state.requestClass.effect();
+        return state.possiblyExecuted.isEmpty()
+                || effect == Effect.IDEMPOTENT
+                || effect == Effect.DEDUPLICATED && state.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+    }
+
+    /** Whether another attempt may become possible: nothing is in flight, and a repeat isn't ruled out for good. */
+    boolean mayRetryLater(RequestState state) {
+        return state.inFlight == 0
+                && (state.possiblyExecuted.isEmpty() || state.requestClass.effect() != Effect.AT_MOST_ONCE);
+    }
+
+    void onAttemptCompleted(Attempt attempt, Outcome outcome) {
+        if (provesNotExecuted(outcome)) {
+            attempt.state().possiblyExecuted.remove(attempt);
+        }
+    }
+
+    private static boolean provesNotExecuted(Outcome outcome) {
+        return switch (outcome) {
+            case SATURATED, CONNECT_FAILED, SUPERSEDED, NOT_LOADED -> true;
+            case SERVED, ERROR, TIMEOUT, RESET, CANCELLED -> false;
+        };
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/LoadScheduler.java
@@ -0,0 +1,146 @@
+package wharfhinge.policy;
+
+import java.util.ArrayDeque;
+import java.util.Collections;
+import java.util.Comparator;
+
+/**
+ * Orders loads and limits how many of this dispatcher's loads are in flight.
+ *
+ * <p>Departure from the source design: the limit follows the time that loads take, with additive increase and
+ * multiplicative decrease. It acts once own loads reach it, and guards the shared store against load storms, whatever
+ * set them off. It may hurt where overload of a worker is taken for a crowded store.
+ */
+final class LoadScheduler {
+    private static final double INITIAL_LIMIT = 8;
+    private static final double MIN_LIMIT = 2;
+    private static final double DECREASE_FACTOR = 0.7;
+    private static final double PROBABILITY_SMOOTHING = 0.05;
+
+    /** Multiple of the usual load time from which a load tells of a crowded store. */
+    private static final double CROWDED_MULTIPLE = 3;
+
+    /** Multiple of the usual load time after which a load order is given up. */
+    private static final double ORDER_PATIENCE_MULTIPLE = 4;
+
+    private final DispatcherContext context;
+    private final FunctionLoading settings;
+    private final ArrayDeque<CachedFunction> pendingOrders = new ArrayDeque<>();
+    private final ArrayDeque<Long> orderTimes = new ArrayDeque<>();
+    private final ArrayDeque<Long> arrivalTimes = new ArrayDeque<>();
+    private int inFlight;
+    private double inFlightLimit = INITIAL_LIMIT;
+
+    /** Smoothed share of the sends to functions not known to be loaded that do load: peers keep most of them loaded. */
+    private double loadProbability = 1;
+
+    LoadScheduler(DispatcherContext context) {
+        this.context = context;
+        this.settings = context.settings.functionLoading();
+    }
+
+    void onRequest() {
+        arrivalTimes.add(context.now);
+    }
+
+    /** Whether no further load may be started. */
+    boolean isAtLimit() {
+        return inFlight * loadProbability >= inFlightLimit;
+    }
+
+    /** Whether no load is in flight and no order waits. */
+    boolean isIdle() {
+        return inFlight + pendingOrders.size() == 0;
+    }
+
+    /** Whether a load may be ordered before its request comes: orders are allowed, none waits, the limit isn't reached. */
+    boolean mayPrefetch() {
+        return settings.loadOrdersAllowed() && pendingOrders.isEmpty() && !isAtLimit();
+    }
+
+    boolean isPending(CachedFunction cached) {
+        return pendingOrders.contains(cached);
+    }
+
+    /** Whether an order that was sent has taken so long that it is given up. */
+    boolean isOverdue(CachedFunction cached) {
+        return cached.loadOrdered
+                && context.now - cached.loadOrderedAt > ORDER_PATIENCE_MULTIPLE * cached.loadNanos
+                && !isPending(cached);
+    }
+
+    /** Orders the function to be loaded, once quota and limit allow it; nothing where that is ordered already. */
+    void order(CachedFunction cached) {
+        if (!cached.loadOrdered) {
+            cached.loadOrdered = true;
+            cached.loadOrderedAt = context.now;
+            pendingOrders.add(cached);
+            sendPendingOrders();
+        }
+    }
+
+    void cancelPending(CachedFunction cached) {
+        pendingOrders.remove(cached);
+    }
+
+    /** Sends as many orders as quota and limit allow, those that most requests wait for first. */
+    void sendPendingOrders() {
+        while (!pendingOrders.isEmpty() && inFlight < inFlightLimit && isWithinQuota()) {
+            CachedFunction next =
+                    Collections.max(pendingOrders, Comparator.comparingInt(pending -> pending.waitingRequests.size()));
+            pendingOrders.remove(next);
+            next.loadOrderedAt = context.now;
+            inFlight++;
+            orderTimes.add(context.now);
+            context.actions.ensureLoaded(next.worker.id, next.function, 1);
+        }
+    }
+
+    /** Own orders of the quota period, the next one included, against own requests of that period. */
+    private boolean isWithinQuota() {
+        forgetOldTimes();
+        double quota = settings.loadQuotaBase() + settings.loadQuotaPerRequest() * arrivalTimes.size();
+        return settings.loadQuotaPeriodNanos() <= 0 || orderTimes.size() + 1 <= quota;
+    }
+
+    /** Forgets orders and requests from before the quota period. */
+    void forgetOldTimes() {
+        long periodNanos = settings.loadQuotaPeriodNanos();
+        orderTimes.removeIf(at -> at < context.now - periodNanos);
+        arrivalTimes.removeIf(at -> at <= context.now - periodNanos);
+    }
+
+    void onSend(Attempt attempt) {
+        if (attempt.mayLoad()) {
+            inFlight++;
+        }
+    }
+
+    /** Learns from an attempt that may have loaded its function. */
+    void onAttemptCompleted(Attempt attempt, AttemptCompletion completion) {
+        if (!attempt.mayLoad()) {
+            return;
+        }
+        if (AttemptTracker.isConnectionBroken(completion.outcome())) {
+            inFlight--;
+            return;
+        }
+        double loaded = completion.cacheStatus() == CacheStatus.HIT ? 0 : 1;
+        loadProbability += PROBABILITY_SMOOTHING * (loaded - loadProbability);
+        onLoadEnded(completion.outcome() == Outcome.SERVED && completion.tookNanos() <= attempt.patienceNanos());
+    }
+
+    /** An ordered load completed; {@code cached} is null where it is no longer known. */
+    void onOrderCompleted(CachedFunction cached, boolean loaded, long tookNanos) {
+        onLoadEnded(loaded && (cached == null || tookNanos <= CROWDED_MULTIPLE * cached.loadNanos));
+    }
+
+    private void onLoadEnded(boolean inTime) {
+        inFlight = Math.max(0, inFlight - 1);
+        if (!inTime) {
+            inFlightLimit = Math.max(MIN_LIMIT, inFlightLimit * DECREASE_FACTOR);
+        } else if (inFlight >= inFlightLimit / 2) {
+            inFlightLimit += 1 / inFlightLimit;
+        }
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/PreferredWorkers.java
@@ -0,0 +1,92 @@
+package wharfhinge.policy;
+
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Predicate;
+
+/**
+ * Each function's order of preferred workers, by rendezvous hashing in proportion to the listed capacities.
+ *
+ * <p>Departure from the source design: it acts where no worker is believed to have the function. Dispatchers that share
+ * nothing, and one that was restarted, derive the same order from the endpoint list alone and so meet at the same
+ * workers; without it each would load its own copy. It may hurt where a preferred worker has little memory.
+ *
+ * <p>To sort a fleet is expensive, so the head of each order is kept until the endpoint list changes.
+ */
+final class PreferredWorkers {
+    private static final WorkerState[] NONE = {};
+    private static final int UNUSED_BITS = 11; // of 64, so that 53 are left, which a double holds exactly
+    private static final double HASH_RANGE = 1L << 53;
+
+    private final WorkerRegistry registry;
+    private final Map<String, WorkerState[]> headByFunction = new HashMap<>();
+
+    PreferredWorkers(WorkerRegistry registry) {
+        this.registry = registry;
+    }
+
+    /** Mixes the bits of a hash code (the finalizer of SplitMix64). */
+    static long mix(long value) {
+        long z = value * 0x9E3779B97F4A7C15L;
+        z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
+        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
+        return z ^ (z >>> 31);
+    }
+
+    /** A value between 0 and 1 that is fixed for a worker and a function. */
+    static double uniform(WorkerState worker, long functionHash) {
+        return ((mix(worker.hash ^ functionHash) >>> UNUSED_BITS) + 0.5) / HASH_RANGE;
+    }
+
+    /** Preference of a function for a worker: the least score is preferred most. */
+    private static double score(WorkerState worker, long functionHash) {
+        return -Math.log(uniform(worker, functionHash)) / worker.capacity();
+    }
+
+    /** The endpoint list changed. */
+    void invalidate() {
+        headByFunction.clear();
+    }
+
+    /** Keeps only what is known of these functions. */
+    void retain(Set<String> functions) {
+        headByFunction.keySet().retainAll(functions);
+    }
+
+    /** The most preferred worker that qualifies, or null. */
+    WorkerState first(String function, long functionHash, Predicate<WorkerState> qualifies) {
+        for (WorkerState worker : headByFunction.getOrDefault(function, NONE)) {
+            if (qualifies.test(worker)) {
+                return worker;
+            }
+        }
+        WorkerState first = null;
+        double least = Double.POSITIVE_INFINITY;
+        for (WorkerState worker : registry.active()) {
+            // -log(u) >= 1 - u: most workers are known to score worse without the logarithm
+            boolean worse = 1 - uniform(worker, functionHash) >= least * worker.capacity();
+            double score = worse ? least : score(worker, functionHash);
+            if (score < least && qualifies.test(worker)) {
+                least = score;
+                first = worker;
+            }
+        }
+        return first;
+    }
+
+    /** At least {@code count} workers, as far as there are, the most preferred first. The array must not be changed. */
+    WorkerState[] head(String function, long functionHash, int count) {
+        WorkerState[] head = headByFunction.get(function);
+        if (head == null || head.length < Math.min(count, registry.active().size())) {
+            registry.active().forEach(worker -> worker.preferenceScore = score(worker, functionHash));
+            head = registry.active().toArray(NONE);
+            Arrays.sort(head, Comparator.comparingDouble(worker -> worker.preferenceScore));
+            head = Arrays.copyOf(head, Math.min(2 * count, head.length));
+            headByFunction.put(function, head);
+        }
+        return head;
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/ProbeCoordinator.java
@@ -0,0 +1,86 @@
+package wharfhinge.policy;
+
+import java.util.List;
+
+/**
+ * Probes the two workers that rank first before a first send, unless they reported their load just now.
+ *
+ * <p>Departure from the source design: it acts where probes report load, the group is large and the fleet isn't
+ * saturated. It guards against many dispatchers that meet on a busy worker, whatever keeps it busy. It costs two probes
+ * for each request, and the reply timeout where a probe is late.
+ */
+final class ProbeCoordinator {
+    /** Age up to which a report needs no probe. */
+    private static final long FRESH_REPORT_NANOS = 300 * DispatcherContext.NANOS_PER_MILLI;
+
+    /** Groups whose factor is below this are large. */
+    private static final double LARGE_GROUP_FACTOR = 0.5;
+
+    private final DispatcherContext context;
+    private final EligibilityFilter eligibility;
+    private final WorkerRanker ranker;
+    private final LoadReportTracker loadReports;
+    private final AdmissionController admission;
+    private final PendingReplies replies;
+    private final boolean enabled;
+
+    ProbeCoordinator(
+            DispatcherContext context,
+            EligibilityFilter eligibility,
+            WorkerRanker ranker,
+            LoadReportTracker loadReports,
+            AdmissionController admission,
+            PendingReplies replies) {
+        this.context = context;
+        this.eligibility = eligibility;
+        this.ranker = ranker;
+        this.loadReports = loadReports;
+        this.admission = admission;
+        this.replies = replies;
+        LoadFeedback feedback = context.settings.feedback();
+        this.enabled = isLargeGroup(context)
+                && context.settings.limits().probes()
+                && feedback != null
+                && feedback.metricNames().contains(LoadReportTracker.IN_FLIGHT_METRIC);
+    }
+
+    static boolean isLargeGroup(DispatcherContext context) {
+        return context.smallGroupFactor < LARGE_GROUP_FACTOR;
+    }
+
+    /** Probes the chosen worker and the next in rank as far as needed; whether the request has to wait for replies. */
+    boolean probeBeforeSend(RequestState state, WorkerState chosen) {
+        if (!enabled || state.queried || admission.isUnderPressure()) {
+            return false;
+        }
+        state.queried = true;
+        eligibility.exclude(chosen);
+        List<WorkerState> targets =
+                eligibility.eligibleCount() == 0 ? List.of(chosen) : List.of(chosen, ranker.rank(state));
+        for (WorkerState target : targets) {
+            if (target.reportedAt == 0 || context.now - target.reportedAt > FRESH_REPORT_NANOS) {
+                probe(state, target);
+            }
+        }
+        if (state.awaitedWorkers.isEmpty()) {
+            return false;
+        }
+        replies.scheduleTimeout(state);
+        return true;
+    }
+
+    private void probe(RequestState state, WorkerState target) {
+        if (!replies.isAwaited(target)) {
+            context.actions.probe(target.id);
+        }
+        state.awaitedWorkers.add(target);
+        replies.add(state);
+    }
+
+    /** The request waits no longer: workers whose probes are late are taken for saturated. */
+    void onWaitEnded(RequestState state) {
+        if (enabled) {
+            state.awaitedWorkers.forEach(loadReports::assumeSaturated);
+        }
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/RequestQueue.java
@@ -0,0 +1,58 @@
+package wharfhinge.policy;
+
+import java.util.LinkedHashSet;
+import java.util.List;
+
+/** Requests that wait: for a worker, for a free lane of a copy, or for an ordered load. Looked at in short intervals. */
+final class RequestQueue {
+    private static final long MAINTENANCE_INTERVAL_NANOS = 25 * DispatcherContext.NANOS_PER_MILLI;
+
+    private final DispatcherContext context;
+    private final LoadScheduler loads;
+    private final LinkedHashSet<RequestState> queued = new LinkedHashSet<>();
+    private boolean maintenanceScheduled;
+
+    RequestQueue(DispatcherContext context, LoadScheduler loads) {
+        this.context = context;
+        this.loads = loads;
+    }
+
+    void add(RequestState state) {
+        queued.add(state);
+        scheduleMaintenance();
+    }
+
+    /** Lets the request wait for a load. */
+    void awaitLoad(RequestState state, CachedFunction load) {
+        load.waitingRequests.add(state);
+        state.awaitedLoad = load;
+        add(state);
+    }
+
+    void remove(RequestState state) {
+        queued.remove(state);
+    }
+
+    List<RequestState> snapshot() {
+        return List.copyOf(queued);
+    }
+
+    void onMaintenanceTick() {
+        maintenanceScheduled = false;
+    }
+
+    void scheduleMaintenance() {
+        if (!maintenanceScheduled && !queued.isEmpty()) {
+            maintenanceScheduled = true;
+            context.actions.scheduleTimer(TimerTokens.MAINTENANCE, MAINTENANCE_INTERVAL_NANOS);
+        }
+    }
+
+    /** Whether what the request waits for can't serve it in time any more: it is answered now, not at its deadline. */
+    boolean isHopeless(RequestState state) {
+        boolean orderPending = state.awaitedLoad != null && loads.isPending(state.awaitedLoad);
+        double neededNanos =
+                state.serviceTime.estimateNanos(state.request) + (orderPending ? state.awaitedLoad.loadNanos : 0);
+        return context.now + neededNanos > state.deadline();
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/WorkerRanker.java
@@ -0,0 +1,273 @@
+package wharfhinge.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Predicate;
+
+/**
+ * Ranks the eligible workers for a request in the order of the source design: believed to have the function, below the
+ * limit and with a free lane; then the first preferred worker below its limit; then the fewest requests in flight.
+ */
+final class WorkerRanker {
+    /** Preferred workers that are worked out beside twice those needed, since some may not be eligible. */
+    private static final int EXTRA_PREFERRED = 16;
+
+    /** Preferred workers of a function for each worker that its share of the calls fills. Tried: 4 and 8 alike, 2 worse. */
+    private static final double PREFERRED_PER_FILLED_WORKER = 5;
+
+    /** Requests of this dispatcher that may share a lane of a copy where workers don't load another by themselves. */
+    private static final int REQUESTS_PER_LANE_BY_ORDER = 2;
+
+    private final DispatcherContext context;
+    private final WorkerRegistry registry;
+    private final EligibilityFilter eligibility;
+    private final FunctionCacheIndex cache;
+    private final PreferredWorkers preferred;
+    private final FunctionAssignment assignment;
+    private final ConcurrencyLimiter limiter;
+    private final LoadReportTracker loadReports;
+    private final LoadScheduler loads;
+
+    /** Eligible workers with an entry for the function of the last ranking, in the order of their first listing. */
+    private final List<WorkerState> candidates = new ArrayList<>();
+
+    private final List<WorkerState> preferredCandidates = new ArrayList<>();
+    private long ranking;
+
+    WorkerRanker(
+            DispatcherContext context,
+            WorkerRegistry registry,
+            EligibilityFilter eligibility,
+            FunctionCacheIndex cache,
+            PreferredWorkers preferred,
+            FunctionAssignment assignment,
+            ConcurrencyLimiter limiter,
+            LoadReportTracker loadReports,
+            LoadScheduler loads) {
+        this.context = context;
+        this.registry = registry;
+        this.eligibility = eligibility;
+        this.cache = cache;
+        this.preferred = preferred;
+        this.assignment = assignment;
+        this.limiter = limiter;
+        this.loadReports = loadReports;
+        this.loads = loads;
+    }
+
+    /** The worker to send the request to, or null. Where only orders load it may order a copy beside. */
+    WorkerState rank(RequestState state) {
+        String function = state.function();
+        ranking++;
+        collectCandidates(function);
+        WorkerState available = availableCopy(state);
+        if (available != null && !shouldAddCopyBeside(available)) {
+            return available;
+        }
+        if (!context.loadsOnlyByOrder) {
+            // A load was ordered for it: another preferred worker would load a second copy.
+            WorkerState loading = fewestInFlight(
+                    candidates, function, worker -> cache.isLoading(worker, function) && isBelowLimit(worker));
+            if (loading != null) {
+                return loading;
+            }
+        }
+        WorkerState assigned = assignment.assignedWorker(function);
+        WorkerState target = loadTarget(state, assigned);
+        WorkerState copy = copyAtLimit(state, target);
+        return copy != null ? copy : withoutAvailableCopy(state, assigned, target);
+    }
+
+    private void collectCandidates(String function) {
+        candidates.clear();
+        candidates.addAll(cache.workersWith(function));
+        candidates.removeIf(worker -> !eligibility.isEligible(worker));
+    }
+
+    /** The best worker that has the function, or counts as having it, with room for one more request of it. */
+    private WorkerState availableCopy(RequestState state) {
+        String function = state.function();
+        int preferredCount = preferredCount(state);
+        List<WorkerState> among = preferredCount == 0 ? candidates : withPreferred(state, preferredCount);
+        return fewestInFlight(
+                among,
+                function,
+                worker -> (worker.preferredInRanking == ranking || cache.isLoaded(worker, function))
+                        && isBelowLimit(worker)
+                        && hasFreeLane(worker, state.request));
+    }
+
+    /**
+     * Whether a further copy is to be ordered though one is available.
+     *
+     * <p>Departure from the source design: it acts where only orders load, none is in flight or waits, and the available
+     * worker reports more in flight than its capacity, and than most. It guards against hot functions that crowd the
+     * workers that have them; at worst a load is wasted.
+     */
+    private boolean shouldAddCopyBeside(WorkerState available) {
+        return context.loadsOnlyByOrder && loads.isIdle() && isBusy(available) && loadReports.load(available) > 1;
+    }
+
+    /** The worker on which a further copy would be loaded: the assigned one, else the first preferred one with memory. */
+    private WorkerState loadTarget(RequestState state, WorkerState assigned) {
+        String function = state.function();
+        if (assigned != null && lacksCopy(assigned, function)) {
+            return assigned;
+        }
+        return preferred.first(
+                function,
+                state.functionHash,
+                worker -> lacksCopy(worker, function) && assignment.hasMemoryFor(worker, state.request.memoryMb()));
+    }
+
+    /** Whether the worker may take the request but hasn't the function. */
+    private boolean lacksCopy(WorkerState worker, String function) {
+        return eligibility.isEligible(worker) && !cache.isCached(worker, function) && isBelowLimit(worker);
+    }
+
+    /**
+     * The best worker with a copy, all of whose lanes may be taken, where no load may be started on call.
+     *
+     * <p>Departure from the source design: where only orders load, and at the limit of loads in flight, a request that
+     * finds no free lane stays with a copy. It guards against waits for a whole load and against load storms; it may hurt
+     * where the copies are slow.
+     */
+    private WorkerState copyAtLimit(RequestState state, WorkerState target) {
+        String function = state.function();
+        if (context.loadsOnlyByOrder) {
+            return copyBesideOrder(state, target);
+        }
+        return loads.isAtLimit()
+                ? fewestInFlight(
+                        candidates, function, worker -> cache.isCached(worker, function) && isBelowLimit(worker))
+                : null;
+    }
+
+    /** The best worker with a copy, while a further one is ordered; one that loads only where none is loaded. */
+    private WorkerState copyBesideOrder(RequestState state, WorkerState target) {
+        String function = state.function();
+        WorkerState copy = fewestInFlight(
+                candidates, function, worker -> cache.isLoaded(worker, function) && isBelowLimit(worker));
+        if (copy != null
+                && target != null
+                && candidates.stream().noneMatch(worker -> cache.isLoading(worker, function))) {
+            loads.order(cache.recordUse(target, state.request));
+        }
+        if (copy != null || isLoadedOnCandidate(function)) {
+            return copy;
+        }
+        return fewestInFlight(candidates, function, worker -> cache.isLoading(worker, function));
+    }
+
+    /** The best worker where no copy has room: one to load on, a saturated copy, the assigned one, any. */
+    private WorkerState withoutAvailableCopy(RequestState state, WorkerState assigned, WorkerState target) {
+        if (target != null) {
+            return target;
+        }
+        String function = state.function();
+        WorkerState saturated = fewestInFlight(candidates, function, worker -> cache.isLoaded(worker, function));
+        if (saturated != null) {
+            return saturated;
+        }
+        if (assigned != null && eligibility.isEligible(assigned)) {
+            return assigned;
+        }
+        WorkerState first = preferred.first(function, state.functionHash, worker -> lacksCopy(worker, function));
+        return first != null ? first : fewestInFlight(registry.active(), function, worker -> true);
+    }
+
+    /** Whether a candidate of the last ranking is believed to have the function loaded. */
+    boolean isLoadedOnCandidate(String function) {
+        return candidates.stream().anyMatch(worker -> cache.isLoaded(worker, function));
+    }
+
+    /** Whether one more request of the function wouldn't wait for a lane, or make the worker load another copy. */
+    boolean hasFreeLane(WorkerState worker, Request request) {
+        CachedFunction cached = worker.cachedFunctions.get(request.function());
+        int perLane = context.loadsOnlyByOrder ? REQUESTS_PER_LANE_BY_ORDER : 1;
+        return cached == null || cached.inFlight < perLane * Math.max(1, request.concurrencyPerCopy());
+    }
+
+    /**
+     * How many preferred workers count as having the function.
+     *
+     * <p>Departure from the source design: a function with a share of all calls needs that share of the workers. It acts
+     * where the share, times the part of the sends that peers make, fills two workers or more, and workers load by
+     * themselves. It guards against dispatchers that all fill one worker; a share taken too high spends memory.
+     */
+    private int preferredCount(RequestState state) {
+        double share = Math.min(1, PREFERRED_PER_FILLED_WORKER * context.peerTrafficShare * state.trafficShare);
+        int count = (int) (share * eligibility.eligibleCount());
+        return context.loadsOnlyByOrder || count < 2 ? 0 : count;
+    }
+
+    /** So many preferred workers, and the candidates, in the order of their first listing. */
+    private List<WorkerState> withPreferred(RequestState state, int count) {
+        preferredCandidates.clear();
+        for (int head = EXTRA_PREFERRED + 2 * count; preferredCandidates.size() < count; head *= 2) {
+            for (WorkerState worker : preferred.head(state.function(), state.functionHash, head)) {
+                if (preferredCandidates.size() < count
+                        && worker.preferredInRanking != ranking
+                        && eligibility.isEligible(worker)) {
+                    worker.preferredInRanking = ranking;
+                    preferredCandidates.add(worker);
+                }
+            }
+        }
+        for (WorkerState worker : candidates) {
+            if (worker.preferredInRanking != ranking) {
+                preferredCandidates.add(worker);
+            }
+        }
+        preferredCandidates.sort(WorkerState.BY_ORDINAL);
+        return preferredCandidates;
+    }
+
+    private boolean isBelowLimit(WorkerState worker) {
+        return limiter.isBelowLimit(worker, 1);
+    }
+
+    /** The eligible worker with the fewest own requests in flight that qualifies, random among equals; or null. */
+    private WorkerState fewestInFlight(List<WorkerState> among, String function, Predicate<WorkerState> qualifies) {
+        WorkerState best = null;
+        int ties = 0;
+        for (WorkerState worker : among) {
+            if (!eligibility.isEligible(worker) || !qualifies.test(worker)) {
+                continue;
+            }
+            int order = best == null ? -1 : compare(worker, best, function);
+            if (order < 0) {
+                ties = 1;
+                best = worker;
+            } else if (order == 0) {
+                ties++;
+                best = context.random.nextInt(ties) == 0 ? worker : best;
+            }
+        }
+        return best;
+    }
+
+    /**
+     * Compares by own requests in flight.
+     *
+     * <p>Departure from the source design: among equals, as most are where there are many dispatchers, busy workers come
+     * last; then, except in small groups, which see enough by themselves, those with the function come first; then the
+     * least reported load. It guards against queues that peers made and that own sends don't show. It may hurt where
+     * functions are slow by nature, or reports lag.
+     */
+    private int compare(WorkerState first, WorkerState second, String function) {
+        if (first.inFlight != second.inFlight) {
+            return first.inFlight - second.inFlight;
+        }
+        int order = Boolean.compare(isBusy(first), isBusy(second));
+        if (order == 0 && context.smallGroupFactor != 1) {
+            order = Boolean.compare(cache.isLoaded(second, function), cache.isLoaded(first, function));
+        }
+        return order != 0 ? order : Double.compare(loadReports.load(first), loadReports.load(second));
+    }
+
+    /** By the reported load, or where none is reported by the latency. */
+    private boolean isBusy(WorkerState worker) {
+        return worker.reportedAt > 0 ? loadReports.isBusy(worker) : limiter.isSlowerThanMean(worker);
+    }
+}
--- /dev/null
+++ b/policy/src/main/java/wharfhinge/policy/WorkerRegistry.java
@@ -0,0 +1,159 @@
+package wharfhinge.policy;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/** The workers of the endpoint list: which are up, and which of those need a closer look before a send. */
+final class WorkerRegistry {
+    private final DispatcherContext context;
+    private final double initialConcurrencyLimit;
+    private final long slowStartNanos;
+    private final Map<String, WorkerState> byId = new LinkedHashMap<>();
+    private final List<WorkerState> active = new ArrayList<>();
+    private final List<WorkerState> restricted = new ArrayList<>();
+    private int upCount;
+    private double upCapacity;
+    private long lastOrdinal;
+    private long activeValidUntil;
+    private boolean endpointsChanged;
+
+    WorkerRegistry(DispatcherContext context, double initialConcurrencyLimit) {
+        this.context = context;
+        this.initialConcurrencyLimit = initialConcurrencyLimit;
+        this.slowStartNanos = context.settings.protectionRules().slowStartNanos();
+    }
+
+    /** The current incarnation of the worker, or null. */
+    WorkerState find(String id) {
+        return byId.get(id);
+    }
+
+    Collection<WorkerState> all() {
+        return byId.values();
+    }
+
+    /** The workers that were up when {@link #refreshActive} last looked, in the order of the list. */
+    List<WorkerState> active() {
+        return active;
+    }
+
+    /** Those of {@link #active} that are ejected or warming up; all others may get any first send. */
+    List<WorkerState> restricted() {
+        return restricted;
+    }
+
+    int upCount() {
+        return upCount;
+    }
+
+    double upCapacity() {
+        return upCapacity;
+    }
+
+    boolean isWarmingUp(WorkerState worker) {
+        return worker.isWarmingUp(context.now, slowStartNanos);
+    }
+
+    /** Takes one entry of an endpoint list; a worker that restarted is a new incarnation: empty, and not judged yet. */
+    WorkerState update(Endpoint endpoint) {
+        WorkerState previous = byId.get(endpoint.id());
+        boolean restarted =
+                previous != null && endpoint.startedAt() != 0 && endpoint.startedAt() != previous.endpoint.startedAt();
+        WorkerState worker = previous == null || restarted ? newIncarnation(endpoint, previous) : previous;
+        worker.endpoint = endpoint;
+        worker.up = endpoint.availability() == Availability.UP;
+        byId.put(endpoint.id(), worker);
+        onEndpointsChanged();
+        return worker;
+    }
+
+    private WorkerState newIncarnation(Endpoint endpoint, WorkerState previous) {
+        if (previous == null) {
+            lastOrdinal++;
+        }
+        return new WorkerState(
+                endpoint.id(),
+                previous != null ? previous.ordinal : lastOrdinal,
+                context.now,
+                initialConcurrencyLimit,
+                context.settings.classes().get(0).latencyObjectiveNanos(),
+                context.random.nextDouble()); // so that many dispatchers don't reach their first token together
+    }
+
+    /** The worker is draining, was removed, or was replaced by a new incarnation. */
+    void markDown(WorkerState worker) {
+        worker.up = false;
+        onEndpointsChanged();
+    }
+
+    private void onEndpointsChanged() {
+        activeValidUntil = 0;
+        endpointsChanged = true;
+    }
+
+    /** Counts the workers that are up, once a whole update has been taken. */
+    void recount() {
+        upCount = (int) byId.values().stream().filter(worker -> worker.up).count();
+        upCapacity = byId.values().stream()
+                .filter(worker -> worker.up)
+                .mapToDouble(WorkerState::capacity)
+                .sum();
+    }
+
+    /** A worker was ejected or restored: {@link #restricted} must be worked out again. */
+    void invalidateActive() {
+        activeValidUntil = 0;
+    }
+
+    /**
+     * Works out {@link #active} and {@link #restricted} again if a worker came, left, was ejected or restored, or has
+     * warmed up since. Whether the endpoint list changed since this last said so.
+     */
+    boolean refreshActive() {
+        if (context.now < activeValidUntil) {
+            return false;
+        }
+        activeValidUntil = Long.MAX_VALUE;
+        active.clear();
+        restricted.clear();
+        for (WorkerState worker : byId.values()) {
+            if (worker.up) {
+                addActive(worker);
+            }
+        }
+        boolean changed = endpointsChanged;
+        endpointsChanged = false;
+        return changed;
+    }
+
+    private void addActive(WorkerState worker) {
+        boolean warmingUp = isWarmingUp(worker);
+        active.add(worker);
+        if (worker.ejected || warmingUp) {
+            restricted.add(worker);
+        }
+        if (warmingUp) {
+            activeValidUntil = Math.min(activeValidUntil, worker.endpoint.startedAt() + slowStartNanos);
+        }
+    }
+
+    /** Forgets workers that are down once nothing is in flight there. */
+    void removeDeparted() {
+        byId.values().removeIf(worker -> !worker.up && worker.inFlight == 0 && worker.cachedFunctions.isEmpty());
+    }
+
+    /** Workers that a full endpoint list no longer names. */
+    List<WorkerState> missingFrom(Set<String> listedIds) {
+        List<WorkerState> missing = new ArrayList<>();
+        for (WorkerState worker : byId.values()) {
+            if (!listedIds.contains(worker.id)) {
+                missing.add(worker);
+            }
+        }
+        return missing;
+    }
+}
