--- a/policy/src/test/java/wharfhinge/policy/EmbeddingPageTest.java
+++ b/policy/src/test/java/wharfhinge/policy/EmbeddingPageTest.java
@@ -20,7 +20,7 @@
 class EmbeddingPageTest {
 
     @Test
-    void theEmbeddingExampleCompilesAndSends(@TempDir Path folder) throws Exception {
+    void embeddingExample_compilesAndSends(@TempDir Path folder) throws Exception {
         String page = Files.readString(Path.of("../docs/embedding.md"));
         int start = page.indexOf("```java\n") + "```java\n".length();
         Path source = folder.resolve("Embedding.java");
--- a/policy/src/test/java/wharfhinge/policy/Recorder.java
+++ b/policy/src/test/java/wharfhinge/policy/FakeDispatcherHost.java
@@ -6,38 +6,39 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A dispatcher under test with short ways to tell it events; every action is kept as one line. */
-final class Recorder implements DispatcherActions {
+/** A dispatcher under test with short ways to tell it events; every action is recorded as one line. */
+final class FakeDispatcherHost implements DispatcherActions {
     static final long MS = 1_000_000L;
-    final List<String> lines = new ArrayList<>();
-    final CacheAwareDispatcher choice;
+    final List<String> actions = new ArrayList<>();
+    final CacheAwareDispatcher dispatcher;
     long now = 100_000 * MS;
-    int lanes = 4;
+    int concurrencyPerCopy = 4;
     double memoryMb = 300;
-    double weight = 1; // told of the workers listed from now on
-    long advised = -1;
-    final Set<String> stands = new HashSet<>(); // "worker function", told where it is asked
-    boolean answersAsks = true;
+    double weight = 1; // of the workers listed from now on
+    long retryAfterNanos = -1;
+    final Set<String> loadedCopies = new HashSet<>(); // "worker function", the answers to residency queries
+    boolean answersResidencyQueries = true;
     private int sequence;
 
-    Recorder(DispatcherSettings settings) {
+    FakeDispatcherHost(DispatcherSettings settings) {
         this(settings, 7);
     }
 
-    Recorder(DispatcherSettings settings, long seed) {
-        choice = new CacheAwareDispatcher(now, seed, settings, this);
+    FakeDispatcherHost(DispatcherSettings settings, long seed) {
+        dispatcher = new CacheAwareDispatcher(now, seed, settings, this);
     }
 
-    static DispatcherSettings settings(Effect effect, OnMissBehavior notLoaded, boolean secondCopies) {
-        return settings(effect, DeduplicationScope.ALL, notLoaded, secondCopies, 0);
+    /** A host of a small group whose workers load on call. */
+    static FakeDispatcherHost loadingOnCall() {
+        return new FakeDispatcherHost(settings(Effect.IDEMPOTENT, OnMissBehavior.LOAD, true));
+    }
+
+    static DispatcherSettings settings(Effect effect, OnMissBehavior onMiss, boolean hedging) {
+        return settings(effect, DeduplicationScope.ALL, onMiss, hedging, 0);
     }
 
     static DispatcherSettings settings(
-            Effect effect,
-            DeduplicationScope group,
-            OnMissBehavior notLoaded,
-            boolean secondCopies,
-            long loadPeriodNanos) {
+            Effect effect, DeduplicationScope scope, OnMissBehavior onMiss, boolean hedging, long loadPeriodNanos) {
         return new DispatcherSettings(
                 2,
                 0,
@@ -49,12 +50,12 @@
                 WeightReporting.SILENT,
                 PriorityUnit.REQUEST,
                 0.2,
-                List.of(new RequestClass("c", effect, group, 500 * MS, 600 * MS, 2500 * MS, 1, 0.2, false, 0)),
+                List.of(new RequestClass("c", effect, scope, 500 * MS, 600 * MS, 2500 * MS, 1, 0.2, false, 0)),
                 List.of(),
                 new FunctionLoading(
                         8000 * MS,
                         true,
-                        notLoaded,
+                        onMiss,
                         10_000 * MS,
                         loadPeriodNanos,
                         0.1,
@@ -68,26 +69,14 @@
                 new LoadFeedback(LoadReporting.SILENT, List.of()),
                 new ObjectiveWeights(1, 0, 0, 0),
                 new DispatchLimits(
-                        true,
-                        false,
-                        false,
-                        secondCopies,
-                        true,
-                        4,
-                        1000,
-                        2000 * MS,
-                        250 * MS,
-                        15_000 * MS,
-                        100,
-                        100_000,
-                        0),
+                        true, false, false, hedging, true, 4, 1000, 2000 * MS, 250 * MS, 15_000 * MS, 100, 100_000, 0),
                 new ProtectionRules(10_000 * MS, 0.2, 10_000 * MS, 2, 1000 * MS, 500 * MS, 16 * MS),
                 new Prices(0, 0, 0, 0, 0, 0),
                 new ClientBehavior(false));
     }
 
-    /** A front end among so many, where answers and probes tell load. */
-    static DispatcherSettings among(int groupSize, boolean probes, boolean retryAfter) {
+    /** A dispatcher in a group of this size, where answers and probes report load. */
+    static DispatcherSettings inGroup(int groupSize, boolean probes, boolean retryAfter) {
         DispatcherSettings s = settings(Effect.IDEMPOTENT, OnMissBehavior.LOAD, true);
         DispatchLimits l = s.limits();
         return new DispatcherSettings(
@@ -125,7 +114,7 @@
                 s.clientBehavior());
     }
 
-    /** Orders load; each worker holds so much. */
+    /** Only orders load; each worker has this much memory. */
     static DispatcherSettings withMemory(double megabytes, int groupSize) {
         DispatcherSettings s = settings(Effect.IDEMPOTENT, OnMissBehavior.MISS, false);
         FunctionLoading f = s.functionLoading();
@@ -168,165 +157,176 @@
         return new Endpoint(id, id.charAt(0) < 'n' ? "a" : "b", "k", 1, availability, weight, startedAt);
     }
 
-    void fleet(String... ids) {
+    void listWorkers(String... ids) {
         List<Endpoint> list = new ArrayList<>();
         for (String id : ids) {
             list.add(worker(id, Availability.UP, 0));
         }
-        choice.onEndpointUpdate(now, EndpointUpdateMode.FULL, 1, list);
+        dispatcher.onEndpointUpdate(now, EndpointUpdateMode.FULL, 1, list);
     }
 
-    void change(String id, Availability availability, long startedAt) {
-        choice.onEndpointUpdate(now, EndpointUpdateMode.INCREMENTAL, 2, List.of(worker(id, availability, startedAt)));
+    void updateWorker(String id, Availability availability, long startedAt) {
+        dispatcher.onEndpointUpdate(
+                now, EndpointUpdateMode.INCREMENTAL, 2, List.of(worker(id, availability, startedAt)));
     }
 
-    String query(String function) {
+    String sendRequest(String function) {
         String id = "q" + sequence++;
-        choice.onRequest(now, new Request(id, null, 2500 * MS, memoryMb, function, 0, lanes, 500, "c", false, false));
-        if (answersAsks) {
-            answerAsks();
+        dispatcher.onRequest(
+                now,
+                new Request(id, null, 2500 * MS, memoryMb, function, 0, concurrencyPerCopy, 500, "c", false, false));
+        if (answersResidencyQueries) {
+            answerResidencyQueries();
         }
         return id;
     }
 
-    /** Answers all that only asks, in the order of asking. */
-    void answerAsks() {
-        for (String line : List.copyOf(lines)) {
-            String[] part = line.split(" ");
-            if (part[0].equals("hold") && part[3].equals("0")) {
-                lines.remove(line);
-                choice.onLoadCompleted(
-                        now, part[1], part[2], stands.contains(part[1] + " " + part[2]) ? 1 : 0, Outcome.SERVED, MS);
+    /** Answers all residency queries, in the order in which they were sent. */
+    void answerResidencyQueries() {
+        for (String action : List.copyOf(actions)) {
+            String[] part = action.split(" ");
+            if (part[0].equals("ensureLoaded") && part[3].equals("0")) {
+                actions.remove(action);
+                dispatcher.onLoadCompleted(
+                        now,
+                        part[1],
+                        part[2],
+                        loadedCopies.contains(part[1] + " " + part[2]) ? 1 : 0,
+                        Outcome.SERVED,
+                        MS);
             }
         }
     }
 
     /** The worker of the request's latest attempt, or null if it was never sent. */
-    String sentTo(String request) {
+    String workerOf(String request) {
         String worker = null;
-        for (String line : lines) {
-            if (line.startsWith("attempt " + request + " ")) {
-                worker = line.split(" ")[2];
+        for (String action : actions) {
+            if (action.startsWith("attempt " + request + " ")) {
+                worker = action.split(" ")[2];
             }
         }
         return worker;
     }
 
-    long attempts(String request) {
-        return lines.stream()
+    long attemptCount(String request) {
+        return actions.stream()
                 .filter(l -> l.startsWith("attempt " + request + " "))
                 .count();
     }
 
-    boolean did(String line) {
-        return lines.contains(line);
+    boolean hasRecorded(String action) {
+        return actions.contains(action);
     }
 
-    void end(String request, int attempt, Outcome outcome, CacheStatus note, long tookMillis) {
-        boolean settled = outcome == Outcome.SERVED || did("refuse " + request) || did("fail " + request);
-        end(request, attempt, outcome, note, tookMillis, settled);
+    void complete(String request, int attempt, Outcome outcome, CacheStatus cacheStatus, long tookMillis) {
+        boolean answered =
+                outcome == Outcome.SERVED || hasRecorded("reject " + request) || hasRecorded("fail " + request);
+        complete(request, attempt, outcome, cacheStatus, tookMillis, answered);
     }
 
-    void end(String request, int attempt, Outcome outcome, CacheStatus note, long tookMillis, boolean settled) {
+    void complete(
+            String request, int attempt, Outcome outcome, CacheStatus cacheStatus, long tookMillis, boolean answered) {
         String worker = null;
         int index = 0;
-        for (String line : List.copyOf(lines)) {
-            if (line.startsWith("attempt " + request + " ") && index++ == attempt) {
-                worker = line.split(" ")[2];
+        for (String action : List.copyOf(actions)) {
+            if (action.startsWith("attempt " + request + " ") && index++ == attempt) {
+                worker = action.split(" ")[2];
             }
         }
-        choice.onAttemptCompleted(
+        dispatcher.onAttemptCompleted(
                 now,
-                new AttemptCompletion(request, outcome, attempt, tookMillis * MS, worker, note, 0, settled, Map.of()));
+                new AttemptCompletion(
+                        request, outcome, attempt, tookMillis * MS, worker, cacheStatus, 0, answered, Map.of()));
     }
 
-    void served(String request) {
-        end(request, (int) attempts(request) - 1, Outcome.SERVED, CacheStatus.HIT, 50);
+    void serve(String request) {
+        complete(request, (int) attemptCount(request) - 1, Outcome.SERVED, CacheStatus.HIT, 50);
     }
 
-    /** Answers each probe that is out: {@code busy} tells so many in flight, the others none. */
+    /** Answers each probe in flight: {@code busy} reports so many requests in flight, the others none. */
     void answerProbes(String busy, double inFlight) {
-        for (String line : List.copyOf(lines)) {
-            if (line.startsWith("probe ")) {
-                lines.remove(line);
-                String worker = line.substring(6);
-                choice.onProbeCompleted(
+        for (String action : List.copyOf(actions)) {
+            if (action.startsWith("probe ")) {
+                actions.remove(action);
+                String worker = action.substring(6);
+                dispatcher.onProbeCompleted(
                         now, worker, Outcome.SERVED, MS, Map.of("rif", worker.equals(busy) ? inFlight : 0.0));
             }
         }
     }
 
-    void due(String token) {
-        choice.onTimer(now, token);
+    void fireTimer(String token) {
+        dispatcher.onTimer(now, token);
     }
 
-    void pass(long ms) {
+    void advanceMillis(long ms) {
         now += ms * MS;
     }
 
     @Override
     public void sendAttempt(String request, String worker, long timeoutNanos) {
-        lines.add("attempt " + request + " " + worker);
+        actions.add("attempt " + request + " " + worker);
     }
 
     @Override
     public void cancelAttempt(String request, int attempt) {
-        lines.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void reject(String request, long coolDownNanos) {
-        lines.add("refuse " + request);
-        advised = coolDownNanos;
+    public void reject(String request, long adviceNanos) {
+        actions.add("reject " + request);
+        retryAfterNanos = adviceNanos;
     }
 
     @Override
     public void fail(String request) {
-        lines.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
     public void ensureLoaded(String worker, String function, int count) {
-        lines.add("hold " + worker + " " + function + " " + count);
+        actions.add("ensureLoaded " + worker + " " + function + " " + count);
     }
 
     @Override
     public void unload(String worker, String function) {
-        lines.add("unload " + worker + " " + function);
+        actions.add("unload " + worker + " " + function);
     }
 
     @Override
     public void probe(String worker) {
-        lines.add("probe " + worker);
+        actions.add("probe " + worker);
     }
 
     @Override
     public void scheduleTimer(String token, long delayNanos) {
-        lines.add("timer " + token + " " + delayNanos);
+        actions.add("timer " + token + " " + delayNanos);
     }
 
     @Override
     public void sendToPeers(int peer, byte[] payload) {
-        lines.add("publish " + peer);
+        actions.add("sendToPeers " + peer);
     }
 
     @Override
     public void watchEndpoints(boolean on) {
-        lines.add("listen " + on);
+        actions.add("watchEndpoints " + on);
     }
 
     @Override
     public void refreshEndpoints() {
-        lines.add("reload");
+        actions.add("refreshEndpoints");
     }
 
     @Override
     public void closeIdleConnections(String worker) {
-        lines.add("hangUp " + worker);
+        actions.add("closeIdleConnections " + worker);
     }
 
     @Override
     public void logDiagnostic(String text) {
-        lines.add("remark " + text);
+        actions.add("logDiagnostic " + text);
     }
 }
--- /dev/null
+++ b/policy/src/test/java/wharfhinge/policy/FunctionAssignmentTest.java
@@ -0,0 +1,107 @@
+package wharfhinge.policy;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static wharfhinge.policy.CacheStatus.UNKNOWN;
+import static wharfhinge.policy.Outcome.NOT_LOADED;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** Assignment of functions to workers within their memory. */
+class FunctionAssignmentTest {
+
+    /** Rendezvous hashing alone puts up to all six on one worker, whose memory then turns over for ever. */
+    @Test
+    void functionsThatFitTheFleet_areAssignedWithinMemory() {
+        FakeDispatcherHost host = fullFleet(1);
+        host.advanceMillis(9000); // beliefs expire, the assignments stay
+        host.fireTimer("lapse");
+        Map<String, Integer> each = new HashMap<>();
+        for (int i = 0; i < 6; i++) {
+            String request = host.sendRequest("f" + i);
+            each.merge(host.workerOf(request), 1, Integer::sum);
+            host.serve(request);
+        }
+        assertEquals(Map.of("b", 2, "c", 2, "d", 2), each);
+    }
+
+    /** A storm on one function: what is more than its copy bears is rejected, no other's last copy goes for it. */
+    @Test
+    void fullMemory_noFurtherCopyIsOrdered() {
+        FakeDispatcherHost host = fullFleet(1);
+        long rejected = 0;
+        for (int i = 0; i < 60; i++) {
+            rejected += host.hasRecorded("reject " + host.sendRequest("f0")) ? 1 : 0;
+        }
+        assertEquals(6, loadOrders(host));
+        assertTrue(rejected > 30, "rejected " + rejected);
+        assertTrue(host.workerOf(host.sendRequest("f1")) != null, "others are not rejected");
+    }
+
+    /**
+     * Believed to be loaded, and gone: where memory is full of others its load is ordered on its assigned worker
+     * alone.
+     */
+    @Test
+    void missWhereMemoryIsFull_isLoadedOnTheAssignedWorker() {
+        FakeDispatcherHost host = fullFleet(1);
+        String request = host.sendRequest("f0");
+        String assignedWorker = host.workerOf(request);
+        host.complete(request, 0, NOT_LOADED, UNKNOWN, 1);
+        assertEquals(7, loadOrders(host));
+        assertTrue(
+                host.actions.stream()
+                                .filter(l -> l.startsWith("ensureLoaded " + assignedWorker + " f0"))
+                                .count()
+                        == 2,
+                "it stood at its assignedWorker: there again");
+    }
+
+    /** Dispatchers that share nothing, and see the same functions in another order, derive the same assignments. */
+    @Test
+    void assignments_doNotDependOnTheOrderOfFunctions() {
+        Map<String, String> first = new HashMap<>();
+        Random order = new Random(5);
+        for (int run = 0; run < 20; run++) {
+            FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.withMemory(300, 3), run);
+            host.memoryMb = 100;
+            host.listWorkers("b", "c", "d", "e");
+            List<String> functions = new ArrayList<>(
+                    IntStream.range(0, 12).mapToObj(i -> "f" + i).toList());
+            Collections.shuffle(functions, order);
+            functions.forEach(f -> host.serve(host.sendRequest(f)));
+            host.advanceMillis(9000);
+            host.fireTimer("lapse");
+            for (String f : functions) {
+                String to = host.workerOf(host.sendRequest(f));
+                assertEquals(first.computeIfAbsent(f, x -> to), to, f);
+            }
+        }
+    }
+
+    /** A fleet whose memory holds six copies of 100 MB on three workers, and where only orders load. */
+    private static FakeDispatcherHost fullFleet(int group) {
+        FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.withMemory(200, group));
+        host.memoryMb = 100;
+        host.listWorkers("b", "c", "d");
+        for (int i = 0; i < 6; i++) {
+            String request = host.sendRequest("f" + i);
+            String worker = host.workerOf(request);
+            host.complete(request, 0, NOT_LOADED, UNKNOWN, 1);
+            host.dispatcher.onLoadCompleted(host.now, worker, "f" + i, 1, Outcome.SERVED, 100 * FakeDispatcherHost.MS);
+            host.serve(request);
+        }
+        return host;
+    }
+
+    private static long loadOrders(FakeDispatcherHost host) {
+        return host.actions.stream().filter(l -> l.startsWith("ensureLoaded ")).count();
+    }
+}
