--- a/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** How one attempt ended; {@code company} counts requests of the function found there. */
+/** How one attempt ended; {@code concurrentOnWorker} counts the requests of the function that it found on the worker. */
 public record AttemptCompletion(
         String request,
         Outcome outcome,
--- a/policy/src/main/java/wharfhinge/policy/Availability.java
+++ b/policy/src/main/java/wharfhinge/policy/Availability.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What the list says of a worker. */
+/** State of a worker in the endpoint list. */
 public enum Availability {
     UP,
     DRAINING,
--- a/policy/src/main/java/wharfhinge/policy/CacheStatus.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheStatus.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What a served answer says of the copy, or that a load failed. */
+/** What an answer says of the function on the worker: already loaded, loaded for it, waited for, or failed to load. */
 public enum CacheStatus {
     UNKNOWN,
     HIT,
--- a/policy/src/main/java/wharfhinge/policy/Discovery.java
+++ b/policy/src/main/java/wharfhinge/policy/Discovery.java
@@ -1,6 +1,9 @@
 package wharfhinge.policy;
 
-/** How lists come: unasked, or only where {@link DispatcherActions#watchEndpoints} or {@link DispatcherActions#refreshEndpoints} asked. */
+/**
+ * How endpoint lists come: pushed, or only after {@link DispatcherActions#watchEndpoints} or {@link
+ * DispatcherActions#refreshEndpoints}.
+ */
 public enum Discovery {
     PUSHED,
     ON_REQUEST
--- a/policy/src/main/java/wharfhinge/policy/DispatchLimits.java
+++ b/policy/src/main/java/wharfhinge/policy/DispatchLimits.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What the site allows. */
+/** What the site allows a dispatcher to do, and how much. */
 public record DispatchLimits(
         boolean cancellation,
         boolean peerMessages,
--- a/policy/src/main/java/wharfhinge/policy/Dispatcher.java
+++ b/policy/src/main/java/wharfhinge/policy/Dispatcher.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * One dispatcher of one tier: it is told events and answers with {@link DispatcherActions}. All times are
+ * One dispatcher of one tier: it takes events and answers with {@link DispatcherActions}. All times are
  * nanoseconds of the caller's clock, which only advances; an event's {@code now} is when it came.
  * An implementation is used by one thread at a time. {@link CacheAwareDispatcher} holds the decisions.
  */
@@ -14,23 +14,23 @@
         return List.of();
     }
 
-    /** The membership of the fleet changed or was told. */
+    /** The endpoint list changed, or came for the first time. */
     void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries);
 
-    /** A request arrived; one final answer is owed. */
+    /** A request arrived; it gets exactly one final answer. */
     void onRequest(long now, Request request);
 
-    /** A request ended without this dispatcher: its client left. */
+    /** The client cancelled the request or disconnected. */
     void onClientCancelled(long now, String request);
 
-    /** A probe ended. */
+    /** A probe completed. */
     default void onProbeCompleted(
             long now, String worker, Outcome outcome, long tookNanos, Map<String, Double> report) {}
 
-    /** A streamed answer began; the client deadline no longer runs. */
+    /** A streamed answer started; the client's deadline no longer applies. */
     void onStreamStarted(long now, String request, int attempt, String worker);
 
-    /** Another dispatcher sent bytes. */
+    /** Another dispatcher sent a message. */
     default void onPeerMessage(long now, int peer, byte[] payload) {}
 
     /** A timer is due. */
@@ -39,14 +39,14 @@
     /** An attempt ended. */
     void onAttemptCompleted(long now, AttemptCompletion completion);
 
-    /** An order to hold copies ended with {@code count} copies standing. */
+    /** A load order or residency query completed; the worker has {@code count} copies loaded. */
     void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos);
 
-    /** Whether a copy of the function is believed to stand on a worker in use; changes nothing. */
+    /** Whether the function is believed to be loaded on a worker in use; changes no later decision. */
     default boolean isCached(long now, String function) {
         return false;
     }
 
-    /** A request like this one will come soon; what it lacks may be ordered ahead, within all limits on loads. */
+    /** A request like this one will come soon: its function may be prefetched, within all limits on loads. */
     default void onRequestExpected(long now, Request request) {}
 }
--- a/policy/src/main/java/wharfhinge/policy/EndpointUpdateMode.java
+++ b/policy/src/main/java/wharfhinge/policy/EndpointUpdateMode.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** How a list came: what changed, the whole, the whole as last held, or no list (refused). */
+/** What an endpoint update has: the changes, the full list, the last known full list, or nothing since the watch was rejected. */
 public enum EndpointUpdateMode {
     INCREMENTAL,
     FULL,
--- a/policy/src/main/java/wharfhinge/policy/LoadFeedback.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadFeedback.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** Which load reports there are. */
+/** Where load reports come from and which metrics they have. */
 public record LoadFeedback(LoadReporting reporting, List<String> metricNames) {}
--- a/policy/src/main/java/wharfhinge/policy/ObjectiveWeights.java
+++ b/policy/src/main/java/wharfhinge/policy/ObjectiveWeights.java
@@ -1,4 +1,4 @@
 package wharfhinge.policy;
 
-/** What the result weighs. */
+/** Weights of the parts of the objective. */
 public record ObjectiveWeights(double overall, double worstWindow, double worstClass, double worstTenant) {}
--- a/policy/src/main/java/wharfhinge/policy/Outcome.java
+++ b/policy/src/main/java/wharfhinge/policy/Outcome.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** How an attempt, a probe or an order ended. */
+/** How an attempt, a probe or a load order ended. */
 public enum Outcome {
     SERVED,
     ERROR,
--- a/policy/src/main/java/wharfhinge/policy/Prices.java
+++ b/policy/src/main/java/wharfhinge/policy/Prices.java
@@ -1,5 +1,5 @@
 package wharfhinge.policy;
 
-/** Points taken off for each unit of use. */
+/** Cost of each unit of use, in points of the objective. */
 public record Prices(
         double crossZone, double wastedLoad, double origin, double probe, double peer, double lateFailure) {}
--- a/policy/src/main/java/wharfhinge/policy/PriorityUnit.java
+++ b/policy/src/main/java/wharfhinge/policy/PriorityUnit.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What a request's worth is counted by. */
+/** Unit by which a request's priority weight counts: each request, or its work. */
 public enum PriorityUnit {
     REQUEST,
     WORK
--- a/policy/src/main/java/wharfhinge/policy/WorkerSnapshot.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerSnapshot.java
@@ -1,11 +1,11 @@
 package wharfhinge.policy;
 
 /**
- * What a dispatcher believes of one worker for one function, for accounts of its decisions.
+ * What a dispatcher believes of one worker for one function, to explain its decisions.
  *
- * @param loaded   a copy is believed to stand; {@code loading}: one was ordered
+ * @param loaded   the function is believed to be loaded; {@code loading}: its load was ordered
  * @param belowLimit it is not saturated
- * @param reportedLoad       told by it of all dispatchers' requests, faded
+ * @param reportedLoad       reported requests in flight of all dispatchers for each unit of capacity, faded with age
  */
 public record WorkerSnapshot(
         String worker,
