--- a/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
@@ -2,7 +2,9 @@
 
 import java.util.Map;
 
-/** How one attempt ended; {@code concurrentOnWorker} counts the requests of the function that it found on the worker. */
+/**
+ * How one attempt ended; {@code concurrentOnWorker} counts the requests of the function that it found on the worker.
+ */
 public record AttemptCompletion(
         String request,
         Outcome outcome,
--- a/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Dispatches requests for functions to the workers that are believed to have them loaded. This class takes the events, in
- * the order in which a request meets them, and hands each to the collaborator that owns the state for it; {@link
+ * Dispatches requests for functions to the workers that are believed to have them loaded. This class takes the events,
+ * in the order in which a request meets them, and hands each to the collaborator that owns the state for it; {@link
  * RequestRouter} is the way of a request. The package description has an overview.
  *
  * <p>Used by one thread at a time. It needs nothing but its events: no clock, no I/O, no threads; the same events and
@@ -107,7 +107,7 @@
         if (requestClass == null) {
             throw new IllegalArgumentException("unknown class " + request.requestClass());
         }
-        RequestState state = newState(request, requestClass, assignment.onCall(request));
+        RequestState state = newState(request, requestClass, assignment.onRequest(request));
         router.add(state);
         retryBudget.onRequest();
         outliers.onRequest();
@@ -301,8 +301,8 @@
     /**
      * Orders the load for a request that will come.
      *
-     * <p>Departure from the source design: it acts where orders are allowed and no copy is loaded, loading or ordered. It
-     * guards against a load inside a deadline; it may hurt where the request doesn't come: a load for nothing.
+     * <p>Departure from the source design: it acts where orders are allowed and no copy is loaded, loading or ordered.
+     * It guards against a load inside a deadline; it may hurt where the request doesn't come: a load for nothing.
      */
     @Override
     public void onRequestExpected(long now, Request request) {
--- a/policy/src/main/java/wharfhinge/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/wharfhinge/policy/ConcurrencyLimiter.java
@@ -101,8 +101,8 @@
      * Cuts the limit.
      *
      * <p>Departure from the source design: below a limit of one, which a dispatcher among many reaches, a cut at least
-     * doubles this dispatcher's own interval between sends to the worker, so that one that sends seldom feels it too. It
-     * guards against many dispatchers that return too soon, and may hurt since one bad answer idles a good worker.
+     * doubles this dispatcher's own interval between sends to the worker, so that one that sends seldom feels it too.
+     * It guards against many dispatchers that return too soon, and may hurt since one bad answer idles a good worker.
      */
     private void cut(WorkerState worker) {
         double ownMeanInFlight = Math.max(
--- a/policy/src/main/java/wharfhinge/policy/FunctionAssignment.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionAssignment.java
@@ -6,12 +6,12 @@
 import java.util.function.Predicate;
 
 /**
- * Assigns each recently called function to one worker: the first of its preferred workers whose memory holds it
- * beside the functions that score better there (deferred acceptance).
+ * Assigns each recently called function to one worker: the first of its preferred workers whose memory holds it beside
+ * the functions that score better there (deferred acceptance).
  *
  * <p>Departure from the source design: it acts where the memory of workers is configured. A further copy of a function
  * is loaded only where memory is left beside the assigned functions, and what misses elsewhere goes to its assigned
- * worker. It guards against copies of hot functions that evict the only copies of cold ones, after which every call
+ * worker. It guards against copies of hot functions that evict the only copies of cold ones, after which every request
  * loads and the fleet doesn't recover. Dispatchers that know like functions derive like assignments, since the result
  * doesn't depend on the order in which functions came. It may hurt where a further copy of a hot function is worth more
  * than the only copy of a cold one.
@@ -38,15 +38,15 @@
         this.traffic = traffic;
     }
 
-    /** Counts a call of the function, assigns the function if it is new, and returns its share of the calls before. */
-    double onCall(Request request) {
+    /** Counts a request of the function, which it assigns if it is new, and returns the share of requests before it. */
+    double onRequest(Request request) {
         FunctionStats stats = traffic.find(request.function());
         if (stats == null) {
             refresh();
             stats = traffic.add(request);
             assign(stats);
         }
-        return traffic.countCall(stats);
+        return traffic.countRequest(stats);
     }
 
     /** Brings the active workers up to date, and all assignments if the endpoint list changed. */
@@ -81,7 +81,7 @@
                 <= memoryMb(worker);
     }
 
-    /** Whether the function may stay where memory is short: it is assigned here, or to no worker and loaded nowhere else. */
+    /** Whether it may stay where memory is short: it is assigned here, or assigned nowhere and loaded nowhere else. */
     boolean belongsOn(WorkerState worker, String function) {
         WorkerState assigned = assignedWorker(function);
         if (assigned != null) {
--- a/policy/src/main/java/wharfhinge/policy/FunctionStats.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionStats.java
@@ -4,12 +4,12 @@
 import java.util.Set;
 
 /**
- * A function that was called recently: its decaying call count and the worker it is assigned to. Plain state;
+ * A function that was requested recently: its decaying request count and the worker it is assigned to. Plain state;
  * {@link FunctionTraffic} owns the instances, {@link FunctionAssignment} the assignment, {@link OutlierDetector}
  * {@link #failedWorkers} and {@link ResidencyQueries} {@link #reportedAbsentAt}.
  */
 final class FunctionStats extends DecayingCounter {
-    /** How long calls count towards a function's share of all calls. */
+    /** How long requests count towards a function's share of all requests. */
     static final long SHARE_WINDOW_NANOS = 15_000 * DispatcherContext.NANOS_PER_MILLI;
 
     final String function;
--- a/policy/src/main/java/wharfhinge/policy/FunctionTraffic.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionTraffic.java
@@ -6,23 +6,23 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The functions called recently and each one's share of this dispatcher's calls. */
+/** The functions requested recently and each one's share of this dispatcher's requests. */
 final class FunctionTraffic {
-    /** Calls of no function that are added to the total, so that the first few calls give no function a large share. */
-    private static final double PRIOR_CALLS = 10;
+    /** Requests of no function that are added to the total, so that the first few give no function a large share. */
+    private static final double PRIOR_REQUESTS = 10;
 
-    /** Decayed call count below which a function is forgotten. */
+    /** Decayed request count below which a function is forgotten. */
     private static final double FORGOTTEN_BELOW = 0.05;
 
     private final DispatcherContext context;
     private final Map<String, FunctionStats> byFunction = new LinkedHashMap<>();
-    private final DecayingCounter allCalls = new DecayingCounter(FunctionStats.SHARE_WINDOW_NANOS);
+    private final DecayingCounter allRequests = new DecayingCounter(FunctionStats.SHARE_WINDOW_NANOS);
 
     FunctionTraffic(DispatcherContext context) {
         this.context = context;
     }
 
-    /** The function's statistics, or null if it wasn't called recently. */
+    /** The function's statistics, or null if it wasn't requested recently. */
     FunctionStats find(String function) {
         return byFunction.get(function);
     }
@@ -33,11 +33,11 @@
         return stats;
     }
 
-    /** Counts one call and returns the share of all calls that the function had before it. */
-    double countCall(FunctionStats stats) {
-        double share = stats.valueAt(context.now) / (allCalls.valueAt(context.now) + PRIOR_CALLS);
+    /** Counts one request and returns the share of all requests that the function had before it. */
+    double countRequest(FunctionStats stats) {
+        double share = stats.valueAt(context.now) / (allRequests.valueAt(context.now) + PRIOR_REQUESTS);
         stats.add(1, context.now);
-        allCalls.add(1, context.now);
+        allRequests.add(1, context.now);
         return share;
     }
 
@@ -49,7 +49,9 @@
         return byFunction.keySet();
     }
 
-    /** Forgets functions that are hardly called any more; each is given to {@code onRemoved}. Whether there were any. */
+    /**
+     * Forgets functions that are hardly requested any more; each is given to {@code onRemoved}. Whether there were any.
+     */
     boolean removeIdle(Predicate<FunctionStats> onRemoved) {
         return byFunction
                 .values()
--- a/policy/src/main/java/wharfhinge/policy/LoadReportTracker.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadReportTracker.java
@@ -53,8 +53,9 @@
     /**
      * Whether the load is below saturation, times a tolerance.
      *
-     * <p>Departure from the source design, which knows own sends only: it acts where workers report load, guards against
-     * many dispatchers that meet on one worker, and may hurt for seconds, while a stale report keeps calls away.
+     * <p>Departure from the source design, which knows own sends only: it acts where workers report load, guards
+     * against many dispatchers that meet on one worker, and may hurt for seconds, while a stale report keeps requests
+     * away.
      */
     boolean isBelowSaturation(WorkerState worker, double tolerance) {
         return load(worker) <= tolerance * Math.max(SATURATED_MULTIPLE * meanLoad, NEVER_SATURATED_LOAD);
--- a/policy/src/main/java/wharfhinge/policy/LoadScheduler.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadScheduler.java
@@ -53,7 +53,9 @@
         return inFlight + pendingOrders.size() == 0;
     }
 
-    /** Whether a load may be ordered before its request comes: orders are allowed, none waits, the limit isn't reached. */
+    /**
+     * Whether a load may be ordered before its request comes: orders are allowed, none waits, there is room for a load.
+     */
     boolean mayPrefetch() {
         return settings.loadOrdersAllowed() && pendingOrders.isEmpty() && !isAtLimit();
     }
--- a/policy/src/main/java/wharfhinge/policy/OutlierDetector.java
+++ b/policy/src/main/java/wharfhinge/policy/OutlierDetector.java
@@ -4,8 +4,8 @@
  * Ejects workers that fail or hang and takes them back by trials.
  *
  * <p>There is one judgement from two symptoms: a smoothed share of failures, and attempts past their patience with no
- * timely answer between. An ejected worker gets, after a pause that doubles with each failed trial, one idempotent first
- * send at a time (half open); a good answer restores it.
+ * timely answer between. An ejected worker gets, after a pause that doubles with each failed trial, one idempotent
+ * first send at a time (half open); a good answer restores it.
  */
 final class OutlierDetector {
     /** Pause before the first trial. */
--- a/policy/src/main/java/wharfhinge/policy/RequestQueue.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestQueue.java
@@ -3,7 +3,9 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 
-/** Requests that wait: for a worker, for a free lane of a copy, or for an ordered load. Looked at in short intervals. */
+/**
+ * Requests that wait: for a worker, for a free slot of a copy, or for an ordered load. Looked at in short intervals.
+ */
 final class RequestQueue {
     private static final long MAINTENANCE_INTERVAL_NANOS = 25 * DispatcherContext.NANOS_PER_MILLI;
 
--- a/policy/src/main/java/wharfhinge/policy/RequestRouter.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestRouter.java
@@ -13,8 +13,8 @@
     /** Ticks before the client's deadline from which a request in flight is no longer waited for. */
     private static final int IN_FLIGHT_MARGIN_TICKS = 3;
 
-    /** Part of the latency objective that a request may wait for a free lane. */
-    private static final double LANE_WAIT_SHARE = 0.25;
+    /** Part of the latency objective that a request may wait for a free slot. */
+    private static final double SLOT_WAIT_SHARE = 0.25;
 
     private final DispatcherContext context;
     private final FunctionCacheIndex cache;
@@ -78,7 +78,7 @@
             queue.awaitLoad(state, cached);
         } else if (!isAdmitted(state, worker)) {
             giveUp(state);
-        } else if (shouldAwaitLane(state, worker)) {
+        } else if (shouldAwaitSlot(state, worker)) {
             queue.add(state);
         } else if (!probes.probeBeforeSend(state, worker)) {
             send(state, worker);
@@ -94,23 +94,23 @@
         return !cache.isLoaded(worker, function) || admission.hasRoom(worker);
     }
 
-    /** Whether workers load on call and as many loads are in flight as may be. */
+    /** Whether workers load on demand and as many loads are in flight as may be. */
     private boolean isLoadHeldBack() {
         return !context.loadsOnlyByOrder && loads.isAtLimit();
     }
 
     /**
-     * Whether the request should wait for a free lane of the worker's copy.
+     * Whether the request should wait for a free slot of the worker's copy.
      *
      * <p>Departure from the source design: it acts while as many loads are in flight as may be. It guards against the
-     * load of a further copy that a worker starts for a request behind a taken lane, which the limit is to hold back. It
-     * may hurt where the lane is taken by a slow request, and since a free lane is seen only at the next tick.
+     * load of a further copy that a worker starts for a request behind a taken slot, which the limit is to hold back.
+     * It may hurt where the slot is taken by a slow request, and since a free slot is seen only at the next tick.
      */
-    private boolean shouldAwaitLane(RequestState state, WorkerState worker) {
+    private boolean shouldAwaitSlot(RequestState state, WorkerState worker) {
         return isLoadHeldBack()
                 && cache.isLoaded(worker, state.function())
-                && !ranker.hasFreeLane(worker, state.request)
-                && context.now - state.arrivedAt < LANE_WAIT_SHARE * state.latencyObjectiveNanos;
+                && !ranker.hasFreeSlot(worker, state.request)
+                && context.now - state.arrivedAt < SLOT_WAIT_SHARE * state.latencyObjectiveNanos;
     }
 
     void send(RequestState state, WorkerState worker) {
--- a/policy/src/main/java/wharfhinge/policy/RequestState.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestState.java
@@ -16,7 +16,7 @@
     /** The class's latency objective, or the client's remaining time where that is less. */
     final long latencyObjectiveNanos;
 
-    /** The function's share of this dispatcher's calls, before this one. */
+    /** The function's share of this dispatcher's requests, before this one. */
     final double trafficShare;
 
     final List<Attempt> attempts = new ArrayList<>(2);
--- a/policy/src/main/java/wharfhinge/policy/ResidencyQueries.java
+++ b/policy/src/main/java/wharfhinge/policy/ResidencyQueries.java
@@ -6,7 +6,7 @@
 /**
  * Asks a function's preferred workers whether they have a copy (a load order of none) before a first send.
  *
- * <p>Departure from the source design: it acts in small groups whose workers load on call, for a function that is
+ * <p>Departure from the source design: it acts in small groups whose workers load on demand, for a function that is
  * believed to be loaded nowhere. It guards a dispatcher that was restarted, or whose endpoint list changed, against
  * loads beside copies that are there. It costs messages, and the reply timeout where a worker is silent and none that
  * answers has a copy.
@@ -78,7 +78,7 @@
         replies.scheduleTimeout(state);
     }
 
-    /** The request for which the worker was asked about the function, or null: then the answer is that of a load order. */
+    /** The request for which the worker was queried, or null: then the answer is that of a load order. */
     Request takeAnswered(String workerId, String function) {
         return unanswered.remove(key(workerId, function));
     }
--- a/policy/src/main/java/wharfhinge/policy/SlowStartBudget.java
+++ b/policy/src/main/java/wharfhinge/policy/SlowStartBudget.java
@@ -61,10 +61,10 @@
     /**
      * Adds the tokens since the last refill.
      *
-     * <p>Departure from the source design: where this dispatcher's part of an overload window is below one token, unused
-     * tokens expire after a window. It guards against dispatchers that didn't send for seconds and then all send in one
-     * window; it may hurt where calls for the worker are rarer than a window, which then gets less than it could bear.
-     * The token of a fleet that warms up as a whole doesn't expire.
+     * <p>Departure from the source design: where this dispatcher's part of an overload window is below one token,
+     * unused tokens expire after a window. It guards against dispatchers that didn't send for seconds and then all send
+     * in one window; it may hurt where requests for the worker are rarer than a window, which then gets less than it
+     * could bear. The token of a fleet that warms up as a whole doesn't expire.
      */
     private void refill(WorkerState worker, double ratePerNano, boolean aboveMinimum) {
         double tokensPerWindow = ratePerNano * rules.overloadWindowNanos();
--- a/policy/src/main/java/wharfhinge/policy/WeightReporting.java
+++ b/policy/src/main/java/wharfhinge/policy/WeightReporting.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What {@link Endpoint#weight} holds: always 1, the capacity, the capacity roughly, or the capacity less the present load. */
+/** What {@link Endpoint#weight} holds: always 1, capacity, rough capacity, or capacity less the present load. */
 public enum WeightReporting {
     SILENT,
     NOMINAL,
--- a/policy/src/main/java/wharfhinge/policy/WorkerRanker.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerRanker.java
@@ -6,17 +6,17 @@
 
 /**
  * Ranks the eligible workers for a request in the order of the source design: believed to have the function, below the
- * limit and with a free lane; then the first preferred worker below its limit; then the fewest requests in flight.
+ * limit and with a free slot; then the first preferred worker below its limit; then the fewest requests in flight.
  */
 final class WorkerRanker {
     /** Preferred workers that are worked out beside twice those needed, since some may not be eligible. */
     private static final int EXTRA_PREFERRED = 16;
 
-    /** Preferred workers of a function for each worker that its share of the calls fills. Tried: 4 and 8 alike, 2 worse. */
+    /** Preferred workers for each worker that a function's share of requests fills. Tried: 4 and 8 alike, 2 worse. */
     private static final double PREFERRED_PER_FILLED_WORKER = 5;
 
-    /** Requests of this dispatcher that may share a lane of a copy where workers don't load another by themselves. */
-    private static final int REQUESTS_PER_LANE_BY_ORDER = 2;
+    /** Requests of this dispatcher that may share a slot of a copy where workers don't load another by themselves. */
+    private static final int REQUESTS_PER_SLOT_BY_ORDER = 2;
 
     private final DispatcherContext context;
     private final WorkerRegistry registry;
@@ -94,21 +94,21 @@
                 function,
                 worker -> (worker.preferredInRanking == ranking || cache.isLoaded(worker, function))
                         && isBelowLimit(worker)
-                        && hasFreeLane(worker, state.request));
+                        && hasFreeSlot(worker, state.request));
     }
 
     /**
      * Whether a further copy is to be ordered though one is available.
      *
-     * <p>Departure from the source design: it acts where only orders load, none is in flight or waits, and the available
-     * worker reports more in flight than its capacity, and than most. It guards against hot functions that crowd the
-     * workers that have them; at worst a load is wasted.
+     * <p>Departure from the source design: it acts where only orders load, none is in flight or waits, and the
+     * available worker reports more in flight than its capacity, and than most. It guards against hot functions that
+     * crowd the workers that have them; at worst a load is wasted.
      */
     private boolean shouldAddCopyBeside(WorkerState available) {
         return context.loadsOnlyByOrder && loads.isIdle() && isBusy(available) && loadReports.load(available) > 1;
     }
 
-    /** The worker on which a further copy would be loaded: the assigned one, else the first preferred one with memory. */
+    /** Where a further copy would be loaded: on the assigned worker, else on the first preferred one with memory. */
     private WorkerState loadTarget(RequestState state, WorkerState assigned) {
         String function = state.function();
         if (assigned != null && lacksCopy(assigned, function)) {
@@ -126,11 +126,11 @@
     }
 
     /**
-     * The best worker with a copy, all of whose lanes may be taken, where no load may be started on call.
+     * The best worker with a copy, all of whose slots may be taken, where no load may be started on demand.
      *
      * <p>Departure from the source design: where only orders load, and at the limit of loads in flight, a request that
-     * finds no free lane stays with a copy. It guards against waits for a whole load and against load storms; it may hurt
-     * where the copies are slow.
+     * finds no free slot stays with a copy. It guards against waits for a whole load and against load storms; it may
+     * hurt where the copies are slow.
      */
     private WorkerState copyAtLimit(RequestState state, WorkerState target) {
         String function = state.function();
@@ -181,18 +181,18 @@
         return candidates.stream().anyMatch(worker -> cache.isLoaded(worker, function));
     }
 
-    /** Whether one more request of the function wouldn't wait for a lane, or make the worker load another copy. */
-    boolean hasFreeLane(WorkerState worker, Request request) {
+    /** Whether one more request of the function wouldn't wait for a slot, or make the worker load another copy. */
+    boolean hasFreeSlot(WorkerState worker, Request request) {
         CachedFunction cached = worker.cachedFunctions.get(request.function());
-        int perLane = context.loadsOnlyByOrder ? REQUESTS_PER_LANE_BY_ORDER : 1;
-        return cached == null || cached.inFlight < perLane * Math.max(1, request.concurrencyPerCopy());
+        int perSlot = context.loadsOnlyByOrder ? REQUESTS_PER_SLOT_BY_ORDER : 1;
+        return cached == null || cached.inFlight < perSlot * Math.max(1, request.concurrencyPerCopy());
     }
 
     /**
      * How many preferred workers count as having the function.
      *
-     * <p>Departure from the source design: a function with a share of all calls needs that share of the workers. It acts
-     * where the share, times the part of the sends that peers make, fills two workers or more, and workers load by
+     * <p>Departure from the source design: a function with a share of all requests needs that share of the workers. It
+     * acts where the share, times the part of the sends that peers make, fills two workers or more, and workers load by
      * themselves. It guards against dispatchers that all fill one worker; a share taken too high spends memory.
      */
     private int preferredCount(RequestState state) {
@@ -250,10 +250,10 @@
     /**
      * Compares by own requests in flight.
      *
-     * <p>Departure from the source design: among equals, as most are where there are many dispatchers, busy workers come
-     * last; then, except in small groups, which see enough by themselves, those with the function come first; then the
-     * least reported load. It guards against queues that peers made and that own sends don't show. It may hurt where
-     * functions are slow by nature, or reports lag.
+     * <p>Departure from the source design: among equals, as most are where there are many dispatchers, busy workers
+     * come last; then, except in small groups, which see enough by themselves, those with the function come first; then
+     * the least reported load. It guards against queues that peers made and that own sends don't show. It may hurt
+     * where functions are slow by nature, or reports lag.
      */
     private int compare(WorkerState first, WorkerState second, String function) {
         if (first.inFlight != second.inFlight) {
--- a/policy/src/test/java/wharfhinge/policy/AdmissionControllerTest.java
+++ b/policy/src/test/java/wharfhinge/policy/AdmissionControllerTest.java
@@ -21,7 +21,7 @@
     /** Overload: a dispatcher whose answers come late, or tell saturation, takes fewer requests. */
     @Test
     void mostAnswersTellSaturation_requestsAreShed() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         int rejected = 0;
         for (int i = 0; i < 60; i++) {
@@ -39,7 +39,7 @@
     /** A client with little time left does not wait for half the class's latency objective. */
     @Test
     void requestNearItsDeadline_isRejectedInTime() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e", "g", "h", "i", "j", "k", "l");
         for (int i = 0; i < 8; i++) {
             host.sendRequest("f" + i);
@@ -95,7 +95,7 @@
     /** While nothing can take it a request may wait, but not past the time that serving it needs. */
     @Test
     void queuedRequestThatCannotBeServedInTime_isRejectedAtOnce() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b");
         for (int i = 0; i < 50; i++) {
             host.complete(host.sendRequest("f"), 0, SERVED, HIT, 300);
--- a/policy/src/test/java/wharfhinge/policy/CacheAwareDispatcherTest.java
+++ b/policy/src/test/java/wharfhinge/policy/CacheAwareDispatcherTest.java
@@ -18,7 +18,7 @@
 
     @Test
     void emptyEndpointList_requestIsQueuedUntilItsDeadline() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers();
         String request = host.sendRequest("f");
         assertNull(host.workerOf(request));
@@ -31,7 +31,7 @@
 
     @Test
     void queuedRequest_onNewWorker_isSent() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers();
         String request = host.sendRequest("f");
         host.listWorkers("b");
@@ -41,7 +41,7 @@
 
     @Test
     void drainingRemovedAndUnlistedWorkers_getNoRequests() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         String cachedRequest = host.sendRequest("f");
         String preferredWorker = host.workerOf(cachedRequest);
@@ -60,7 +60,7 @@
     void sameEventsAndSeed_giveTheSameActions() {
         List<String> first = null;
         for (int run = 0; run < 2; run++) {
-            FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+            FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
             host.listWorkers("b", "c", "d", "e");
             for (int i = 0; i < 200; i++) {
                 String request = host.sendRequest("f" + i % 17);
--- a/policy/src/test/java/wharfhinge/policy/ConcurrencyLimiterTest.java
+++ b/policy/src/test/java/wharfhinge/policy/ConcurrencyLimiterTest.java
@@ -16,7 +16,7 @@
     /** Many dispatchers send to a worker seldom: each rejection for saturation has to tell for longer. */
     @Test
     void saturatedAnswers_doubleThePauseOfADispatcherThatSendsSeldom() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         String first = host.sendRequest("f");
         String preferredWorker = host.workerOf(first);
--- a/policy/src/test/java/wharfhinge/policy/FakeDispatcherHost.java
+++ b/policy/src/test/java/wharfhinge/policy/FakeDispatcherHost.java
@@ -28,8 +28,8 @@
         dispatcher = new CacheAwareDispatcher(now, seed, settings, this);
     }
 
-    /** A host of a small group whose workers load on call. */
-    static FakeDispatcherHost loadingOnCall() {
+    /** A host of a small group whose workers load on demand. */
+    static FakeDispatcherHost loadingOnDemand() {
         return new FakeDispatcherHost(settings(Effect.IDEMPOTENT, OnMissBehavior.LOAD, true));
     }
 
--- a/policy/src/test/java/wharfhinge/policy/IdempotencyGuardTest.java
+++ b/policy/src/test/java/wharfhinge/policy/IdempotencyGuardTest.java
@@ -91,7 +91,7 @@
 
     @Test
     void attempts_stayWithinTheConfiguredMaximum() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e", "g", "h");
         String request = host.sendRequest("f");
         for (int i = 0; i < 4; i++) {
--- a/policy/src/test/java/wharfhinge/policy/LoadLimitTest.java
+++ b/policy/src/test/java/wharfhinge/policy/LoadLimitTest.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The limit on loads in flight where workers load on call. */
+/** The limit on loads in flight where workers load on demand. */
 class LoadLimitTest {
 
     @Test
     void loadsInFlightAtTheirLimit_requestThatNeedsALoadWaits() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e", "g", "h", "i", "j", "k", "l");
         for (int i = 0; i < 8; i++) {
             host.sendRequest("f" + i);
@@ -35,7 +35,7 @@
     /** Peers keep functions loaded that are not in the own index: such sends are no loads and are not limited. */
     @Test
     void sendsThatFindACopy_doNotCountAgainstTheLoadLimit() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e", "g", "h", "i", "j", "k", "l");
         for (int i = 0; i < 60; i++) {
             host.serve(host.sendRequest("f" + i));
@@ -50,7 +50,7 @@
     @Test
     void brokenConnection_keepsTheBeliefInTheCopy() {
         for (Outcome outcome : List.of(RESET, CONNECT_FAILED)) {
-            FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+            FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
             host.listWorkers("b", "c", "d", "e");
             String first = host.sendRequest("f");
             String preferredWorker = host.workerOf(first);
@@ -68,7 +68,7 @@
     /** Nor of the store: loads that broke neither fill the limit on loads in flight nor cut it. */
     @Test
     void brokenConnections_doNotLowerTheLoadLimit() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e", "g", "h", "i", "j", "k", "l");
         for (int i = 0; i < 12; i++) {
             String request = host.sendRequest("f" + i);
@@ -82,10 +82,10 @@
         }
     }
 
-    /** A lone worker may load as many copies as it likes: waiting for lanes would only delay requests. */
+    /** A lone worker may load as many copies as it likes: waiting for slots would only delay requests. */
     @Test
-    void belowTheLoadLimit_noRequestWaitsForALane() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+    void belowTheLoadLimit_noRequestWaitsForASlot() {
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.concurrencyPerCopy = 1;
         host.listWorkers("b");
         host.serve(host.sendRequest("f1"));
@@ -94,10 +94,10 @@
         }
     }
 
-    /** At the load limit: behind a taken lane the worker would load what the limit holds back. */
+    /** At the load limit: behind a taken slot the worker would load what the limit holds back. */
     @Test
-    void atTheLoadLimit_requestWaitsForALaneForAQuarterOfItsObjective() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+    void atTheLoadLimit_requestWaitsForASlotForAQuarterOfItsObjective() {
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.concurrencyPerCopy = 1;
         host.listWorkers("b", "c", "d", "e");
         String first = host.sendRequest("f1");
--- a/policy/src/test/java/wharfhinge/policy/LoadOrderTest.java
+++ b/policy/src/test/java/wharfhinge/policy/LoadOrderTest.java
@@ -61,7 +61,7 @@
         List<String> busy = List.of(
                 host.sendRequest("f"),
                 host.sendRequest("f"),
-                host.sendRequest("f")); // two lanes and one: a further copy
+                host.sendRequest("f")); // two slots and one: a further copy
         assertTrue(host.hasRecorded("ensureLoaded " + other + " f 1"));
         host.dispatcher.onLoadCompleted(host.now, other, "f", 1, SERVED, 500 * FakeDispatcherHost.MS);
         busy.forEach(host::serve);
--- a/policy/src/test/java/wharfhinge/policy/OutlierDetectorTest.java
+++ b/policy/src/test/java/wharfhinge/policy/OutlierDetectorTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void failingWorker_isEjectedAndRestoredByATrial() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         String preferredWorker = host.workerOf(host.sendRequest("f"));
         for (int i = 0; i < 8; i++) {
@@ -42,7 +42,7 @@
 
     @Test
     void silentWorker_isEjectedAndItsRequestsAreHedged() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         List<String> out = List.of(host.sendRequest("f"), host.sendRequest("f"), host.sendRequest("f"));
         String preferredWorker = host.workerOf(out.get(0));
@@ -60,7 +60,7 @@
 
     @Test
     void singleSlowAnswer_ejectsNobody() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         for (int i = 0; i < 40; i++) {
             String request = host.sendRequest("f" + i);
@@ -71,7 +71,7 @@
 
     @Test
     void mostWorkersFailing_requestsAreStillSent() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         for (int i = 0; i < 40; i++) {
             String request = host.sendRequest("f" + i);
@@ -86,7 +86,7 @@
     /** Where each dispatcher sees little, trials could become most of its traffic. */
     @Test
     void trials_areAtMostOneInTwentyRequests() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e", "g", "h", "i", "j");
         for (int i = 0; i < 90; i++) {
             String request = host.sendRequest("f" + i);
@@ -140,7 +140,7 @@
     /** What no worker ever served and two failed is its callers' fault; what they serve well tells how they are. */
     @Test
     void errorsOnUnknownFunctions_ejectNobody() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         for (int i = 0; i < 60; i++) {
             host.serve(host.sendRequest("known" + i % 8));
@@ -156,7 +156,7 @@
     /** After a stall of this process every timer is late: that tells nothing of the workers. */
     @Test
     void stallOfThisProcess_ejectsNobody() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         List<String> out = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
--- a/policy/src/test/java/wharfhinge/policy/ResidencyQueriesTest.java
+++ b/policy/src/test/java/wharfhinge/policy/ResidencyQueriesTest.java
@@ -20,7 +20,7 @@
     @Test
     void functionNotKnownToBeLoaded_isQueriedAndSentWhereACopyIs() {
         for (String workerWithCopy : List.of("b", "c", "d", "e")) {
-            FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+            FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
             host.listWorkers("b", "c", "d", "e");
             host.loadedCopies.add(workerWithCopy + " f1");
             assertEquals(workerWithCopy, host.workerOf(host.sendRequest("f1")));
@@ -41,7 +41,7 @@
 
     @Test
     void firstReplyWithACopy_endsTheWait() {
-        FakeDispatcherHost host = withUnansweredQueries(FakeDispatcherHost.loadingOnCall());
+        FakeDispatcherHost host = withUnansweredQueries(FakeDispatcherHost.loadingOnDemand());
         String request = host.sendRequest("f1");
         assertNull(host.workerOf(request));
         host.dispatcher.onLoadCompleted(host.now, "c", "f1", 0, SERVED, FakeDispatcherHost.MS);
@@ -55,10 +55,10 @@
 
     @Test
     void noReply_requestGoesToItsPreferredWorker() {
-        FakeDispatcherHost asks = withUnansweredQueries(FakeDispatcherHost.loadingOnCall());
+        FakeDispatcherHost asks = withUnansweredQueries(FakeDispatcherHost.loadingOnDemand());
         String request = asks.sendRequest("f1");
         asks.fireTimer("look:" + request);
-        FakeDispatcherHost none = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost none = FakeDispatcherHost.loadingOnDemand();
         none.listWorkers("b", "c", "d", "e");
         assertEquals(none.workerOf(none.sendRequest("f1")), asks.workerOf(request));
     }
@@ -66,7 +66,7 @@
     /** Clients that repeat what was rejected would have the preferred workers queried again each time. */
     @Test
     void functionThatNobodyHas_isNotQueriedAgainAtOnce() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         for (int i = 0; i < 12; i++) {
             host.sendRequest("g" + i); // nobody has them: as many loads are in flight as may be
@@ -89,9 +89,9 @@
         assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("ensureLoaded ")));
     }
 
-    /** Where the fourth function goes, each of which fills a worker, if a copy of it stands on that one. */
+    /** Where the fourth function goes, each of which fills a worker, if that worker has a copy of it. */
     private static String workerOfFourthFunctionOnFullFleet(String workerWithCopy) {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.memoryMb = 600; // of 1,000 on each
         host.listWorkers("b", "c", "d", "e");
         for (int i = 0; i < 3; i++) {
--- a/policy/src/test/java/wharfhinge/policy/SlowStartBudgetTest.java
+++ b/policy/src/test/java/wharfhinge/policy/SlowStartBudgetTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void restartedWorker_warmsUpWithoutCachedFunctions() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c");
         for (int i = 0; i < 100; i++) {
             host.serve(host.sendRequest("f" + i % 10));
@@ -33,7 +33,7 @@
 
     @Test
     void unansweredRequests_doNotEnlargeTheBudget() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b");
         host.updateWorker("c", UP, host.now);
         int sent = 0;
--- a/policy/src/test/java/wharfhinge/policy/SlowStartGroup.java
+++ b/policy/src/test/java/wharfhinge/policy/SlowStartGroup.java
@@ -27,11 +27,11 @@
     private SlowStartGroup() {}
 
     /**
-     * Plays it.
+     * Asserts that every window stays within the budget.
      *
      * @param allowed N of the window in which requests prefer the worker first
      * @param idle    whether requests prefer it only some seconds after its start
-     * @param weight  of the warm workers, each of which bears so many times what the one that warms up, of weight 1, will
+     * @param weight  of the warm workers, each of which bears so many times what the one that warms up will
      * @param uneven  deviation of the logarithm of the dispatchers' shares of the requests; 0 for like shares
      */
     static void assertWithinBudget(
@@ -39,8 +39,8 @@
         double firstMillis = idle ? IDLE_MS + WINDOW_MS : WINDOW_MS;
         double perWorker = allowed
                 / (OVERLOAD_FACTOR
-                        * share(firstMillis)); // calls in a window that the worker bears once it has warmed up
-        double callsPerMillis = perWorker * (WARM.size() * weight + 1) / WINDOW_MS;
+                        * share(firstMillis)); // requests in a window that the worker bears once it has warmed up
+        double requestsPerMillis = perWorker * (WARM.size() * weight + 1) / WINDOW_MS;
         Random random = new Random(seed);
         double[] shares = shares(dispatchers, uneven, random);
         ArrayDeque<Integer> sent = new ArrayDeque<>(); // when, since the start, ms
@@ -67,7 +67,7 @@
                 }
                 for (due[i] += (ms < preferredFromMillis ? 1 : BURST)
                                 * shares[i]
-                                * callsPerMillis
+                                * requestsPerMillis
                                 * TICK_MS
                                 * 2
                                 * random.nextDouble();
--- a/policy/src/test/java/wharfhinge/policy/WorkerRankerTest.java
+++ b/policy/src/test/java/wharfhinge/policy/WorkerRankerTest.java
@@ -16,7 +16,7 @@
 
     @Test
     void repeatedFunction_staysOnItsWorker() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         String first = host.sendRequest("f1");
         host.serve(first);
@@ -33,7 +33,7 @@
     /** Peers send a like share to the same preferred workers, which own sends do not show. */
     @Test
     void functionWithTrafficShare_usesThatShareOfWorkers() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e", "g", "h", "i", "j", "k", "l", "m", "x");
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 400; i++) {
@@ -48,7 +48,7 @@
 
     @Test
     void workerAboveItsLimit_requestsSpillToOthers() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         assertEquals(host.workerOf(host.sendRequest("f1")), host.workerOf(host.sendRequest("f1")));
         Set<String> used = new HashSet<>();
@@ -59,8 +59,8 @@
     }
 
     @Test
-    void copyWithoutFreeLane_requestGoesElsewhere() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+    void copyWithoutFreeSlot_requestGoesElsewhere() {
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.concurrencyPerCopy = 1;
         host.listWorkers("b", "c", "d", "e");
         assertNotEquals(host.workerOf(host.sendRequest("f1")), host.workerOf(host.sendRequest("f1")));
@@ -82,7 +82,7 @@
     /** Queues that peers made show only in answers: the slower of two workers with a copy comes last for a while. */
     @Test
     void amongEquals_recentlySlowWorkerComesLast() {
-        FakeDispatcherHost host = FakeDispatcherHost.loadingOnCall();
+        FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.concurrencyPerCopy = 1;
         host.listWorkers("b", "c");
         String one = host.sendRequest("f");
