--- /dev/null
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerGoldenTest.java
@@ -0,0 +1,193 @@
+package wharfhinge.decisions.copies;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
+import wharfhinge.decisions.copies.CopyScheduler.LoadEnd;
+import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
+
+/**
+ * Holds the exact sequence of actions for random sequences of events, as a digest (enums by ordinal,
+ * so that a renamed constant changes nothing). A change of the scheduler's structure must
+ * leave the digest as it is; a change of its decisions replaces it and says so in its commit.
+ */
+class CopySchedulerGoldenTest {
+    private static final String EXPECTED_DIGEST = "2dd01e1a484bc5580a3d0ce7ddb04884c9b4f4c191f285fa8213b4fc48c44419";
+    private static final int SEEDS = 500;
+    private static final int STEPS = 400;
+
+    /** Records each action as text and remembers what is under way, so that events refer to what exists. */
+    private static final class FakeWorker implements CopyScheduler.Actions {
+        private final MessageDigest digest;
+        private final Set<Long> loading = new LinkedHashSet<>();
+        private final Map<Long, Long> copyByRunningCall = new LinkedHashMap<>();
+        private final Set<Long> stopping = new LinkedHashSet<>();
+        private final List<Long> copiesOfOverdueThreads = new ArrayList<>();
+
+        FakeWorker(MessageDigest digest) {
+            this.digest = digest;
+        }
+
+        private void record(String action) {
+            digest.update((action + "\n").getBytes(StandardCharsets.UTF_8));
+        }
+
+        @Override
+        public void load(long copy, String function, long bookedKb) {
+            loading.add(copy);
+            record("load " + copy + " " + function + " " + bookedKb);
+        }
+
+        @Override
+        public void run(long call, long copy) {
+            copyByRunningCall.put(call, copy);
+            record("run " + call + " " + copy);
+        }
+
+        @Override
+        public void interrupt(long call) {
+            record("interrupt " + call);
+        }
+
+        @Override
+        public void answer(long call, CopyScheduler.Answer answer, CopyScheduler.Met met, int company) {
+            record("answer " + call + " " + answer.ordinal() + " " + (met == null ? "-" : met.ordinal()) + " "
+                    + company);
+        }
+
+        @Override
+        public void answerOrder(long order, OrderAnswer answer, int ready) {
+            record("order " + order + " " + answer.ordinal() + " " + ready);
+        }
+
+        @Override
+        public void stop(long copy) {
+            stopping.add(copy);
+            record("stop " + copy);
+        }
+
+        @Override
+        public void drained() {
+            record("drained");
+        }
+    }
+
+    @Test
+    void actionsOfRandomEventSequences_matchTheRecordedDigest() throws Exception {
+        MessageDigest digest = MessageDigest.getInstance("SHA-256");
+        for (int seed = 0; seed < SEEDS; seed++) {
+            play(new Random(seed), new FakeWorker(digest));
+        }
+        assertEquals(EXPECTED_DIGEST, HexFormat.of().formatHex(digest.digest()));
+    }
+
+    private static void play(Random random, FakeWorker worker) {
+        CopySettings settings = new CopySettings(
+                100,
+                20,
+                1 + random.nextInt(6),
+                1 + random.nextInt(3),
+                1 + random.nextInt(5),
+                60,
+                random.nextInt(4) > 0,
+                random.nextBoolean());
+        CopyScheduler scheduler = new CopyScheduler(settings, worker);
+        long now = 0;
+        for (int step = 0; step < STEPS; step++) {
+            now += random.nextInt(8);
+            if (random.nextBoolean()) {
+                requestEvent(random, scheduler, now, step);
+            } else {
+                workerEvent(random, scheduler, worker, now);
+            }
+            worker.record("books " + scheduler.ledger().held() + " "
+                    + scheduler.ledger().free() + " "
+                    + scheduler.ledger().busyShare() + " " + scheduler.held() + " " + scheduler.waiting() + " "
+                    + scheduler.loads() + " " + scheduler.copies());
+        }
+        scheduler.drain(now);
+        scheduler.tick(now + 1000);
+    }
+
+    private static void requestEvent(Random random, CopyScheduler scheduler, long now, int step) {
+        String function = "f" + random.nextInt(4);
+        MemoryEstimate hint = new MemoryEstimate(random.nextInt(3) * 15, 0);
+        switch (random.nextInt(9)) {
+            case 0, 1, 2, 3, 4 -> scheduler.call(now, step, function, hint, now + 5 + random.nextInt(60));
+            case 5 -> scheduler.hold(now, step, function, random.nextInt(5), hint);
+            case 6 -> scheduler.cancelled(now, random.nextInt(step + 1));
+            case 7 -> scheduler.orderCancelled(now, random.nextInt(step + 1));
+            default -> scheduler.unload(now, function);
+        }
+    }
+
+    private static void workerEvent(Random random, CopyScheduler scheduler, FakeWorker worker, long now) {
+        switch (random.nextInt(10)) {
+            case 0 -> scheduler.tick(now);
+            case 1 -> scheduler.leaked(now, Math.max(0, random.nextInt(60) - 40));
+            case 2 -> {
+                if (!worker.copiesOfOverdueThreads.isEmpty()) {
+                    scheduler.threadBack(now, worker.copiesOfOverdueThreads.remove(0));
+                }
+            }
+            case 3, 4 -> {
+                long copy = anyOf(worker.stopping, random);
+                if (copy > 0 && random.nextInt(4) == 0) {
+                    scheduler.hung(now, copy);
+                } else if (copy > 0) {
+                    worker.stopping.remove(copy);
+                    scheduler.stopped(now, copy);
+                }
+            }
+            case 5, 6, 7 -> endCall(random, scheduler, worker, now);
+            default -> endLoad(random, scheduler, worker, now);
+        }
+    }
+
+    private static void endCall(Random random, CopyScheduler scheduler, FakeWorker worker, long now) {
+        if (worker.copyByRunningCall.isEmpty()) {
+            return;
+        }
+        long call = anyOf(worker.copyByRunningCall.keySet(), random);
+        long copy = worker.copyByRunningCall.remove(call);
+        int kind = random.nextInt(8);
+        CallEnd end = kind < 4 ? CallEnd.values()[kind] : CallEnd.SERVED;
+        if (end == CallEnd.OVER_LIMIT) {
+            worker.copiesOfOverdueThreads.add(copy);
+        }
+        scheduler.callEnded(now, call, end);
+    }
+
+    private static void endLoad(Random random, CopyScheduler scheduler, FakeWorker worker, long now) {
+        if (worker.loading.isEmpty()) {
+            return;
+        }
+        long copy = anyOf(worker.loading, random);
+        worker.loading.remove(copy);
+        MemoryEstimate measured = new MemoryEstimate(10 + 5L * random.nextInt(6), 1 + random.nextInt(2));
+        if (!scheduler.measured(now, copy, measured)) {
+            scheduler.loadEnded(now, copy, LoadEnd.MISJUDGED);
+            return;
+        }
+        int kind = random.nextInt(8);
+        scheduler.loadEnded(now, copy, kind == 0 ? LoadEnd.FAILED : kind == 1 ? LoadEnd.FAILED_STUCK : LoadEnd.READY);
+    }
+
+    private static long anyOf(Set<Long> ids, Random random) {
+        if (ids.isEmpty()) {
+            return 0;
+        }
+        return ids.stream().skip(random.nextInt(ids.size())).findFirst().orElseThrow();
+    }
+}
