--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
@@ -1,48 +1,50 @@
 package wharfhinge.decisions.copies;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-import wharfhinge.decisions.copies.MemoryAccounting.Part;
+import java.util.Optional;
 
 /**
- * The decisions on all copies of one worker: a call runs on a copy with a free lane, waits, begins a load, is a miss, or is
- * turned away; idle copies go when memory is wanted. Told events and time in nanoseconds, answers with {@link Actions},
- * which may not call back in. One thread.
+ * Schedules the calls and loads of one worker: a call runs on a copy with a free lane, waits for one, starts a load, is a miss,
+ * or is rejected; idle copies are evicted when memory is needed. The class reads as the way of an event; what it decides on
+ * stands in collaborators: {@link CallTable} (calls in flight), {@link LoadQueue} (loads admitted), {@link LoadOrders} (orders
+ * for copies) and {@link CopyPool} (copies and their memory).
  *
- * <p>A load is admitted once what is free, what is leaving and what may be evicted cover it beside all admitted before;
- * it begins once its memory is really free and fewer than the allowed loads run, first come first served. So memory that
- * suffices for either of two loads but not both goes to the first, and the second is turned away at once.
+ * <p>Pure: events come in with their time in nanoseconds of one monotonic clock, {@link Actions} go out and may not call back
+ * in. One thread.
  *
- * <p>Bounds: calls waiting, loads in line, loads at once; beyond them the answer is {@code full}. Figures that packages told
- * are remembered for {@value #REMEMBERED} functions, those asked for longest ago are forgotten first.
+ * <p>Bounded are calls that wait, loads that wait and loads under way; beyond a bound the answer is {@link Answer#FULL}.
  */
 public final class CopyScheduler {
-    private static final int REMEMBERED = 4096;
-
     /** How a call is answered. */
     public enum Answer {
+        /** It ran to its end. */
         SERVED,
+        /** It ran and failed, or may still run. */
         ERROR,
+        /** It did not run: no lane, queue place or memory is to be had in time. */
         FULL,
+        /** It did not run: no copy is loaded, and only orders load. */
         MISS,
+        /** It did not run: the load that it waited for failed. */
         MISS_LOAD_FAILED
     }
 
-    /** What copy a call met. */
+    /** Which copy a call ran on. */
     public enum Met {
+        /** One that was loaded when the call arrived. */
         FOUND,
+        /** One that was loaded for the call: a cold start. */
         BEGAN,
+        /** One whose load had been admitted before the call arrived. */
         WAITED
     }
 
     /** How an order is answered. */
     public enum OrderAnswer {
+        /** As many copies as were asked for are ready. */
         SERVED,
+        /** Fewer could be admitted; those that could are ready. */
         FULL,
+        /** A load failed. */
         ERROR
     }
 
@@ -50,675 +52,344 @@
     public enum CallEnd {
         /** With an answer. */
         SERVED,
-        /** With an error that says nothing against the copy. */
+        /** With an error that leaves the copy usable. */
         ERROR,
-        /** With an error after which the copy is not to be trusted. */
+        /** With an error after which the copy must not run another call. */
         BROKE,
-        /** Not at all: it is over its limit, and its thread is still in the copy. */
+        /** Not at all: it exceeded its time limit, and its thread is still in the copy. */
         OVER_LIMIT
     }
 
     /** How a load ended. */
     public enum LoadEnd {
-        /** The copy stands. */
+        /** The copy can run calls. */
         READY,
         /** It failed and its memory was given back. */
         FAILED,
-        /** It failed and something of it does not end. */
+        /** It failed and its memory can't be given back: something in it does not end. */
         FAILED_STUCK,
-        /** The package needs more than was booked; what it needs was told by {@link CopyScheduler#measured}. */
+        /** The package needs more memory than was booked; {@link CopyScheduler#measured} was told how much. */
         MISJUDGED
     }
 
-    /** What becomes of decisions. */
+    /** What the worker has to do. Called in the order of the decisions; must not call the scheduler. */
     public interface Actions {
-        /** Begins a load for which so much is booked. */
+        /** Starts a load for which {@code bookedKb} KiB are booked; {@link CopyScheduler#loadEnded} follows. */
         void load(long copy, String function, long bookedKb);
 
-        /** Runs a call. */
+        /** Runs a call; {@link CopyScheduler#callEnded} follows. */
         void run(long call, long copy);
 
         /** Asks the code that runs a cancelled call to end. */
         void interrupt(long call);
 
-        /** Answers a call; {@code met} is null where no copy ran it. */
+        /**
+         * Answers a call.
+         *
+         * @param met     which copy ran it; null where none did, or it failed
+         * @param company other calls of the function that ran or waited on this worker when the call arrived
+         */
         void answer(long call, Answer answer, Met met, int company);
 
-        /** Answers an order with how many copies stand ready. */
+        /** Answers an order with the number of copies that are ready. */
         void answerOrder(long order, OrderAnswer answer, int ready);
 
         /** Gives an idle copy's memory back; {@link CopyScheduler#stopped} or {@link CopyScheduler#hung} follows. */
         void stop(long copy);
 
-        /** It drains and holds nothing any more. */
+        /** The graceful shutdown is complete: no call is in flight any more. */
         void drained();
     }
 
-    private enum State {
-        LINED,
-        LOADING,
-        READY,
-        LEAVING,
-        STUCK
-    }
-
-    private static final class Copy {
-        private final long id;
-        private final Fn fn;
-        private long kb;
-        private int lanes = 1;
-        private State state = State.LINED;
-        private boolean spoiled; // takes no more calls
-        private boolean ordered;
-        private int running;
-        private int overdue; // threads of calls given up on that are still in it
-        private long idleSince;
-
-        Copy(long id, Fn fn, long kb) {
-            this.id = id;
-            this.fn = fn;
-            this.kb = kb;
-        }
-
-        boolean live() {
-            return !spoiled && state != State.LEAVING && state != State.STUCK;
-        }
-
-        boolean ready() {
-            return !spoiled && state == State.READY;
-        }
-    }
-
-    private static final class Call {
-        private final long id;
-        private final Fn fn;
-        private final long until;
-        private final int company;
-        private Met met;
-        private Copy copy;
-        private boolean cancelled;
-
-        Call(long id, Fn fn, long until, int company) {
-            this.id = id;
-            this.fn = fn;
-            this.until = until;
-            this.company = company;
-        }
-    }
-
-    private static final class Order {
-        private final long id;
-        private final int wanted;
-        private final boolean partly; // not all that was asked for could be admitted
-
-        Order(long id, int wanted, boolean partly) {
-            this.id = id;
-            this.wanted = wanted;
-            this.partly = partly;
-        }
-    }
-
-    /** What is held of one function. */
-    private static final class Fn {
-        private final String name;
-        private final List<Copy> copies = new ArrayList<>();
-        private final Map<Long, Call> waiting = new LinkedHashMap<>();
-        private final List<Order> orders = new ArrayList<>();
-        private int running;
-
-        Fn(String name) {
-            this.name = name;
-        }
-
-        boolean empty() {
-            return copies.isEmpty() && waiting.isEmpty() && orders.isEmpty();
-        }
-
-        int ready() {
-            return (int) copies.stream().filter(Copy::ready).count();
-        }
-
-        boolean any(State a, State b) {
-            return copies.stream().anyMatch(c -> !c.spoiled && (c.state == a || c.state == b));
-        }
-
-        boolean live() {
-            return copies.stream().anyMatch(Copy::live);
-        }
-    }
-
     private final CopySettings settings;
     private final Actions actions;
-    private final MemoryAccounting ledger;
-    private final Map<String, Fn> functions = new LinkedHashMap<>();
-    private final Map<Long, Copy> copies = new LinkedHashMap<>();
-    private final Map<Long, Call> calls = new LinkedHashMap<>();
-    private final Map<Long, Fn> orders = new LinkedHashMap<>();
-    private final ArrayDeque<Copy> line = new ArrayDeque<>();
-    private final Map<String, MemoryEstimate> told = new LinkedHashMap<>(16, 0.75f, true) {
-        private static final long serialVersionUID = 1;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, MemoryEstimate> eldest) {
-            return size() > REMEMBERED;
-        }
-    };
-    private long nextCopy = 1;
-    private long lined;
-    private int loading;
-    private int waiting;
-    private int running;
+    private final CopyPool pool;
+    private final LoadQueue loads;
+    private final CallTable calls;
+    private final LoadOrders orders;
     private boolean draining;
     private boolean drained;
 
-    /** Decisions of a worker that holds nothing. */
+    /** A scheduler of a worker that holds no copy. */
     public CopyScheduler(CopySettings settings, Actions actions) {
         this.settings = settings;
         this.actions = actions;
-        this.ledger = new MemoryAccounting(settings.totalKb());
+        this.pool = new CopyPool(settings.totalKb(), actions);
+        this.loads = new LoadQueue(settings, pool, actions);
+        this.calls = new CallTable(pool, actions);
+        this.orders = new LoadOrders(actions);
     }
 
-    // ---- What is read -----------------------------------------------------------------------
-
-    /** The books; not to be changed. */
+    /** The accounting of memory; read only. */
     public MemoryAccounting ledger() {
-        return ledger;
+        return pool.memory();
     }
 
-    /** Calls held, running and waiting. */
+    /** Calls in flight, running and waiting. */
     public int held() {
-        return running + waiting;
+        return calls.inFlight();
     }
 
-    /** Calls waiting. */
+    /** Calls that wait for a copy. */
     public int waiting() {
-        return waiting;
+        return calls.waiting();
     }
 
-    /** Loads under way or in line. */
+    /** Loads under way or waiting. */
     public int loads() {
-        return loading + line.size();
+        return loads.size();
     }
 
-    /** Copies in the books or in line. */
+    /** Copies in any state, those whose load waits included. */
     public int copies() {
-        return copies.size();
+        return pool.size();
     }
 
-    /** Whether it takes nothing new. */
+    /** Whether it accepts nothing new. */
     public boolean draining() {
         return draining;
     }
 
-    // ---- Calls ------------------------------------------------------------------------------
-
     /**
-     * A call came.
+     * A call arrived.
      *
-     * @param hint  what the caller told of the function, used until a package tells
-     * @param until when its caller stops waiting; a call that still waits then is turned away
+     * @param hint           what the caller says of the function's needs; used until its package tells them
+     * @param expiresAtNanos when its caller stops waiting; a call that still waits then is rejected
      */
-    public void call(long now, long id, String function, MemoryEstimate hint, long until) {
+    public void call(long nowNanos, long callId, String functionName, MemoryEstimate hint, long expiresAtNanos) {
         if (draining) {
-            actions.answer(id, Answer.FULL, null, 0);
+            actions.answer(callId, Answer.FULL, null, 0);
             return;
         }
-        Fn fn = fn(function);
-        Call call = new Call(id, fn, until, fn.running + fn.waiting.size());
-        Copy free = freeLane(fn);
-        if (free != null) {
-            call.met = Met.FOUND;
-            run(call, free);
+        FunctionState function = pool.functionOf(functionName);
+        ScheduledCall call = new ScheduledCall(callId, function, expiresAtNanos);
+        Optional<Copy> free = function.copyWithFreeLane();
+        if (free.isPresent()) {
+            call.setMet(Met.FOUND);
+            calls.start(call, free.get());
             return;
         }
-        boolean none = !fn.live();
-        if (none && !settings.loadsOnCall()) {
-            actions.answer(id, Answer.MISS, null, call.company);
-        } else if (waiting >= settings.queue()) {
-            actions.answer(id, Answer.FULL, null, call.company);
+        if (!function.hasLiveCopy() && !settings.loadsOnCall()) {
+            calls.reject(call, Answer.MISS);
+        } else if (calls.waiting() >= settings.queue()) {
+            calls.reject(call, Answer.FULL);
         } else {
-            boolean coming = fn.any(State.LINED, State.LOADING);
-            call.met = none ? Met.BEGAN : coming ? Met.WAITED : Met.FOUND;
-            boolean wanted = none || settings.loadsOnCall() && settings.ownFurther() && !coming;
-            boolean admitted = wanted && admit(fn, hint, false);
-            if (none && !admitted) {
-                actions.answer(id, Answer.FULL, null, call.company);
-            } else {
-                fn.waiting.put(id, call);
-                calls.put(id, call);
-                waiting++;
-            }
-            nextLoads();
+            enqueueWithLoad(call, hint);
+            startLoads();
+        }
+        pool.forgetIfUnused(function);
+    }
+
+    /** Lets a call wait and, where its function lacks a copy or may have a further one, admits a load for it. */
+    private void enqueueWithLoad(ScheduledCall call, MemoryEstimate hint) {
+        FunctionState function = call.function();
+        boolean isCold = !function.hasLiveCopy();
+        boolean isCopyComing = function.hasCopyComing();
+        Met otherwise = isCopyComing ? Met.WAITED : Met.FOUND;
+        call.setMet(isCold ? Met.BEGAN : otherwise);
+        boolean mayAddCopy = settings.loadsOnCall() && settings.ownFurther() && !isCopyComing;
+        boolean isLoadAdmitted = (isCold || mayAddCopy) && loads.admit(function, hint, Copy.Cause.CALL);
+        if (isCold && !isLoadAdmitted) {
+            calls.reject(call, Answer.FULL);
+        } else {
+            calls.enqueue(call);
         }
-        forget(fn);
     }
 
-    /** A call's caller went away: one that waits is dropped, one that runs is asked to end. */
-    public void cancelled(long now, long id) {
-        Call call = calls.get(id);
-        if (call == null || call.cancelled) {
+    /** The caller went away: a waiting call is dropped, a running one is asked to end. */
+    public void cancelled(long nowNanos, long callId) {
+        ScheduledCall call = calls.find(callId).orElse(null);
+        if (call == null || call.isCancelled()) {
             return;
         }
-        call.cancelled = true;
-        if (call.copy != null) {
-            actions.interrupt(id);
-            return;
+        call.markCancelled();
+        if (call.isWaiting()) {
+            calls.dequeue(call);
+            loads.cancelUnwanted(call.function());
+            settle();
+        } else {
+            actions.interrupt(callId);
         }
-        unqueue(call);
-        dropUnwanted(call.fn);
-        settle();
     }
 
     /** A call's run ended, or is given up on. */
-    public void callEnded(long now, long id, CallEnd how) {
-        Call call = calls.remove(id);
+    public void callEnded(long nowNanos, long callId, CallEnd end) {
+        ScheduledCall call = calls.find(callId).orElse(null);
         if (call == null) {
             return;
         }
-        Copy copy = call.copy;
-        copy.running--;
-        copy.fn.running--;
-        running--;
-        if (how == CallEnd.OVER_LIMIT) {
-            copy.overdue++;
-        }
-        if (how == CallEnd.OVER_LIMIT || how == CallEnd.BROKE) {
-            copy.spoiled = true;
+        Copy copy =
+                call.copy().orElseThrow(() -> new IllegalStateException("call " + callId + " ended while it waited"));
+        calls.finish(call, copy, end);
+        if (!call.isCancelled()) {
+            calls.answer(call, end);
         }
-        if (!call.cancelled) {
-            actions.answer(
-                    id,
-                    how == CallEnd.SERVED ? Answer.SERVED : Answer.ERROR,
-                    how == CallEnd.SERVED ? call.met : null,
-                    call.company);
+        pool.onLaneFreed(copy, nowNanos);
+        calls.startWaiting(nowNanos, copy.function());
+        if (copy.isRetired() && !draining) {
+            replaceLostCopy(copy.function());
         }
-        rest(now, copy);
-        serve(now, copy.fn);
-        if (copy.spoiled && !draining) {
-            replace(copy.fn);
-        }
-        settle();
-    }
-
-    /** The thread of a call that was given up on came back. */
-    public void threadBack(long now, long id) {
-        Copy copy = copies.get(id);
-        if (copy == null) {
-            return;
-        }
-        copy.overdue--;
-        rest(now, copy);
         settle();
     }
 
-    /** What is next for a copy that runs one call less. */
-    private void rest(long now, Copy copy) {
-        if (copy.running > 0) {
-            return;
-        }
-        if (copy.spoiled && copy.overdue > 0) {
-            copy.state = State.STUCK;
-            ledger.move(copy.id, Part.STUCK);
-        } else if (copy.spoiled) {
-            leave(copy);
-        } else {
-            copy.idleSince = now;
-            ledger.move(copy.id, Part.IDLE);
-        }
-    }
-
-    private void run(Call call, Copy copy) {
-        call.copy = copy;
-        calls.put(call.id, call);
-        copy.running++;
-        copy.fn.running++;
-        running++;
-        ledger.move(copy.id, Part.WORKING);
-        actions.run(call.id, copy.id);
-    }
-
-    private static Copy freeLane(Fn fn) {
-        for (Copy c : fn.copies) { // the eldest first, so that the others can go idle
-            if (c.ready() && c.running < c.lanes) {
-                return c;
-            }
-        }
-        return null;
-    }
-
-    private void serve(long now, Fn fn) {
-        Copy free = freeLane(fn);
-        while (free != null && !fn.waiting.isEmpty()) {
-            Call call = fn.waiting.values().iterator().next();
-            unqueue(call);
-            if (call.until < now) {
-                actions.answer(call.id, Answer.FULL, null, call.company);
-            } else {
-                run(call, free);
-            }
-            free = freeLane(fn);
-        }
-    }
-
-    private void unqueue(Call call) {
-        call.fn.waiting.remove(call.id);
-        calls.remove(call.id);
-        waiting--;
+    /** A thread of a call that was given up on left its copy. */
+    public void threadBack(long nowNanos, long copyId) {
+        pool.find(copyId).ifPresent(copy -> {
+            copy.onOverdueThreadReturned();
+            pool.onLaneFreed(copy, nowNanos);
+            settle();
+        });
     }
 
-    /** A copy was lost: where calls wait it is loaded anew at others' cost, else only where there is room. */
-    private void replace(Fn fn) {
-        if (fn.live() && fn.waiting.isEmpty()) {
+    /** A copy takes no more calls: a new one is loaded at the cost of others where calls wait, else only where it fits. */
+    private void replaceLostCopy(FunctionState function) {
+        boolean hasWaitingCalls = !function.waitingCalls().isEmpty();
+        if (function.hasLiveCopy() && !hasWaitingCalls) {
             return;
         }
-        boolean room = ledger.free() + ledger.in(Part.LEAVING) - lined >= needed(fn, MemoryEstimate.UNKNOWN);
-        boolean comes = !fn.any(State.LINED, State.LOADING)
-                && (room || !fn.waiting.isEmpty())
-                && admit(fn, MemoryEstimate.UNKNOWN, false);
-        if (!comes && !fn.live()) {
-            turnAway(fn, Answer.FULL);
-        }
-    }
-
-    private void turnAway(Fn fn, Answer answer) {
-        for (Call call : List.copyOf(fn.waiting.values())) {
-            unqueue(call);
-            actions.answer(call.id, answer, null, call.company);
+        boolean fitsWithoutEviction = loads.fitsWithoutEviction(function);
+        boolean isAdmitted = !function.hasCopyComing()
+                && (hasWaitingCalls || fitsWithoutEviction)
+                && loads.admit(function, MemoryEstimate.UNKNOWN, Copy.Cause.CALL);
+        if (!isAdmitted && !function.hasLiveCopy()) {
+            calls.rejectWaiting(function, Answer.FULL);
         }
     }
 
-    // ---- Orders -----------------------------------------------------------------------------
-
-    /** An order to hold so many copies; 0 only asks. Idle copies of the function begin their idle time anew. */
-    public void hold(long now, long id, String function, int count, MemoryEstimate hint) {
-        Fn fn = fn(function);
-        fn.copies.stream().filter(c -> c.ready() && c.running == 0).forEach(c -> c.idleSince = now);
-        int missing = count - (int) fn.copies.stream().filter(Copy::live).count();
-        boolean all = !draining;
-        for (int i = 0; i < missing && all; i++) {
-            all = admit(fn, hint, true);
-        }
-        int live = (int) fn.copies.stream().filter(Copy::live).count();
-        int wanted = draining ? 0 : Math.min(count, live);
-        Order order = new Order(id, wanted, count > wanted);
-        if (!answered(fn, order)) {
-            fn.orders.add(order);
-            orders.put(id, fn);
-            fn.copies.stream().filter(Copy::live).forEach(c -> c.ordered = true);
+    /** An order to hold so many copies; 0 only asks. The idle time of the function's idle copies starts again. */
+    public void hold(long nowNanos, long orderId, String functionName, int count, MemoryEstimate hint) {
+        FunctionState function = pool.functionOf(functionName);
+        function.restartIdleTimes(nowNanos);
+        int wanted = 0;
+        if (!draining) {
+            loads.admitUpTo(count, function, hint);
+            wanted = Math.min(count, function.liveCopies());
         }
-        nextLoads();
-        forget(fn);
+        orders.answerOrAwait(function, new LoadOrder(orderId, wanted, count > wanted));
+        startLoads();
+        pool.forgetIfUnused(function);
     }
 
-    /** Nobody waits for an order any more: its loads that have not begun are left out, unless calls want them. */
-    public void orderCancelled(long now, long id) {
-        Fn fn = orders.remove(id);
-        if (fn != null) {
-            fn.orders.removeIf(o -> o.id == id);
-            dropUnwanted(fn);
+    /** Nobody waits for an order any more: its loads that have not started are left out, unless calls want them. */
+    public void orderCancelled(long nowNanos, long orderId) {
+        orders.cancel(orderId).ifPresent(function -> {
+            loads.cancelUnwanted(function);
             settle();
-        }
+        });
     }
 
-    /** Unloads a function's idle copies. One at work, or with calls waiting for it, is not idle. */
-    public void unload(long now, String function) {
-        Fn fn = functions.get(function);
-        if (fn != null) {
-            for (Copy c : List.copyOf(fn.copies)) {
-                if (c.ready() && c.running == 0) {
-                    leave(c);
-                }
-            }
+    /** Unloads a function's idle copies. One that runs a call, or has calls waiting for it, is not idle. */
+    public void unload(long nowNanos, String functionName) {
+        pool.findFunction(functionName).ifPresent(function -> {
+            pool.unloadIdleCopies(function);
             settle();
-        }
-    }
-
-    private boolean answered(Fn fn, Order order) {
-        int ready = fn.ready();
-        if (ready < order.wanted) {
-            return false;
-        }
-        actions.answerOrder(order.id, order.partly ? OrderAnswer.FULL : OrderAnswer.SERVED, ready);
-        return true;
-    }
-
-    private void settleOrders(Fn fn, boolean failed) {
-        for (Iterator<Order> i = fn.orders.iterator(); i.hasNext(); ) {
-            Order order = i.next();
-            boolean over = answered(fn, order);
-            if (!over && failed) {
-                actions.answerOrder(order.id, OrderAnswer.ERROR, fn.ready());
-                over = true;
-            }
-            if (over) {
-                i.remove();
-                orders.remove(order.id);
-            }
-        }
+        });
     }
 
-    // ---- Loads ------------------------------------------------------------------------------
-
     /**
-     * A package told what its copies need. False where the booked memory does not suffice and no more is to be had now: then
-     * the load is to end as {@link LoadEnd#MISJUDGED}.
+     * A package told what its copies need.
+     *
+     * @return false where the booked memory does not suffice and no more is free: the load has then to end as
+     *     {@link LoadEnd#MISJUDGED}
      */
-    public boolean measured(long now, long id, MemoryEstimate figures) {
-        Copy copy = copies.get(id);
-        told.put(copy.fn.name, figures);
-        copy.lanes = Math.max(1, figures.lanes());
-        long more = figures.kb() - copy.kb;
-        if (more > 0 && ledger.free() - lined < more || !ledger.resize(id, figures.kb())) {
-            return false;
+    public boolean measured(long nowNanos, long copyId, MemoryEstimate measured) {
+        boolean isCovered = loads.onMeasured(pool.get(copyId), measured);
+        if (isCovered) {
+            settle();
         }
-        copy.kb = figures.kb();
-        settle();
-        return true;
+        return isCovered;
     }
 
     /** A load ended. */
-    public void loadEnded(long now, long id, LoadEnd how) {
-        Copy copy = copies.get(id);
-        Fn fn = copy.fn;
-        loading--;
-        if (how == LoadEnd.READY) {
-            copy.state = State.READY;
-            copy.idleSince = now;
-            ledger.move(id, Part.IDLE);
-            serve(now, fn);
-            settleOrders(fn, false);
+    public void loadEnded(long nowNanos, long copyId, LoadEnd end) {
+        Copy copy = pool.get(copyId);
+        loads.onLoadEnded();
+        if (end == LoadEnd.READY) {
+            pool.markReady(copy, nowNanos);
+            calls.startWaiting(nowNanos, copy.function());
+            orders.onCopyReady(copy.function());
         } else {
-            if (how == LoadEnd.FAILED_STUCK) {
-                copy.state = State.STUCK;
-                copy.spoiled = true;
-                ledger.move(id, Part.STUCK);
-            } else {
-                ledger.remove(id);
-                gone(copy);
-            }
-            boolean wanted = !draining && (!fn.waiting.isEmpty() || copy.ordered);
-            boolean again = how == LoadEnd.MISJUDGED && wanted && admit(fn, MemoryEstimate.UNKNOWN, copy.ordered);
-            if (!again) {
-                if (!fn.live()) {
-                    turnAway(fn, how == LoadEnd.MISJUDGED ? Answer.FULL : Answer.MISS_LOAD_FAILED);
-                }
-                settleOrders(fn, true);
-            }
-        }
-        settle();
-    }
-
-    /** A copy that was told to stop is gone and its memory free. */
-    public void stopped(long now, long id) {
-        Copy copy = copies.get(id);
-        if (copy != null) {
-            ledger.remove(id);
-            gone(copy);
-            settle();
-        }
-    }
-
-    /** A copy that was told to stop does not: its memory can't be freed until {@link #stopped} is told after all. */
-    public void hung(long now, long id) {
-        Copy copy = copies.get(id);
-        if (copy != null) {
-            copy.state = State.STUCK;
-            copy.spoiled = true;
-            ledger.move(id, Part.STUCK);
-            settle();
+            onLoadFailed(copy, end);
         }
-    }
-
-    /** The process holds so much more than the books say. */
-    public void leaked(long now, long kb) {
-        ledger.leaked(kb);
         settle();
     }
 
-    private long needed(Fn fn, MemoryEstimate hint) {
-        MemoryEstimate known = told.get(fn.name);
-        long kb = known != null ? known.kb() : hint.kb();
-        return kb > 0 ? kb : settings.usualKb();
-    }
-
-    private boolean admit(Fn fn, MemoryEstimate hint, boolean ordered) {
-        long kb = needed(fn, hint);
-        if (line.size() >= settings.loadLine()) {
-            return false;
-        }
-        List<Long> victims = Evictions.choose(idle(), kb + lined - ledger.free() - ledger.in(Part.LEAVING));
-        if (victims == null) {
-            return false;
-        }
-        victims.forEach(v -> leave(copies.get(v)));
-        Copy copy = new Copy(nextCopy++, fn, kb);
-        copy.ordered = ordered;
-        copies.put(copy.id, copy);
-        fn.copies.add(copy);
-        line.add(copy);
-        lined += kb;
-        return true;
-    }
-
-    private List<Evictions.Idle> idle() {
-        List<Evictions.Idle> idle = new ArrayList<>();
-        for (Copy c : copies.values()) {
-            if (c.ready() && c.running == 0) {
-                idle.add(new Evictions.Idle(c.id, c.kb, c.idleSince));
-            }
+    private void onLoadFailed(Copy copy, LoadEnd end) {
+        if (end == LoadEnd.FAILED_STUCK) {
+            pool.markStuck(copy);
+        } else {
+            pool.release(copy);
         }
-        return idle;
-    }
-
-    /** Begins loads in the order in which they were admitted; one whose memory was lost to a stuck copy is turned away. */
-    private void nextLoads() {
-        while (!line.isEmpty()) {
-            Copy next = line.peek();
-            if (ledger.free() >= next.kb && loading < settings.loadsAtOnce()) {
-                unline(next);
-                loading++;
-                next.state = State.LOADING;
-                ledger.book(next.id, next.kb, Part.LOADING);
-                actions.load(next.id, next.fn.name, next.kb);
-            } else if (ledger.free() < next.kb && ledger.in(Part.LEAVING) == 0 && !makeRoom(next.kb)) {
-                unline(next);
-                gone(next);
-                if (!next.fn.live()) {
-                    turnAway(next.fn, Answer.FULL);
-                }
-                settleOrders(next.fn, true);
-                forget(next.fn);
-            } else {
-                return;
-            }
+        FunctionState function = copy.function();
+        boolean isWanted = !draining && (!function.waitingCalls().isEmpty() || copy.cause() == Copy.Cause.ORDER);
+        boolean isRetried =
+                end == LoadEnd.MISJUDGED && isWanted && loads.admit(function, MemoryEstimate.UNKNOWN, copy.cause());
+        if (!isRetried) {
+            answerWithoutCopy(function, end == LoadEnd.MISJUDGED ? Answer.FULL : Answer.MISS_LOAD_FAILED);
         }
     }
 
-    private boolean makeRoom(long kb) {
-        List<Long> victims = Evictions.choose(idle(), kb - ledger.free());
-        if (victims == null || victims.isEmpty()) {
-            return false;
+    /** A load will not come: answers calls that no other copy can run, and orders. */
+    private void answerWithoutCopy(FunctionState function, Answer answer) {
+        if (!function.hasLiveCopy()) {
+            calls.rejectWaiting(function, answer);
         }
-        victims.forEach(v -> leave(copies.get(v)));
-        return true;
-    }
-
-    private void unline(Copy copy) {
-        line.remove(copy);
-        lined -= copy.kb;
+        orders.onLoadFailed(function);
     }
 
-    private void dropUnwanted(Fn fn) {
-        if (fn.waiting.isEmpty() && fn.orders.isEmpty()) {
-            for (Copy c : List.copyOf(fn.copies)) {
-                if (c.state == State.LINED) {
-                    unline(c);
-                    gone(c);
-                }
-            }
-        }
+    /** A copy that was told to stop is gone and its memory is free. */
+    public void stopped(long nowNanos, long copyId) {
+        pool.find(copyId).ifPresent(copy -> {
+            pool.release(copy);
+            settle();
+        });
     }
 
-    private void leave(Copy copy) {
-        copy.state = State.LEAVING;
-        ledger.move(copy.id, Part.LEAVING);
-        actions.stop(copy.id);
+    /** A copy that was told to stop does not: its memory stays booked until {@link #stopped} is told after all. */
+    public void hung(long nowNanos, long copyId) {
+        pool.find(copyId).ifPresent(copy -> {
+            pool.markStuck(copy);
+            settle();
+        });
     }
 
-    private void gone(Copy copy) {
-        copies.remove(copy.id);
-        copy.fn.copies.remove(copy);
-        forget(copy.fn);
+    /** The process holds so much more memory than is booked. */
+    public void leaked(long nowNanos, long leakedKb) {
+        pool.memory().setLeakedKb(leakedKb);
+        settle();
     }
 
-    // ---- Time and life ----------------------------------------------------------------------
-
-    /** Called at a steady pace: idle copies past their time go, calls whose callers stopped waiting are turned away. */
-    public void tick(long now) {
-        for (Copy c : List.copyOf(copies.values())) {
-            if (c.ready() && c.running == 0 && now - c.idleSince > settings.keepNanos()) {
-                leave(c);
-            }
-        }
-        for (Call call : List.copyOf(calls.values())) {
-            if (call.copy == null && call.until < now) {
-                unqueue(call);
-                actions.answer(call.id, Answer.FULL, null, call.company);
-                dropUnwanted(call.fn);
-            }
-        }
+    /** Called at a steady pace: unloads copies idle for too long, rejects calls whose callers have stopped waiting. */
+    public void tick(long nowNanos) {
+        pool.unloadExpiredCopies(nowNanos, settings.keepNanos());
+        calls.rejectExpired(nowNanos, loads::cancelUnwanted);
         settle();
     }
 
-    /** Takes nothing new from now on; what is held is finished, and loads that only orders wanted are left out. */
-    public void drain(long now) {
+    /** Starts a graceful shutdown: calls in flight finish, orders and loads that only they wanted are left out. */
+    public void drain(long nowNanos) {
         draining = true;
-        for (Fn fn : List.copyOf(functions.values())) {
-            for (Order order : List.copyOf(fn.orders)) {
-                actions.answerOrder(order.id, OrderAnswer.FULL, fn.ready());
-                orders.remove(order.id);
-            }
-            fn.orders.clear();
-            dropUnwanted(fn);
+        for (FunctionState function : pool.functions()) {
+            orders.rejectAll(function);
+            loads.cancelUnwanted(function);
         }
         settle();
     }
 
     private void settle() {
-        nextLoads();
-        if (draining && !drained && held() == 0) {
+        startLoads();
+        if (draining && !drained && calls.inFlight() == 0) {
             drained = true;
             actions.drained();
         }
     }
 
-    private Fn fn(String function) {
-        return functions.computeIfAbsent(function, Fn::new);
+    private void startLoads() {
+        loads.startNext(this::onLoadGivenUp);
     }
 
-    private void forget(Fn fn) {
-        if (fn.empty() && functions.get(fn.name) == fn) {
-            functions.remove(fn.name);
-        }
+    private void onLoadGivenUp(FunctionState function) {
+        answerWithoutCopy(function, Answer.FULL);
+        pool.forgetIfUnused(function);
     }
 }
--- /dev/null
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/LoadOrders.java
@@ -0,0 +1,75 @@
+package wharfhinge.decisions.copies;
+
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
+
+/** Orders that wait for copies to become ready, and their answers. */
+final class LoadOrders {
+    private final CopyScheduler.Actions actions;
+    private final Map<Long, FunctionState> functionByOrder = new LinkedHashMap<>();
+
+    LoadOrders(CopyScheduler.Actions actions) {
+        this.actions = actions;
+    }
+
+    /** Answers an order where its copies are ready, else keeps it until they are. */
+    void answerOrAwait(FunctionState function, LoadOrder order) {
+        if (answerIfSatisfied(function, order)) {
+            return;
+        }
+        function.orders().add(order);
+        functionByOrder.put(order.id(), function);
+        function.copies().stream().filter(Copy::isLive).forEach(Copy::markOrdered);
+    }
+
+    /** Takes an order out without an answer; gives its function where the order waited. */
+    Optional<FunctionState> cancel(long orderId) {
+        Optional<FunctionState> function = Optional.ofNullable(functionByOrder.remove(orderId));
+        function.ifPresent(state -> state.orders().removeIf(order -> order.id() == orderId));
+        return function;
+    }
+
+    /** A copy became ready: answers the orders that have all they wait for. */
+    void onCopyReady(FunctionState function) {
+        for (Iterator<LoadOrder> orders = function.orders().iterator(); orders.hasNext(); ) {
+            LoadOrder order = orders.next();
+            if (answerIfSatisfied(function, order)) {
+                orders.remove();
+                functionByOrder.remove(order.id());
+            }
+        }
+    }
+
+    /** A load failed for good: answers all orders, those that lack copies with an error. */
+    void onLoadFailed(FunctionState function) {
+        for (LoadOrder order : function.orders()) {
+            if (!answerIfSatisfied(function, order)) {
+                actions.answerOrder(order.id(), OrderAnswer.ERROR, function.readyCopies());
+            }
+            functionByOrder.remove(order.id());
+        }
+        function.orders().clear();
+    }
+
+    /** Rejects all orders of a function since the worker takes nothing new. */
+    void rejectAll(FunctionState function) {
+        for (LoadOrder order : List.copyOf(function.orders())) {
+            actions.answerOrder(order.id(), OrderAnswer.FULL, function.readyCopies());
+            functionByOrder.remove(order.id());
+        }
+        function.orders().clear();
+    }
+
+    private boolean answerIfSatisfied(FunctionState function, LoadOrder order) {
+        int ready = function.readyCopies();
+        if (ready < order.wantedCopies()) {
+            return false;
+        }
+        actions.answerOrder(order.id(), order.isPartial() ? OrderAnswer.FULL : OrderAnswer.SERVED, ready);
+        return true;
+    }
+}
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
@@ -5,131 +5,130 @@
 import java.util.Map;
 
 /**
- * The books on a worker's memory, in KiB: each copy stands in one {@link Part} with one figure, and what is free is what is
- * left. A copy leaves the books only by {@link #remove}, so that memory which could not be given back stays counted. All
- * calls take constant time; one thread.
+ * Accounts for the memory of a worker's copies, in KiB. Each copy is booked under one {@link Part}; what is not booked is free.
+ * Only {@link #remove} takes a copy out, so that memory which could not be given back stays counted. All operations take
+ * constant time; one thread. Changes are made by {@link CopyPool} alone.
  */
 public final class MemoryAccounting {
-    /** What a copy's memory is used for. */
+    /** What the memory of a copy is used for. Operators see the names, in lower case, in the worker's status. */
     public enum Part {
         /** A load is under way. */
         LOADING(false),
-        /** Stands and runs nothing: may be had. */
+        /** The copy runs no call and may be evicted. */
         IDLE(true),
-        /** Runs calls. */
+        /** The copy runs calls. */
         WORKING(false),
-        /** Is being given back. */
+        /** The copy is being unloaded. */
         LEAVING(false),
-        /** Can't be given back: something in it does not end. */
+        /** The memory can't be given back: something in the copy does not end. */
         STUCK(false);
 
-        private final boolean canBeFreed;
+        private final boolean isEvictable;
 
-        Part(boolean canBeFreed) {
-            this.canBeFreed = canBeFreed;
+        Part(boolean isEvictable) {
+            this.isEvictable = isEvictable;
         }
     }
 
-    private record Entry(long kb, Part part) {}
+    private record Booking(long memoryKb, Part part) {}
 
-    private final long total;
-    private final Map<Long, Entry> entries = new HashMap<>();
-    private final Map<Part, Long> sums = new EnumMap<>(Part.class);
-    private long leaked;
+    private final long totalKb;
+    private final Map<Long, Booking> bookings = new HashMap<>();
+    private final Map<Part, Long> bookedKbByPart = new EnumMap<>(Part.class);
+    private long leakedKb;
 
-    /** Empty books over so much memory. */
-    public MemoryAccounting(long totalKb) {
-        this.total = totalKb;
+    /** Accounting over so much memory, all of it free. */
+    MemoryAccounting(long totalKb) {
+        this.totalKb = totalKb;
         for (Part part : Part.values()) {
-            sums.put(part, 0L);
+            bookedKbByPart.put(part, 0L);
         }
     }
 
-    /** Books a copy. @throws IllegalStateException where it is booked already or does not fit what is free */
-    public void book(long copy, long kb, Part part) {
-        if (kb < 0 || kb > free() || entries.containsKey(copy)) {
-            throw new IllegalStateException("copy " + copy + " of " + kb + " KiB with " + free() + " free");
+    /**
+     * Books a copy.
+     *
+     * @throws IllegalStateException where it is booked already or needs more than is free
+     */
+    void book(long copy, long memoryKb, Part part) {
+        if (memoryKb < 0 || memoryKb > free() || bookings.containsKey(copy)) {
+            throw new IllegalStateException("copy " + copy + " of " + memoryKb + " KiB with " + free() + " free");
         }
-        put(copy, new Entry(kb, part));
+        put(copy, new Booking(memoryKb, part));
     }
 
     /** Moves a copy to another part. */
-    public void move(long copy, Part part) {
-        Entry e = take(copy);
-        put(copy, new Entry(e.kb, part));
+    void move(long copy, Part part) {
+        Booking booking = take(copy);
+        put(copy, new Booking(booking.memoryKb, part));
     }
 
-    /** Changes what a copy needs; false, and nothing changed, where more is wanted than is free. */
-    public boolean resize(long copy, long kb) {
-        Entry e = entries.get(copy);
-        if (kb - e.kb > free()) {
+    /** Changes what is booked for a copy; false, and nothing changed, where the difference is more than is free. */
+    boolean resize(long copy, long memoryKb) {
+        Booking booking = bookings.get(copy);
+        if (memoryKb - booking.memoryKb > free()) {
             return false;
         }
         take(copy);
-        put(copy, new Entry(kb, e.part));
+        put(copy, new Booking(memoryKb, booking.part));
         return true;
     }
 
-    /** A copy's memory was given back. */
-    public void remove(long copy) {
+    /** The memory of a copy was given back. */
+    void remove(long copy) {
         take(copy);
     }
 
-    /** What the process holds beyond the books; counts as not free until told less. */
-    public void leaked(long kb) {
-        leaked = Math.max(0, kb);
+    /** Sets what the process holds beyond what is booked; not free until a lower figure is set. Below 0 counts as 0. */
+    void setLeakedKb(long kb) {
+        leakedKb = Math.max(0, kb);
     }
 
-    private Entry take(long copy) {
-        Entry e = entries.remove(copy);
-        if (e == null) {
-            throw new IllegalStateException("copy " + copy + " is not in the books");
+    private Booking take(long copy) {
+        Booking booking = bookings.remove(copy);
+        if (booking == null) {
+            throw new IllegalStateException("copy " + copy + " is not booked");
         }
-        sums.merge(e.part, -e.kb, Long::sum);
-        return e;
+        bookedKbByPart.merge(booking.part, -booking.memoryKb, Long::sum);
+        return booking;
     }
 
-    private void put(long copy, Entry e) {
-        entries.put(copy, e);
-        sums.merge(e.part, e.kb, Long::sum);
+    private void put(long copy, Booking booking) {
+        bookings.put(copy, booking);
+        bookedKbByPart.merge(booking.part, booking.memoryKb, Long::sum);
     }
 
-    /** Whether a copy is in the books. */
-    public boolean has(long copy) {
-        return entries.containsKey(copy);
-    }
-
-    /** What stands in a part. */
+    /** What is booked under a part, KiB. */
     public long in(Part part) {
-        return sums.get(part);
+        return bookedKbByPart.get(part);
     }
 
-    /** What the process holds beyond the books, as last told. */
+    /** What the process holds beyond what is booked, as last measured, KiB. */
     public long leaked() {
-        return leaked;
+        return leakedKb;
     }
 
-    /** What copies hold, whatever they do. */
+    /** What is booked for all copies, KiB. */
     public long held() {
-        return sums.values().stream().mapToLong(Long::longValue).sum();
+        return bookedKbByPart.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** What is not held; never under 0, though a leak may have eaten more. */
+    /** What is neither booked nor leaked, KiB; never below 0, though a leak may exceed it. */
     public long free() {
-        return Math.max(0, total - held() - leaked);
+        return Math.max(0, totalKb - held() - leakedKb);
     }
 
-    /** All there is. */
+    /** Memory for copies in all, KiB. */
     public long total() {
-        return total;
+        return totalKb;
     }
 
-    /** The share, 0 to 1, that can't be freed by unloading idle copies. */
+    /** The share of the memory, 0 to 1, that evictions of idle copies can't free. */
     public double busyShare() {
-        long busy = leaked;
+        long busyKb = leakedKb;
         for (Part part : Part.values()) {
-            busy += part.canBeFreed ? 0 : sums.get(part);
+            busyKb += part.isEvictable ? 0 : bookedKbByPart.get(part);
         }
-        return Math.min(1, busy / (double) total);
+        return Math.min(1, busyKb / (double) totalKb);
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
@@ -4,7 +4,7 @@
  * What one copy of a function needs.
  *
  * @param kb    memory in KiB; 0 where it is not known
- * @param lanes calls that it runs at a time; 0 where it is not known
+ * @param lanes calls that one copy runs concurrently; 0 where it is not known
  */
 public record MemoryEstimate(long kb, int lanes) {
     /** Nothing is known. */
--- a/decisions/src/main/java/wharfhinge/decisions/copies/package-info.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a worker decides about the copies that it holds: which load begins, which idle copy goes, which call runs where.
- * Pure: told events and time, answers with actions. {@code docs/design/worker.md} weighs it.
+ * Scheduling of calls and loads within one worker: which load starts, which idle copy is evicted, which call runs on which copy.
+ * {@link wharfhinge.decisions.copies.CopyScheduler} is the entry. Pure: events and their times come in, actions go out; no I/O,
+ * clock or thread. {@code docs/design/worker.md} gives the reasons.
  */
 package wharfhinge.decisions.copies;
