--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainDecisions.java
@@ -1,163 +1,131 @@
 package wharfhinge.decisions.chain;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import wharfhinge.decisions.chain.ChainEnd.Kind;
 import wharfhinge.decisions.chain.ChainEnd.StepState;
-import wharfhinge.decisions.chain.ChainPlan.Step;
-import wharfhinge.decisions.chain.ChainSettings.Clock;
-import wharfhinge.policy.Effect;
+import wharfhinge.decisions.chain.ChainFeasibility.Stage;
+import wharfhinge.decisions.chain.StepLimiter.WaitingStep;
 
 /**
- * The decisions on all chains of one gateway. Told events and time, answers with {@link Actions}, which may not call back
- * in. One thread.
+ * Schedules the steps of all chains of one gateway. The class reads as the way of an event; what it decides on stands in
+ * collaborators: {@link ChainFeasibility} (is a chain worth starting or continuing), {@link StepLimiter} (may a step start now),
+ * {@link ChainTimeEstimator} (how long may it take), {@link FunctionPrefetcher} (what is loaded early).
  *
- * <p>A step may take what is left less the least that the steps after it need (their low estimates along the longest
- * path): a slow step may use up slack, but never what makes the rest hopeless. A chain is refused, at its start or before a
- * later step, when the chance that its longest path still fits is under {@link #LEAST_CHANCE}, and under more where the
- * fleet turns steps away: a lost try costs nothing where there is room. Acts on any cause of slowness that answers tell:
- * queues, loads, slow workers. It may hurt where times change faster than they are learned: that is what the refusals let
- * through are for.
+ * <p>A step may take what is left less the least that the steps after it need (their low estimates along the longest path): a
+ * slow step may use up slack, but never what makes the rest hopeless. Acts on any cause of slowness that answers show: queues,
+ * loads, slow workers. It may reject too much where times change faster than they are learned; the samples that
+ * {@link ChainFeasibility} lets through correct that.
  *
- * <p>Bounds: chains and steps open, and a tenant's part of the steps. A ready step beyond them waits within its chain,
- * which is bounded by the chain's deadline; chains beyond them are refused.
+ * <p>Pure: events come in with their time in nanoseconds of one monotonic clock, {@link Actions} go out and may not call back
+ * in. One thread. Bounded are chains and steps open, and a tenant's share of the steps. A ready step beyond them waits within its
+ * chain, which is bounded by the chain's deadline; chains beyond them are rejected.
  */
 public final class ChainDecisions {
-    /** A chain with less chance than this is not begun or gone on with: even a quick run would not make it. */
-    static final double LEAST_CHANCE = 0.1;
-    /** What is asked for beyond that where the fleet turns away or loses this share of steps: work is scarce there. */
-    static final double CHANCE_UNDER_PRESSURE = 0.2;
-
-    static final double FULL_PRESSURE = 0.1;
-    /**
-     * Chains open at once follow how they end: a served one raises the bound, one that is lost cuts it by the part of it that
-     * had run, so that it settles where about a fifth of the work is lost, at any size; a chain whose first step is turned
-     * away cost nothing and cuts nothing. Acts on any shortage; where each step is turned away by chance, chains lose work
-     * that single calls would not. It hurts where chains are lost for reasons of their own.
-     */
-    private static final double OPEN_START = 32;
-
-    private static final double OPEN_RAISE = 0.01;
-    private static final double OPEN_CUT = 0.045;
-    private static final double OPEN_LEAST = 2;
-    private static final double SMOOTH_PRESSURE = 0.01; // some hundred steps decide
-    private static final int FUNCTIONS = 4096;
-
-    /** What becomes of decisions. */
+    private static final String TOO_MANY_CHAINS = "too-many-chains";
+    private static final String FINISHED_BEFORE = "all-steps-finished-before";
+    private static final String OUT_OF_TIME = "out-of-time";
+    private static final String TOO_MANY_BYTES = "too-many-bytes-held";
+    private static final String STEP_REJECTED_PREFIX = "step-refused:";
+    private static final String STEP_FAILED_PREFIX = "step-failed:";
+    private static final String NO_REASON = "";
+    private static final String NO_TENANT = "";
+
+    /** What the gateway has to do. Called in the order of the decisions; must not call back in. */
     public interface Actions {
-        /** Starts a step as a call that may take so long. */
+        /** Starts a step as a call that may take so long; {@link ChainDecisions#stepEnded} follows. */
         void start(long chain, int step, long mayTakeNanos);
 
-        /** Gives up on a step that is out. */
+        /** Cancels the call of a step that runs. */
         void cancel(long chain, int step);
 
-        /** Tells the policy that a step's function will be wanted. */
+        /** Tells the policy that a step's function will be wanted, so that it may load it. */
         void expect(long chain, int step);
 
         /** Gives the chain's final answer. */
         void end(long chain, ChainEnd end);
     }
 
-    /** What the policy believes. */
+    /** What the policy believes of the fleet. */
     @FunctionalInterface
     public interface Fleet {
-        /** Whether a copy is believed to stand. */
+        /** Whether some worker is believed to have the function loaded. */
         boolean believedWarm(String function);
     }
 
     /** How a step's call ended. */
     public enum StepEnd {
+        /** With an answer. */
         SERVED,
+        /** It was rejected and did not run. */
         REFUSED,
+        /** It may have run. */
         FAILED
     }
 
-    /** What is counted from the start on. */
+    /** Counters since the start of the process. */
     public enum Count {
+        /** Chains that arrived. */
         CHAINS,
+        /** Chains whose steps were all served. */
         SERVED,
+        /** Chains of which a retry does no harm, since no step ran that is not idempotent. */
         REFUSED,
+        /** Chains that ended otherwise. */
         FAILED,
+        /** Chains whose client went away. */
         LEFT,
+        /** Chains rejected since too many were open. */
         REFUSED_FULL,
+        /** Chains found infeasible when they arrived. */
         REFUSED_AT_START,
+        /** Chains found infeasible before a later step. */
         REFUSED_LATER,
+        /** Chains found infeasible and let through as samples. */
         LET_THROUGH,
+        /** Of the samples, those that were served: the rejection would have been wrong. */
         LET_THROUGH_SERVED,
+        /** Functions requested ahead of a step. */
         AHEAD_ORDERED,
+        /** Of these, those that were loaded when their step came. */
         AHEAD_USED,
+        /** Of these, those that no step used. */
         AHEAD_UNUSED,
+        /** Of these, those whose step still had to wait for the load. */
         AHEAD_LATE,
+        /** Functions requested for the chains that may follow one that was rejected. */
         AHEAD_FOR_NEXT,
+        /** Steps started. */
         STEPS,
+        /** Of these, those cancelled. */
         STEPS_CANCELLED
     }
 
-    private static final class Chain {
-        private final long id;
-        private final ChainPlan plan;
-        private final String tenant;
-        private final long deadline;
-        private final long aimNanos;
-        private final long untoldNanos; // what a step may take of it where nothing is known
-        private final StepState[] states;
-        private final int[] missing;
-        private final long[] startedAt;
-        private final boolean[] believed;
-        private final boolean[] ahead;
-        private int served;
-        private boolean letThrough;
-
-        Chain(long id, ChainPlan plan, String tenant, long deadline, long now) {
-            this.id = id;
-            this.plan = plan;
-            this.tenant = tenant;
-            this.deadline = deadline;
-            this.aimNanos = deadline - now;
-            this.untoldNanos = aimNanos / plan.depth();
-            int n = plan.size();
-            states = new StepState[n];
-            Arrays.fill(states, StepState.NOT_STARTED);
-            missing = new int[n];
-            startedAt = new long[n];
-            believed = new boolean[n];
-            ahead = new boolean[n];
-            for (int i = 0; i < n; i++) {
-                missing[i] = plan.needs(i).length;
-            }
-        }
-    }
-
-    private record Ready(Chain chain, int step) {}
-
     private final ChainSettings settings;
     private final Actions actions;
-    private final Fleet fleet;
-    private final ServiceTimeEstimates times = new ServiceTimeEstimates(FUNCTIONS);
-    private final Map<Long, Chain> chains = new HashMap<>();
-    private final Map<String, Integer> stepsOf = new HashMap<>();
-    private final Map<String, ArrayDeque<Ready>> waiting = new LinkedHashMap<>(); // by tenant, who take turns
-    private final long[] counts = new long[Count.values().length];
-    private int stepsOpen;
-    private long wouldRefuse;
-    private double mayBeOpen = OPEN_START;
-    private double pressure; // share of steps refused or failed of late
-
-    /** Decisions that know nothing yet. */
+    private final ChainCounters counters = new ChainCounters();
+    private final ChainConcurrencyLimit concurrencyLimit = new ChainConcurrencyLimit();
+    private final ChainTimeEstimator estimator;
+    private final ChainFeasibility feasibility;
+    private final FunctionPrefetcher prefetcher;
+    private final StepLimiter stepLimiter;
+    private final Map<Long, ActiveChain> chains = new HashMap<>();
+
+    /** A scheduler that has learned nothing yet. */
     public ChainDecisions(ChainSettings settings, Actions actions, Fleet fleet) {
         this.settings = settings;
         this.actions = actions;
-        this.fleet = fleet;
+        this.estimator = new ChainTimeEstimator(settings, fleet);
+        this.feasibility = new ChainFeasibility(settings, estimator, concurrencyLimit, counters);
+        this.prefetcher = new FunctionPrefetcher(settings.loadAhead(), estimator, actions, counters);
+        this.stepLimiter = new StepLimiter(settings);
     }
 
-    /** How often something was counted. */
+    /** The value of a counter. */
     public long count(Count count) {
-        return counts[count.ordinal()];
+        return counters.get(count);
     }
 
     /** Chains open. */
@@ -165,373 +133,210 @@
         return chains.size();
     }
 
-    /** Steps out. */
+    /** Steps that run. */
     public int stepsOpen() {
-        return stepsOpen;
+        return stepLimiter.running();
     }
 
     // ---- Events -----------------------------------------------------------------------------
 
     /**
-     * A chain came.
+     * A chain arrived.
      *
-     * @param done steps whose answers an earlier try of the same chain left; they do not run again
+     * @param tenant null where the client named none
+     * @param done   by step, whether an earlier attempt of the same chain left its answer, so that it does not run again; null
+     *               where there was no earlier attempt
      */
-    public void begin(long now, long id, ChainPlan plan, String tenant, long deadline, boolean[] done) {
-        add(Count.CHAINS);
-        Chain c = new Chain(id, plan, tenant == null ? "" : tenant, deadline, now);
+    public void begin(long nowNanos, long chainId, ChainPlan plan, String tenant, long deadlineNanos, boolean[] done) {
+        counters.increment(Count.CHAINS);
+        ActiveChain chain =
+                new ActiveChain(chainId, plan, tenant == null ? NO_TENANT : tenant, deadlineNanos, nowNanos);
         if (chains.size() >= settings.mostChains()) {
-            add(Count.REFUSED_FULL);
-            add(Count.REFUSED);
-            actions.end(id, new ChainEnd(Kind.REFUSED, "too-many-chains", List.of(c.states)));
+            counters.increment(Count.REFUSED_FULL);
+            counters.increment(Count.REFUSED);
+            actions.end(chainId, new ChainEnd(Kind.REFUSED, TOO_MANY_CHAINS, chain.finalStates()));
             return;
         }
-        chains.put(id, c);
-        for (int step : plan.order()) {
-            if (done != null && done[step]) {
-                served(c, step);
+        chains.put(chainId, chain);
+        markFinishedSteps(chain, done);
+        if (chain.isComplete()) {
+            end(chain, Kind.SERVED, FINISHED_BEFORE);
+        } else if (!rejectIfInfeasible(nowNanos, chain, Stage.AT_START)) {
+            for (int step = 0; step < plan.size(); step++) {
+                startOrEnqueueIfReady(nowNanos, chain, step);
             }
+            startWaitingSteps(nowNanos);
         }
-        if (c.served == plan.size()) {
-            end(c, Kind.SERVED, "all-steps-finished-before");
-        } else if (!hopeless(now, c, Count.REFUSED_AT_START)) {
-            for (int step = 0; step < plan.size(); step++) {
-                if (ready(c, step)) {
-                    offer(now, c, step);
-                }
+    }
+
+    private static void markFinishedSteps(ActiveChain chain, boolean[] done) {
+        if (done == null) {
+            return;
+        }
+        for (int step : chain.plan().order()) {
+            if (done[step]) {
+                chain.markServed(step);
             }
-            startWaiting(now);
         }
     }
 
-    /** A step's call ended; {@code loaded} tells whether it met a load. */
-    public void stepEnded(long now, long id, int step, StepEnd how, long tookNanos, boolean loaded) {
-        Chain c = chains.get(id);
-        if (c == null || c.states[step] != StepState.RUNNING) {
+    /** A step's call ended; {@code loaded} tells whether it had to wait for a load. */
+    public void stepEnded(long nowNanos, long chainId, int step, StepEnd end, long tookNanos, boolean loaded) {
+        ActiveChain chain = chains.get(chainId);
+        if (chain == null || chain.state(step) != StepState.RUNNING) {
             return;
         }
-        stepOver(c);
-        pressure += SMOOTH_PRESSURE * ((how == StepEnd.SERVED ? 0 : 1) - pressure);
-        Step s = c.plan.steps().get(step);
-        switch (how) {
+        stepLimiter.onStepEnded(chain.tenant());
+        feasibility.onStepEnded(end == StepEnd.SERVED);
+        String stepId = chain.step(step).id();
+        switch (end) {
             case SERVED -> {
-                times.learn(now, s.function(), loaded, c.believed[step], tookNanos);
-                if (c.ahead[step]) {
-                    add(loaded ? Count.AHEAD_LATE : Count.AHEAD_USED);
-                    c.ahead[step] = false;
-                }
-                served(c, step);
-                goOn(now, c, step);
+                estimator.onStepServed(nowNanos, chain, step, tookNanos, loaded);
+                prefetcher.onStepServed(chain, step, loaded);
+                chain.markServed(step);
+                continueAfter(nowNanos, chain, step);
             }
             case REFUSED -> {
-                c.states[step] = StepState.REFUSED;
-                endEarly(c, "step-refused:" + s.id());
+                chain.markNotServed(step, StepState.REFUSED);
+                endEarly(chain, STEP_REJECTED_PREFIX + stepId);
             }
-            default -> {
-                c.states[step] = StepState.MAY_HAVE_RUN;
-                endEarly(c, "step-failed:" + s.id());
+            case FAILED -> {
+                chain.markNotServed(step, StepState.MAY_HAVE_RUN);
+                endEarly(chain, STEP_FAILED_PREFIX + stepId);
             }
         }
-        startWaiting(now);
+        startWaitingSteps(nowNanos);
     }
 
-    /** The client went away: what is out can't matter any more. */
-    public void clientLeft(long now, long id) {
-        Chain c = chains.get(id);
-        if (c != null) {
-            add(Count.LEFT);
-            drop(c);
-            startWaiting(now);
+    /** The client went away: its chain is dropped without an answer, and steps that run are cancelled. */
+    public void clientLeft(long nowNanos, long chainId) {
+        ActiveChain chain = chains.get(chainId);
+        if (chain != null) {
+            counters.increment(Count.LEFT);
+            close(chain);
+            startWaitingSteps(nowNanos);
         }
     }
 
-    /** The chain's time is over, less what its answer needs. */
-    public void due(long now, long id) {
-        Chain c = chains.get(id);
-        if (c != null) {
-            endEarly(c, "out-of-time");
-            startWaiting(now);
-        }
+    /** The deadline came, less what the answer needs to reach the client. */
+    public void due(long nowNanos, long chainId) {
+        endOpenChain(nowNanos, chainId, OUT_OF_TIME);
     }
 
-    /** A gateway can't hold more answers between steps. */
-    public void outOfBytes(long now, long id) {
-        Chain c = chains.get(id);
-        if (c != null) {
-            endEarly(c, "too-many-bytes-held");
-            startWaiting(now);
-        }
+    /** The gateway can't hold the chain's answers between steps. */
+    public void outOfBytes(long nowNanos, long chainId) {
+        endOpenChain(nowNanos, chainId, TOO_MANY_BYTES);
     }
 
-    // ---- Going on ---------------------------------------------------------------------------
-
-    private static boolean ready(Chain c, int step) {
-        return c.states[step] == StepState.NOT_STARTED && c.missing[step] == 0;
-    }
-
-    private void served(Chain c, int step) {
-        c.states[step] = StepState.SERVED;
-        c.served++;
-        for (int next : c.plan.dependents(step)) {
-            c.missing[next]--;
-        }
-    }
-
-    private void goOn(long now, Chain c, int step) {
-        if (c.served == c.plan.size()) {
-            end(c, Kind.SERVED, "");
-            return;
-        }
-        int[] next = c.plan.dependents(step);
-        boolean any = Arrays.stream(next).anyMatch(n -> ready(c, n));
-        if (any && !hopeless(now, c, Count.REFUSED_LATER)) {
-            for (int n : next) {
-                if (ready(c, n)) {
-                    offer(now, c, n);
-                }
-            }
+    private void endOpenChain(long nowNanos, long chainId, String reason) {
+        ActiveChain chain = chains.get(chainId);
+        if (chain != null) {
+            endEarly(chain, reason);
+            startWaitingSteps(nowNanos);
         }
     }
 
-    private void offer(long now, Chain c, int step) {
-        if (!chains.containsKey(c.id)) {
-            return; // a step offered just before found no time left, and the chain has its answer
-        }
-        if (mayOpen(c.tenant)) {
-            start(now, c, step);
-        } else {
-            waiting.computeIfAbsent(c.tenant, t -> new ArrayDeque<>()).add(new Ready(c, step));
-        }
-    }
-
-    private boolean mayOpen(String tenant) {
-        return stepsOpen < settings.mostSteps()
-                && stepsOf.getOrDefault(tenant, 0) < Math.max(1, settings.tenantShare() * settings.mostSteps());
-    }
-
-    /** Tenants whose steps wait take turns. */
-    private void startWaiting(long now) {
-        boolean started = !waiting.isEmpty();
-        while (started) {
-            started = false;
-            for (String tenant : List.copyOf(waiting.keySet())) {
-                ArrayDeque<Ready> line = waiting.get(tenant);
-                while (!line.isEmpty() && !ready(line.peek().chain, line.peek().step)
-                        || !line.isEmpty() && !chains.containsKey(line.peek().chain.id)) {
-                    line.poll();
-                }
-                if (line.isEmpty()) {
-                    waiting.remove(tenant);
-                } else if (mayOpen(tenant)) {
-                    Ready next = line.poll();
-                    if (!hopeless(now, next.chain, Count.REFUSED_LATER)) {
-                        start(now, next.chain, next.step);
-                    }
-                    started = true;
-                }
-            }
-        }
-    }
+    // ---- Steps ------------------------------------------------------------------------------
 
-    private void start(long now, Chain c, int step) {
-        long mayTake = mayTake(now, c, step);
-        if (mayTake <= 0) {
-            endEarly(c, "out-of-time");
+    private void continueAfter(long nowNanos, ActiveChain chain, int step) {
+        if (chain.isComplete()) {
+            end(chain, Kind.SERVED, NO_REASON);
             return;
         }
-        Step s = c.plan.steps().get(step);
-        c.states[step] = StepState.RUNNING;
-        c.startedAt[step] = now;
-        c.believed[step] = fleet.believedWarm(s.function());
-        stepsOpen++;
-        stepsOf.merge(c.tenant, 1, Integer::sum);
-        add(Count.STEPS);
-        actions.start(c.id, step, mayTake);
-        if (settings.loadAhead()) {
-            for (int next : c.plan.dependents(step)) {
-                loadAhead(now, c, next);
+        int[] dependents = chain.plan().dependents(step);
+        boolean isAnyReady = Arrays.stream(dependents).anyMatch(chain::isReady);
+        if (isAnyReady && !rejectIfInfeasible(nowNanos, chain, Stage.LATER)) {
+            for (int dependent : dependents) {
+                startOrEnqueueIfReady(nowNanos, chain, dependent);
             }
         }
     }
 
-    /** A later function that is not believed warm is told now, if that makes the difference between in time and late. */
-    private void loadAhead(long now, Chain c, int step) {
-        Step s = c.plan.steps().get(step);
-        if (c.ahead[step] || c.states[step] != StepState.NOT_STARTED || fleet.believedWarm(s.function())) {
+    private void startOrEnqueueIfReady(long nowNanos, ActiveChain chain, int step) {
+        boolean isOpen = chains.containsKey(chain.id()); // not where a step started just before found no time left
+        if (!isOpen || !chain.isReady(step)) {
             return;
         }
-        LatencyQuantiles rest = longest(now, c);
-        LatencyQuantiles saved = estimate(c, step, false);
-        LatencyQuantiles warm = times.warm(s.function(), s.costNanos(), c.untoldNanos);
-        long left = c.deadline - now;
-        long gain = saved.median() - warm.median();
-        boolean matters = rest.within(left) < 0.9 && rest.within(left + gain) > rest.within(left);
-        if (matters) {
-            c.ahead[step] = true;
-            add(Count.AHEAD_ORDERED);
-            actions.expect(c.id, step);
-        }
-    }
-
-    private void stepOver(Chain c) {
-        stepsOpen--;
-        stepsOf.merge(c.tenant, -1, (a, b) -> a + b == 0 ? null : a + b);
-    }
-
-    // ---- Time -------------------------------------------------------------------------------
-
-    /** What a step may take: what is left, less the least that the rest needs after it. */
-    long mayTake(long now, Chain c, int step) {
-        if (settings.clock() == Clock.EACH_STEP) {
-            return c.aimNanos - settings.reserveNanos();
+        if (stepLimiter.hasCapacity(chain.tenant())) {
+            start(nowNanos, chain, step);
+        } else {
+            stepLimiter.enqueue(chain, step);
         }
-        return c.deadline - now - settings.reserveNanos() - leastAfter(c, step);
     }
 
-    private long leastAfter(Chain c, int step) {
-        long[] least = new long[c.plan.size()];
-        int[] order = c.plan.order();
-        for (int k = order.length - 1; k >= 0; k--) {
-            for (int next : c.plan.dependents(order[k])) {
-                Step s = c.plan.steps().get(next);
-                long needs =
-                        times.warm(s.function(), s.costNanos(), c.untoldNanos).low();
-                least[order[k]] = Math.max(least[order[k]], least[next] + needs);
+    private void startWaitingSteps(long nowNanos) {
+        stepLimiter.drain(this::canStart, waiting -> {
+            if (!rejectIfInfeasible(nowNanos, waiting.chain(), Stage.LATER)) {
+                start(nowNanos, waiting.chain(), waiting.step());
             }
-        }
-        // estimates that ask for more than there is must not stop a step that was found worth starting
-        return Math.min(least[step], Math.max(0, c.aimNanos / 2));
+        });
     }
 
-    private LatencyQuantiles estimate(Chain c, int step, boolean believed) {
-        Step s = c.plan.steps().get(step);
-        return believed
-                ? times.warm(s.function(), s.costNanos(), c.untoldNanos)
-                : times.unsure(s.function(), s.costNanos(), s.loadNanos(), c.untoldNanos);
+    private boolean canStart(WaitingStep waiting) {
+        return waiting.chain().isReady(waiting.step())
+                && chains.containsKey(waiting.chain().id());
     }
 
-    /** The longest path of what is not yet served, by medians. */
-    private LatencyQuantiles longest(long now, Chain c) {
-        LatencyQuantiles[] from = new LatencyQuantiles[c.plan.size()];
-        int[] order = c.plan.order();
-        LatencyQuantiles longest = LatencyQuantiles.NONE;
-        for (int k = order.length - 1; k >= 0; k--) {
-            int step = order[k];
-            LatencyQuantiles rest = LatencyQuantiles.NONE;
-            for (int next : c.plan.dependents(step)) {
-                rest = from[next].median() >= rest.median() ? from[next] : rest;
-            }
-            from[step] = switch (c.states[step]) {
-                case SERVED -> rest;
-                case RUNNING -> estimate(c, step, c.believed[step])
-                        .after(now - c.startedAt[step])
-                        .then(rest);
-                default -> estimate(
-                                c,
-                                step,
-                                fleet.believedWarm(c.plan.steps().get(step).function()))
-                        .then(rest);};
-            longest = from[step].median() >= longest.median() ? from[step] : longest;
+    private void start(long nowNanos, ActiveChain chain, int step) {
+        long budgetNanos = estimator.stepBudgetNanos(nowNanos, chain, step);
+        if (budgetNanos <= 0) {
+            endEarly(chain, OUT_OF_TIME);
+            return;
         }
-        return longest;
+        chain.markRunning(step, nowNanos, estimator.isBelievedWarm(chain.step(step)));
+        stepLimiter.onStepStarted(chain.tenant());
+        counters.increment(Count.STEPS);
+        actions.start(chain.id(), step, budgetNanos);
+        prefetcher.onStepStarted(nowNanos, chain, step);
     }
 
-    /** Whether the chain is to be given up now; then it has its answer. */
-    private boolean hopeless(long now, Chain c, Count as) {
-        if (!settings.earlyRefusal() || settings.clock() == Clock.EACH_STEP || c.letThrough) {
-            return false;
-        }
-        if (as == Count.REFUSED_AT_START && chains.size() > mayBeOpen) {
-            return refused(c, as, "too-many-for-the-fleet");
-        }
-        double least = LEAST_CHANCE + CHANCE_UNDER_PRESSURE * Math.min(1, pressure / FULL_PRESSURE);
-        if (longest(now, c).within(c.deadline - settings.reserveNanos() - now) >= least) {
-            return false;
-        }
-        return refused(c, as, "too-little-time");
-    }
+    // ---- Ends -------------------------------------------------------------------------------
 
-    /** Refuses, unless this is the one of many that is let through. */
-    private boolean refused(Chain c, Count as, String why) {
-        if (settings.letThrough() > 0 && ++wouldRefuse % settings.letThrough() == 0) {
-            c.letThrough = true;
-            add(Count.LET_THROUGH);
+    /** Ends a chain that is not worth continuing; true where it did. */
+    private boolean rejectIfInfeasible(long nowNanos, ActiveChain chain, Stage stage) {
+        Optional<String> reason = feasibility.rejectionReason(nowNanos, chain, chains.size(), stage);
+        if (reason.isEmpty()) {
             return false;
         }
-        add(as);
-        loadForTheNext(c);
-        endEarly(c, why);
+        counters.increment(stage == Stage.AT_START ? Count.REFUSED_AT_START : Count.REFUSED_LATER);
+        prefetcher.onChainRejected(chain);
+        endEarly(chain, reason.get());
         return true;
     }
 
-    /**
-     * A chain that is refused since its functions do not stand brings no load, so the next one would be refused too, and
-     * so on. What it would have loaded is told to the policy, which orders it within its own limits. It hurts where no
-     * like chain comes: a load for nothing.
-     */
-    private void loadForTheNext(Chain c) {
-        for (int step = 0; settings.loadAhead() && step < c.states.length; step++) {
-            boolean wanted = c.states[step] == StepState.NOT_STARTED && !c.ahead[step];
-            if (wanted && !fleet.believedWarm(c.plan.steps().get(step).function())) {
-                add(Count.AHEAD_FOR_NEXT);
-                actions.expect(c.id, step);
-            }
-        }
+    /** Ends a chain that is not complete: rejected only where no step may have run that must not run twice. */
+    private void endEarly(ActiveChain chain, String reason) {
+        end(chain, chain.isRetrySafe() ? Kind.REFUSED : Kind.FAILED, reason);
     }
 
-    // ---- Ends -------------------------------------------------------------------------------
-
-    /** Rule 2 for the whole: a refusal only where no step may have run that must not run twice. */
-    private void endEarly(Chain c, String reason) {
-        boolean harmless = true;
-        for (int i = 0; i < c.states.length; i++) {
-            boolean exposed = c.states[i] == StepState.SERVED
-                    || c.states[i] == StepState.RUNNING
-                    || c.states[i] == StepState.MAY_HAVE_RUN;
-            harmless &= !exposed || c.plan.steps().get(i).effect() == Effect.IDEMPOTENT;
-        }
-        end(c, harmless ? Kind.REFUSED : Kind.FAILED, reason);
-    }
-
-    private void end(Chain c, Kind kind, String reason) {
-        add(kind == Kind.SERVED ? Count.SERVED : kind == Kind.REFUSED ? Count.REFUSED : Count.FAILED);
+    private void end(ActiveChain chain, Kind kind, String reason) {
+        counters.increment(
+                switch (kind) {
+                    case SERVED -> Count.SERVED;
+                    case REFUSED -> Count.REFUSED;
+                    case FAILED -> Count.FAILED;
+                });
         if (kind == Kind.SERVED) {
-            mayBeOpen *= chains.size() >= mayBeOpen / 2 ? 1 + OPEN_RAISE : 1;
+            concurrencyLimit.onServed(chains.size());
         } else {
-            mayBeOpen = Math.max(OPEN_LEAST, mayBeOpen * (1 - OPEN_CUT * partLost(c)));
+            concurrencyLimit.onLost(chain.workSpent());
         }
-        if (c.letThrough && kind == Kind.SERVED) {
-            add(Count.LET_THROUGH_SERVED);
+        if (kind == Kind.SERVED && chain.isRejectionSample()) {
+            counters.increment(Count.LET_THROUGH_SERVED);
         }
-        drop(c);
-        List<StepState> states = new ArrayList<>(List.of(c.states));
-        states.replaceAll(s -> s == StepState.RUNNING ? StepState.MAY_HAVE_RUN : s);
-        actions.end(c.id, new ChainEnd(kind, reason, List.copyOf(states)));
-    }
-
-    /** Of a chain that is lost, the steps on which work was spent. */
-    private static double partLost(Chain c) {
-        long spent = Arrays.stream(c.states)
-                .filter(s -> s != StepState.NOT_STARTED && s != StepState.REFUSED)
-                .count();
-        return spent / (double) c.states.length;
-    }
-
-    private void drop(Chain c) {
-        chains.remove(c.id);
-        for (int i = 0; i < c.states.length; i++) {
-            if (c.ahead[i]) {
-                add(Count.AHEAD_UNUSED);
-            }
-            if (c.states[i] == StepState.RUNNING) {
-                stepOver(c);
-                add(Count.STEPS_CANCELLED);
-                actions.cancel(c.id, i);
+        close(chain);
+        actions.end(chain.id(), new ChainEnd(kind, reason, chain.finalStates()));
+    }
+
+    private void close(ActiveChain chain) {
+        chains.remove(chain.id());
+        prefetcher.onChainClosed(chain);
+        for (int step = 0; step < chain.plan().size(); step++) {
+            if (chain.state(step) == StepState.RUNNING) {
+                stepLimiter.onStepEnded(chain.tenant());
+                counters.increment(Count.STEPS_CANCELLED);
+                actions.cancel(chain.id(), step);
             }
         }
     }
-
-    private void add(Count count) {
-        counts[count.ordinal()]++;
-    }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainEnd.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainEnd.java
@@ -3,30 +3,31 @@
 import java.util.List;
 
 /**
- * How a chain ended.
+ * The final answer of a chain.
  *
- * @param steps what became of each step, in the plan's order
+ * @param reason why it was not served, as the client is told; empty where it was
+ * @param steps  what became of each step, in the plan's order
  */
 public record ChainEnd(Kind kind, String reason, List<StepState> steps) {
-    /** The final answer. */
+    /** How a chain ended. */
     public enum Kind {
         /** All steps were served. */
         SERVED,
-        /** Nothing that matters has run; a repeat is harmless. */
+        /** No step may have run that is not idempotent: a retry does no harm. */
         REFUSED,
-        /** Steps may have run; the states tell which. */
+        /** Steps may have run that are not idempotent; the states tell which. */
         FAILED
     }
 
     /** What is known of a step. */
     public enum StepState {
-        /** It never was sent. */
+        /** It was never sent. */
         NOT_STARTED,
-        /** It is out. */
+        /** Its call is in flight. */
         RUNNING,
         /** It ran and was answered. */
         SERVED,
-        /** It was turned away and did not run. */
+        /** It was rejected and did not run. */
         REFUSED,
         /** It may have run. */
         MAY_HAVE_RUN
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import wharfhinge.policy.Effect;
 
-/** The steps of a chain and what each waits for: a graph without cycles, checked when it is made. */
+/** The steps of a chain and what each needs: a directed acyclic graph, validated when it is made. Steps go by their index. */
 public final class ChainPlan {
     /** Most steps of a chain. */
     public static final int MOST_STEPS = 64;
@@ -16,9 +16,13 @@
     /**
      * One step.
      *
-     * @param needs  ids of the steps whose answers it waits for
-     * @param costNanos expected work, 0 untold
-     * @param loadNanos usual time of a load, 0 untold
+     * @param id           name of the step within its chain
+     * @param function     function that it calls
+     * @param requestClass class of the request, which gives its latency objective
+     * @param effect       whether it may run twice
+     * @param needs        ids of the steps whose answers it waits for
+     * @param costNanos    expected service time, 0 unknown
+     * @param loadNanos    usual time of a load of the function, 0 unknown
      */
     public record Step(
             String id,
@@ -29,7 +33,7 @@
             long costNanos,
             long loadNanos) {}
 
-    /** A plan that is no chain; names the place, what was found and what is allowed. */
+    /** A plan that is not valid; the message names the place, what was found there and what is allowed. */
     public static final class InvalidPlanException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -50,90 +54,118 @@
         this.order = order;
     }
 
-    /** Checks and orders steps. */
+    /** Validates steps and sorts them topologically. */
     public static ChainPlan of(List<Step> steps) throws InvalidPlanException {
-        int n = steps.size();
-        if (n == 0 || n > MOST_STEPS) {
-            throw new InvalidPlanException("steps", Integer.toString(n), "1 to " + MOST_STEPS);
+        if (steps.isEmpty() || steps.size() > MOST_STEPS) {
+            throw new InvalidPlanException("steps", Integer.toString(steps.size()), "1 to " + MOST_STEPS);
         }
-        Map<String, Integer> byId = new HashMap<>();
-        for (int i = 0; i < n; i++) {
-            if (byId.put(steps.get(i).id(), i) != null) {
-                throw new InvalidPlanException(
-                        "steps[" + i + "].id", "'" + steps.get(i).id() + "' twice", "once");
+        int[][] needs = resolveNeeds(steps, indexById(steps));
+        int[][] dependents = invert(needs);
+        return new ChainPlan(List.copyOf(steps), needs, dependents, topologicalOrder(steps, needs, dependents));
+    }
+
+    private static Map<String, Integer> indexById(List<Step> steps) throws InvalidPlanException {
+        Map<String, Integer> indexById = new HashMap<>();
+        for (int step = 0; step < steps.size(); step++) {
+            String id = steps.get(step).id();
+            if (indexById.put(id, step) != null) {
+                throw new InvalidPlanException("steps[" + step + "].id", "'" + id + "' twice", "once");
             }
         }
-        int[][] needs = new int[n][];
-        List<List<Integer>> dependents = new ArrayList<>();
-        steps.forEach(s -> dependents.add(new ArrayList<>()));
-        for (int i = 0; i < n; i++) {
-            List<String> names = steps.get(i).needs().stream().distinct().toList();
-            needs[i] = new int[names.size()];
-            for (int k = 0; k < names.size(); k++) {
-                Integer need = byId.get(names.get(k));
+        return indexById;
+    }
+
+    private static int[][] resolveNeeds(List<Step> steps, Map<String, Integer> indexById) throws InvalidPlanException {
+        int[][] needs = new int[steps.size()][];
+        for (int step = 0; step < needs.length; step++) {
+            List<String> ids = steps.get(step).needs().stream().distinct().toList();
+            needs[step] = new int[ids.size()];
+            for (int position = 0; position < ids.size(); position++) {
+                Integer need = indexById.get(ids.get(position));
                 if (need == null) {
                     throw new InvalidPlanException(
-                            "steps[" + i + "].input", "'" + names.get(k) + "'", "client or the id of a step");
+                            "steps[" + step + "].input", "'" + ids.get(position) + "'", "client or the id of a step");
                 }
-                needs[i][k] = need;
-                dependents.get(need).add(i);
+                needs[step][position] = need;
             }
         }
-        int[][] after = dependents.stream()
-                .map(d -> d.stream().mapToInt(x -> x).toArray())
+        return needs;
+    }
+
+    /** By step, the steps that need it, in rising order. */
+    private static int[][] invert(int[][] needs) {
+        List<List<Integer>> dependents = new ArrayList<>();
+        for (int step = 0; step < needs.length; step++) {
+            dependents.add(new ArrayList<>());
+        }
+        for (int step = 0; step < needs.length; step++) {
+            for (int need : needs[step]) {
+                dependents.get(need).add(step);
+            }
+        }
+        return dependents.stream()
+                .map(list -> list.stream().mapToInt(Integer::intValue).toArray())
                 .toArray(int[][]::new);
-        return new ChainPlan(List.copyOf(steps), needs, after, order(steps, needs, after));
     }
 
-    private static int[] order(List<Step> steps, int[][] needs, int[][] dependents) throws InvalidPlanException {
-        int n = needs.length;
-        int[] missing = new int[n];
-        int[] depth = new int[n];
-        int[] order = new int[n];
-        int done = 0;
-        for (int i = 0; i < n; i++) {
-            missing[i] = needs[i].length;
-            if (missing[i] == 0) {
-                depth[i] = 1;
-                order[done++] = i;
+    private static int[] topologicalOrder(List<Step> steps, int[][] needs, int[][] dependents)
+            throws InvalidPlanException {
+        int[] pendingNeeds = new int[needs.length];
+        int[] depth = new int[needs.length];
+        int[] order = new int[needs.length];
+        int sorted = 0;
+        for (int step = 0; step < needs.length; step++) {
+            pendingNeeds[step] = needs[step].length;
+            if (pendingNeeds[step] == 0) {
+                depth[step] = 1;
+                order[sorted++] = step;
             }
         }
-        for (int at = 0; at < done; at++) {
-            for (int next : dependents[order[at]]) {
-                depth[next] = Math.max(depth[next], depth[order[at]] + 1);
-                if (depth[next] > MOST_DEPTH) {
-                    throw new InvalidPlanException(
-                            "steps[" + next + "]", "over " + MOST_DEPTH + " steps in a row", "at most " + MOST_DEPTH);
+        for (int position = 0; position < sorted; position++) {
+            int step = order[position];
+            for (int dependent : dependents[step]) {
+                depth[dependent] = Math.max(depth[dependent], depth[step] + 1);
+                if (depth[dependent] > MOST_DEPTH) {
+                    throw tooDeep(dependent);
                 }
-                if (--missing[next] == 0) {
-                    order[done++] = next;
+                if (--pendingNeeds[dependent] == 0) {
+                    order[sorted++] = dependent;
                 }
             }
         }
-        if (done < n) {
-            int stuck = 0;
-            while (missing[stuck] == 0) {
-                stuck++;
-            }
-            throw new InvalidPlanException(
-                    "steps[" + stuck + "].input",
-                    "'" + steps.get(stuck).id() + "' waiting for itself",
-                    "steps without a cycle");
+        if (sorted < needs.length) {
+            throw cycle(steps, pendingNeeds);
         }
         return order;
     }
 
-    /** The steps as given. */
+    private static InvalidPlanException tooDeep(int step) {
+        return new InvalidPlanException(
+                "steps[" + step + "]", "over " + MOST_DEPTH + " steps in a row", "at most " + MOST_DEPTH);
+    }
+
+    private static InvalidPlanException cycle(List<Step> steps, int[] pendingNeeds) {
+        int unsorted = 0;
+        while (pendingNeeds[unsorted] == 0) {
+            unsorted++;
+        }
+        return new InvalidPlanException(
+                "steps[" + unsorted + "].input",
+                "'" + steps.get(unsorted).id() + "' waiting for itself",
+                "steps without a cycle");
+    }
+
+    /** The steps in the order in which the client gave them. */
     public List<Step> steps() {
         return steps;
     }
 
-    /** How many steps. */
+    /** Number of steps. */
     public int size() {
         return steps.size();
     }
 
-    /** Steps in the longest row. */
+    /** Steps on the longest path. */
     int depth() {
         int[] depth = new int[size()];
         int deepest = 0;
@@ -146,17 +178,17 @@
         return deepest;
     }
 
-    /** What a step waits for; not to be changed. */
+    /** The steps whose answers a step needs; not to be changed. */
     int[] needs(int step) {
         return needs[step];
     }
 
-    /** What waits for a step; not to be changed. */
+    /** The steps that need a step; not to be changed. */
     int[] dependents(int step) {
         return dependents[step];
     }
 
-    /** Steps in an order in which each stands after all that it needs; not to be changed. */
+    /** All steps in topological order: each after all that it needs; not to be changed. */
     int[] order() {
         return order;
     }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
@@ -1,17 +1,17 @@
 package wharfhinge.decisions.chain;
 
 /**
- * What chains are decided by.
+ * Settings of a {@link ChainDecisions}.
  *
- * @param clock         one deadline for the chain, or (only for comparison and as a mutant) a clock for each step
- * @param earlyRefusal  whether what can't be done in time is refused before it is begun
- * @param letThrough    of so many early refusals one is let through, to learn how often they are wrong; 0 none
- * @param loadAhead     whether functions of later steps are told to the policy while earlier ones run
- * @param mostChains    chains open at most
- * @param mostSteps     steps open at most, of all chains
- * @param tenantShare   of those, the part that one tenant's chains may have
- * @param mostBytes     bytes of answers held between steps, of all chains
- * @param reserveNanos     kept back at a deadline for the answer's way
+ * @param clock        what a step's time is cut from
+ * @param earlyRefusal whether a chain that can't be in time is rejected before work is spent on it
+ * @param letThrough   one in so many early rejections is let through, to learn how often they are wrong; 0 for none
+ * @param loadAhead    whether functions of later steps are requested while earlier ones run
+ * @param mostChains   chains open at most
+ * @param mostSteps    steps that run at most, of all chains
+ * @param tenantShare  the share of {@code mostSteps}, 0 to 1, that one tenant's chains may have
+ * @param mostBytes    bytes of answers held between steps at most, of all chains
+ * @param reserveNanos time kept back at a deadline for the answer's way to the client
  */
 public record ChainSettings(
         Clock clock,
@@ -25,7 +25,9 @@
         long reserveNanos) {
     /** What the time of a step is cut from. */
     public enum Clock {
+        /** The chain's deadline, which all its steps share. */
         ONE,
+        /** A deadline of its own, as long as the chain's; only for comparison in experiments and as a mutant for tests. */
         EACH_STEP
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
@@ -2,127 +2,99 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.HdrHistogram.IntCountsHistogram;
+import java.util.Optional;
+import wharfhinge.decisions.chain.ChainPlan.Step;
 
 /**
- * What answers took, by function, with and without a load. Two histograms take turns, so that what is older than two
- * turns is forgotten; quantiles are read anew every few samples, which keeps a look-up at a map access. Bounded: the
- * functions not heard of for longest are forgotten first.
+ * Learned service times by function, apart for warm calls and cold starts. Where a function has too few samples, what the client
+ * told of the step stands in, then what other functions take, then a part of the chain's time. Bounded: the functions not heard of
+ * for longest are forgotten first.
  */
-public final class ServiceTimeEstimates {
-    private static final long UNIT = 100_000L; // 0.1 ms
-    private static final long LONGEST = 60_000_000_000L / UNIT;
-    private static final int TURN_SAMPLES = 64;
-    private static final long TURN_NS = 20_000_000_000L;
-    private static final int READ_EVERY = 4;
-    private static final int ENOUGH = 3; // fewer samples tell less than what the call itself tells
-    private static final double SMOOTH = 0.05;
+final class ServiceTimeEstimates {
+    private static final double SMOOTHING = 0.05;
+    /** A quantile is that of a cold start where one is likelier than the quantile's complement. */
+    private static final double COLD_START_AT_LOW = 0.9;
 
-    private static final class Series {
-        private IntCountsHistogram recent = new IntCountsHistogram(LONGEST, 1);
-        private IntCountsHistogram former = new IntCountsHistogram(LONGEST, 1);
-        private long turnedAt;
-        private int unread;
-        private LatencyQuantiles read;
+    private static final double COLD_START_AT_MEDIAN = 0.5;
+    private static final double COLD_START_AT_HIGH = 0.1;
 
-        void add(long now, long tookNanos) {
-            if (recent.getTotalCount() >= TURN_SAMPLES || now - turnedAt > TURN_NS && recent.getTotalCount() > 0) {
-                IntCountsHistogram oldest = former;
-                former = recent;
-                recent = oldest;
-                recent.reset();
-                turnedAt = now;
-            }
-            recent.recordValue(Math.max(1, Math.min(LONGEST, tookNanos / UNIT)));
-            if (read == null || ++unread >= READ_EVERY) {
-                unread = 0;
-                read = read();
-            }
-        }
+    private final Map<String, LatencyHistogram> warmByFunction;
+    private final Map<String, LatencyHistogram> coldByFunction;
+    private final LatencyHistogram anyWarm = new LatencyHistogram();
+    private final LatencyHistogram anyCold = new LatencyHistogram();
+    private double coldShareWhereNotBelievedWarm = 1;
 
-        private LatencyQuantiles read() {
-            IntCountsHistogram both = new IntCountsHistogram(LONGEST, 1);
-            both.add(recent);
-            both.add(former);
-            return both.getTotalCount() < ENOUGH
-                    ? null
-                    : new LatencyQuantiles(
-                            both.getValueAtPercentile(10) * UNIT,
-                            both.getValueAtPercentile(50) * UNIT,
-                            both.getValueAtPercentile(90) * UNIT);
-        }
+    /** Remembers at most so many functions. */
+    ServiceTimeEstimates(int maxFunctions) {
+        warmByFunction = leastRecentlyUsedMap(maxFunctions);
+        coldByFunction = leastRecentlyUsedMap(maxFunctions);
     }
 
-    private final Map<String, Series> warm;
-    private final Map<String, Series> loaded;
-    private final Series anyWarm = new Series();
-    private final Series anyLoaded = new Series();
-    private double loadsUnbelieved = 1;
-
-    /** Remembers so many functions. */
-    public ServiceTimeEstimates(int most) {
-        warm = bounded(most);
-        loaded = bounded(most);
-    }
-
-    private static Map<String, Series> bounded(int most) {
+    private static Map<String, LatencyHistogram> leastRecentlyUsedMap(int maxSize) {
         return new LinkedHashMap<>(64, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<String, Series> eldest) {
-                return size() > most;
+            protected boolean removeEldestEntry(Map.Entry<String, LatencyHistogram> eldest) {
+                return size() > maxSize;
             }
         };
     }
 
-    /** An answer came; {@code believed} tells whether a copy was believed to stand when the call began. */
-    public void learn(long now, String function, boolean didLoad, boolean believed, long tookNanos) {
-        (didLoad ? loaded : warm).computeIfAbsent(function, f -> new Series()).add(now, tookNanos);
-        (didLoad ? anyLoaded : anyWarm).add(now, tookNanos);
-        if (!believed) {
-            loadsUnbelieved += SMOOTH * ((didLoad ? 1 : 0) - loadsUnbelieved);
+    /** A call was answered; {@code wasBelievedWarm} tells what was believed of its function when it started. */
+    void learn(long nowNanos, String function, boolean isColdStart, boolean wasBelievedWarm, long tookNanos) {
+        Map<String, LatencyHistogram> byFunction = isColdStart ? coldByFunction : warmByFunction;
+        byFunction.computeIfAbsent(function, key -> new LatencyHistogram()).add(nowNanos, tookNanos);
+        (isColdStart ? anyCold : anyWarm).add(nowNanos, tookNanos);
+        if (!wasBelievedWarm) {
+            coldShareWhereNotBelievedWarm += SMOOTHING * ((isColdStart ? 1 : 0) - coldShareWhereNotBelievedWarm);
         }
     }
 
-    /** A call where a copy stands: as learned for the function, else as its cost tells, else as for any function. */
-    public LatencyQuantiles warm(String function, long costNanos, long untoldNanos) {
-        Series own = warm.get(function);
-        if (own != null && own.read != null) {
-            return own.read;
+    /** A call of a loaded function: as learned, else by the step's cost, else as for any function. */
+    LatencyQuantiles warm(Step step, long defaultNanos) {
+        Optional<LatencyQuantiles> learned = learned(warmByFunction, step);
+        if (learned.isPresent()) {
+            return learned.get();
         }
+        long costNanos = step.costNanos();
         if (costNanos > 0) {
             return new LatencyQuantiles(costNanos / 2, costNanos, 3 * costNanos);
         }
-        return anyWarm.read != null
-                ? anyWarm.read
-                : new LatencyQuantiles(untoldNanos / 8, untoldNanos / 4, untoldNanos);
+        return anyWarm.quantiles()
+                .orElseGet(() -> new LatencyQuantiles(defaultNanos / 8, defaultNanos / 4, defaultNanos));
     }
 
-    /** A call that loads: as learned, else a warm one and the told time of a load, else as for any function. */
-    public LatencyQuantiles load(String function, long costNanos, long loadNanos, long untoldNanos) {
-        Series own = loaded.get(function);
-        if (own != null && own.read != null) {
-            return own.read;
+    /** A call that waits for a load: as learned, else a warm one and the step's time for a load, else as for any function. */
+    LatencyQuantiles cold(Step step, long defaultNanos) {
+        Optional<LatencyQuantiles> learned = learned(coldByFunction, step);
+        if (learned.isPresent()) {
+            return learned.get();
         }
+        long loadNanos = step.loadNanos();
         if (loadNanos > 0) {
-            return warm(function, costNanos, untoldNanos)
-                    .then(new LatencyQuantiles(loadNanos * 3 / 4, loadNanos, 2 * loadNanos));
+            return warm(step, defaultNanos).then(new LatencyQuantiles(loadNanos * 3 / 4, loadNanos, 2 * loadNanos));
         }
-        return anyLoaded.read != null
-                ? anyLoaded.read
-                : warm(function, costNanos, untoldNanos)
-                        .then(new LatencyQuantiles(0, untoldNanos / 8, untoldNanos)); // unknown: worth a try
+        return anyCold.quantiles().orElseGet(() -> warm(step, defaultNanos)
+                .then(new LatencyQuantiles(0, defaultNanos / 8, defaultNanos))); // nothing known: worth an attempt
     }
 
-    /** A call that may load or not: where others keep functions warm, not believing in a copy does not mean a load. */
-    public LatencyQuantiles unsure(String function, long costNanos, long loadNanos, long untoldNanos) {
-        LatencyQuantiles stands = warm(function, costNanos, untoldNanos);
-        LatencyQuantiles loads = load(function, costNanos, loadNanos, untoldNanos);
-        double chance = loadsUnbelieved;
+    /**
+     * A call of a function that is not believed to be loaded. That does not mean a cold start: where other gateways keep
+     * functions warm, such calls are often warm, and the share that was cold of late decides.
+     */
+    LatencyQuantiles uncertain(Step step, long defaultNanos) {
+        LatencyQuantiles warm = warm(step, defaultNanos);
+        LatencyQuantiles cold = cold(step, defaultNanos);
+        double coldShare = coldShareWhereNotBelievedWarm;
         return new LatencyQuantiles(
-                chance > 0.9 ? loads.low() : stands.low(),
-                chance > 0.5 ? loads.median() : stands.median(),
-                Math.max(stands.high(), chance > 0.1 ? loads.high() : stands.high()));
+                coldShare > COLD_START_AT_LOW ? cold.low() : warm.low(),
+                coldShare > COLD_START_AT_MEDIAN ? cold.median() : warm.median(),
+                Math.max(warm.high(), coldShare > COLD_START_AT_HIGH ? cold.high() : warm.high()));
+    }
+
+    private static Optional<LatencyQuantiles> learned(Map<String, LatencyHistogram> byFunction, Step step) {
+        LatencyHistogram histogram = byFunction.get(step.function());
+        return histogram == null ? Optional.empty() : histogram.quantiles();
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
@@ -22,18 +22,18 @@
 
 /** Random graphs, times and failures over a simulated clock. */
 class ChainPropertiesTest {
-    private static final long MS = 1_000_000L;
-    private static final long RESERVE = 4 * MS;
+    private static final long MILLIS = 1_000_000L;
+    private static final long RESERVE_NANOS = 4 * MILLIS;
 
     private record Event(long at, long number, Runnable what) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return at != o.at ? Long.compare(at, o.at) : Long.compare(number, o.number);
+        public int compareTo(Event other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
         }
     }
 
-    /** A world of calls that take random times, with the rules checked at every action. */
-    private static final class World implements ChainDecisions.Actions {
+    /** Steps that take random times, with the rules checked at every action. */
+    private static final class FakeFleet implements ChainDecisions.Actions {
         private final Random random;
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final Map<Long, ChainPlan> plans = new HashMap<>();
@@ -47,7 +47,7 @@
         private long number;
         private int out;
 
-        World(long seed, ChainSettings settings) {
+        FakeFleet(long seed, ChainSettings settings) {
             random = new Random(seed);
             mostSteps = settings.mostSteps();
             decisions = new ChainDecisions(settings, this, f -> f.hashCode() % 2 == 0);
@@ -62,13 +62,13 @@
             assertNull(ends.get(chain), "a step starts after the answer");
             assertNull(steps.put(chain + "/" + step, "out"), "a step starts twice");
             assertTrue(
-                    mayTakeNanos > 0 && now + mayTakeNanos <= deadlines.get(chain) - RESERVE,
+                    mayTakeNanos > 0 && now + mayTakeNanos <= deadlines.get(chain) - RESERVE_NANOS,
                     "a step may take more than is left");
             for (int need : plans.get(chain).needs(step)) {
                 assertEquals("served", steps.get(chain + "/" + need), "a step starts before what it needs");
             }
             assertTrue(++out <= mostSteps, "more steps out than allowed");
-            long took = (long) (random.nextDouble() * random.nextDouble() * 900 * MS);
+            long took = (long) (random.nextDouble() * random.nextDouble() * 900 * MILLIS);
             boolean fails = random.nextInt(20) == 0;
             boolean refused = !fails && random.nextInt(20) == 0;
             at(now + Math.min(took, mayTakeNanos), () -> {
@@ -82,7 +82,7 @@
                             step,
                             late || fails ? StepEnd.FAILED : refused ? StepEnd.REFUSED : StepEnd.SERVED,
                             took,
-                            took > 400 * MS);
+                            took > 400 * MILLIS);
                 }
             });
         }
@@ -135,19 +135,19 @@
                         "c",
                         random.nextInt(4) == 0 ? Effect.AT_MOST_ONCE : Effect.IDEMPOTENT,
                         needs,
-                        random.nextInt(3) * 30 * MS,
-                        random.nextInt(2) * 500 * MS));
+                        random.nextInt(3) * 30 * MILLIS,
+                        random.nextInt(2) * 500 * MILLIS));
             }
             try {
                 plans.put(id, ChainPlan.of(all));
             } catch (ChainPlan.InvalidPlanException e) {
                 throw new AssertionError(e);
             }
-            long deadline = now + (50 + random.nextInt(2000)) * MS;
+            long deadline = now + (50 + random.nextInt(2000)) * MILLIS;
             deadlines.put(id, deadline);
-            at(deadline - RESERVE / 2, () -> decisions.due(now, id));
+            at(deadline - RESERVE_NANOS / 2, () -> decisions.due(now, id));
             if (random.nextInt(10) == 0) {
-                at(now + random.nextInt(500) * MS, () -> {
+                at(now + random.nextInt(500) * MILLIS, () -> {
                     if (!ends.containsKey(id)) {
                         ends.put(id, new ChainEnd(Kind.FAILED, "left", List.of()));
                         decisions.clientLeft(now, id);
@@ -166,31 +166,32 @@
     }
 
     @Property(tries = 1000, seed = "7", shrinking = ShrinkingMode.OFF)
-    void oneAnswerInTimeAndNothingStartsAfterIt(
+    void eachChain_getsOneAnswerInTimeAndStartsNothingAfterIt(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int mostSteps, @ForAll boolean early) {
-        World world = new World(
-                seed, new ChainSettings(ChainSettings.Clock.ONE, early, 5, true, 30, mostSteps, 0.5, 1 << 20, RESERVE));
+        FakeFleet fleet = new FakeFleet(
+                seed,
+                new ChainSettings(ChainSettings.Clock.ONE, early, 5, true, 30, mostSteps, 0.5, 1 << 20, RESERVE_NANOS));
         for (long id = 0; id < 60; id++) {
             long chain = id;
-            world.at(id * 20 * MS, () -> world.begin(chain));
+            fleet.at(id * 20 * MILLIS, () -> fleet.begin(chain));
         }
-        world.run();
-        assertEquals(60, world.ends.size(), "a chain without an answer");
-        assertEquals(0, world.decisions.open());
-        assertEquals(0, world.decisions.stepsOpen());
-        assertEquals(0, world.out);
+        fleet.run();
+        assertEquals(60, fleet.ends.size(), "a chain without an answer");
+        assertEquals(0, fleet.decisions.open());
+        assertEquals(0, fleet.decisions.stepsOpen());
+        assertEquals(0, fleet.out);
     }
 
     @Property(tries = 300, seed = "7")
-    void theChanceNeverFallsWithMoreTime(
+    void chanceInTime_neverFallsWithMoreTime(
             @ForAll @IntRange(max = 1000) int low,
             @ForAll @IntRange(max = 1000) int more,
             @ForAll @IntRange(max = 1000) int most,
             @ForAll @IntRange(max = 5000) int time) {
-        LatencyQuantiles spread = new LatencyQuantiles(low, low + more, low + more + most);
-        double chance = spread.within(time);
+        LatencyQuantiles quantiles = new LatencyQuantiles(low, low + more, low + more + most);
+        double chance = quantiles.within(time);
         assertTrue(chance >= 0 && chance <= 1);
-        assertTrue(spread.within(time + 1) >= chance);
-        assertTrue(spread.then(new LatencyQuantiles(1, 2, 3)).within(time) <= chance + 1e-9);
+        assertTrue(quantiles.within(time + 1) >= chance);
+        assertTrue(quantiles.then(new LatencyQuantiles(1, 2, 3)).within(time) <= chance + 1e-9);
     }
 }
