--- a/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
+++ b/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
@@ -3,43 +3,46 @@
 import java.util.Random;
 
 /**
- * When to ask for a list watch again that has ended: at once after one that lasted, else after a pause that doubles, each drawn between
- * half of it and the whole. One watch that is broken off again and again, or a source that is down, costs each process a few asks a second
- * at most, and many processes whose watches ended together don't come back together. Pure: told times, draws from its seed alone.
+ * Exponential backoff with jitter between attempts to open an endpoint list watch: none after a watch that lasted, else a pause
+ * that doubles, each drawn between half of it and the whole. So a watch that breaks again and again, or a source that is down, costs
+ * each process a few attempts a second at most, and many processes whose watches ended together do not reconnect together.
+ *
+ * <p>Pure: durations are told, and it draws from its seed alone. One thread.
  */
 public final class WatchBackoff {
-    private static final long MS = 1_000_000L;
-    private static final long LEAST_NS = 20 * MS;
-    private static final long MOST_NS =
-            500 * MS; // a list may be told as late as some seconds, so a source that is back is asked soon
-    private static final long LASTED_NS = 1000 * MS; // a source that lives says something each second
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final long MIN_PAUSE_NANOS = 20 * NANOS_PER_MILLI;
+    /** The list may be some seconds old, so a source that is back is to be found soon. */
+    private static final long MAX_PAUSE_NANOS = 500 * NANOS_PER_MILLI;
+    /** A source that works sends something each second. */
+    private static final long LASTED_NANOS = 1000 * NANOS_PER_MILLI;
 
     private final Random random;
     private long pauseNanos;
 
-    /** Begins without a pause. */
+    /** A backoff whose first pause is the shortest. */
     public WatchBackoff(long seed) {
         random = new Random(seed);
     }
 
-    /** Another source is asked: what the former one did does not count. */
+    /** Starts again with the shortest pause: another source is tried, and the former one's failures do not count. */
     public void reset() {
         pauseNanos = 0;
     }
 
     /**
-     * A watch ended, or could not be had.
+     * A watch ended, or could not be opened.
      *
-     * @param brought  whether anything came on it
-     * @param lastedNanos from when it was asked for
-     * @return how long to wait before it is asked for again, nanoseconds
+     * @param brought     whether any data came on it
+     * @param lastedNanos time since the attempt to open it
+     * @return the pause before the next attempt, nanoseconds
      */
     public long ended(boolean brought, long lastedNanos) {
-        if (brought && lastedNanos >= LASTED_NS) {
+        if (brought && lastedNanos >= LASTED_NANOS) {
             pauseNanos = 0;
             return 0;
         }
-        pauseNanos = Math.min(MOST_NS, Math.max(LEAST_NS, 2 * pauseNanos));
+        pauseNanos = Math.min(MAX_PAUSE_NANOS, Math.max(MIN_PAUSE_NANOS, 2 * pauseNanos));
         return pauseNanos / 2 + (long) (random.nextDouble() * (pauseNanos - pauseNanos / 2));
     }
 }
