--- a/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
@@ -1,47 +1,50 @@
 package wharfhinge.decisions.admission;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalLong;
 
 /**
- * Lets calls in or refuses them before anything is done for them, by tenant: a rate (token bucket), a number open, and where the
- * tenants together want more than the fleet bears, shares by weight. What the fleet bears is learned: a limit on calls open at once
- * that is raised by answers in time and cut by refusals for load and late answers (additive raise, multiplicative cut, as TCP's). Beyond
- * it a tenant over its share is refused while another is active; a tenant within its share is let in whatever the others do, so that a
- * flood costs them nothing; below it what one leaves the others may use. Alone, a tenant is never refused for its share: then the decisions behind
- * the door refuse what is too much.
+ * Admits calls or rejects them before any work is done for them, by tenant: a rate (token bucket), a number of pending calls and,
+ * where the tenants together want more than the fleet bears, shares by weight. What the fleet bears is learned by
+ * {@link FleetConcurrencyLimit}. Beyond it a tenant over its share is rejected while another is active; a tenant within its share
+ * is admitted whatever the others do, so that a flood costs them nothing; what one leaves unused the others may have. A tenant
+ * that is the only active one is never rejected for its share: then the policy sheds what is too much.
  *
- * <p>Counts nothing that the decisions behind it count: a call refused here is never told to them, and their refusals give no token back.
- * A chain is one call; its steps are not asked of. Tenants that the settings do not name share one entry. One thread at a time.
+ * <p>Counts nothing that the policy counts: a call rejected here is never told to it, and its rejections give no token back. A
+ * chain is one call; its steps are not asked about. Tenants that the settings do not name share one entry. Pure; one thread.
  */
 public final class AdmissionController {
-    /** The entry of calls without a tenant, or of one that is not named. */
+    /** The entry of calls without a tenant, or of a tenant that is not named. */
     public static final String OTHERS = "";
 
-    /** What is said to a call. */
+    /** The decision on a call. */
     public enum Decision {
+        /** It goes on to the policy. */
         ADMITTED,
+        /** Its tenant's rate is exceeded. */
         OVER_RATE,
+        /** Its tenant has as many pending calls as it may. */
         TOO_MANY_PENDING,
+        /** The fleet is full and its tenant is over its share. */
         OVER_SHARE
     }
 
     /** How a call ended. */
     public enum CallEnd {
-        /** A worker's answer. */
+        /** A worker answered. */
         ANSWERED,
-        /** Refused by the decisions behind the door. */
+        /** The policy rejected it. */
         REFUSED,
-        /** Neither: it failed, its client left. */
+        /** Neither: it failed, or its client cancelled it. */
         OTHERWISE
     }
 
-    /** An answer with when to come back, nanoseconds; 0 where it was admitted. */
+    /** A decision with the advice when to retry, nanoseconds from now; 0 where the call was admitted. */
     public record Verdict(Decision decision, long retryAfterNanos) {}
 
-    /** A tenant's figures. */
+    /** Counters of a tenant since the start, and its calls pending now. */
     public record TenantMetrics(
             String tenant,
             int pending,
@@ -51,153 +54,105 @@
             long rejectedByShare) {}
 
     private static final Verdict ADMITTED = new Verdict(Decision.ADMITTED, 0);
-    private static final double LIMIT_START = 16;
-    private static final double LIMIT_LEAST = 8;
-    private static final double LIMIT_MOST = 100_000;
-    private static final double CUT = 0.9;
-    private static final double QUICK = 0.64; // of what tells that it is full: there is room
-    private static final double SLACK = 0.9; // of the limit: beyond, room is kept for those within their shares
-    private static final double CHANCE = 3; // deviations
-    private static final long CUT_PAUSE = 100_000_000L; // one crowd is felt by many calls, and cut for once
-    private static final long ACTIVE = 1_000_000_000L; // a tenant counts for so long after its last call
-    private static final long SECOND = 1_000_000_000L;
-    private static final long SHARE_WAIT = 100_000_000L; // about when some of what is open will have ended
-
-    private static final class Tenant {
-        private final String name;
-        private final TenantQuota limit;
-        private double tokens;
-        private long filledAt;
-        private long lastCall = Long.MIN_VALUE / 2;
-        private int open;
-        private double meanOpen; // smoothed
-        private long settledAt;
-        private long admitted;
-        private long refusedRate;
-        private long refusedOpen;
-        private long refusedShare;
-
-        Tenant(String name, TenantQuota limit) {
-            this.name = name;
-            this.limit = limit;
-            this.tokens = limit.burst();
-        }
-
-        /** Takes what was open since the last time into the mean. */
-        private void settle(long now) {
-            meanOpen += (1 - Math.exp((settledAt - now) / (double) ACTIVE)) * (open - meanOpen);
-            settledAt = now;
-        }
-    }
-
-    private final Map<String, Tenant> tenants = new LinkedHashMap<>();
-    private final double fullAt;
-    private int open;
-    private double limit = LIMIT_START;
-    private boolean crowdedOnce;
-    private long cutAt = Long.MIN_VALUE / 2;
-
-    /** A door; its tenants must hold {@link #OTHERS}. */
+    /** A tenant that keeps to this part of its share on average may exceed it for a moment. */
+    private static final double STEADY_PART = 0.9;
+    /** Standard deviations of Poisson arrivals that such a tenant may exceed its share by. */
+    private static final double BURST_DEVIATIONS = 3;
+    /** About when some of the pending calls will have ended. */
+    private static final long RETRY_AFTER_NANOS = 100_000_000L;
+
+    private final Map<String, TenantAdmission> tenants = new LinkedHashMap<>();
+    private final FleetConcurrencyLimit fleetLimit;
+    private int pending;
+
+    /**
+     * A controller without any pending call.
+     *
+     * @throws InvalidAdmissionSettingsException where the settings have no entry for {@link #OTHERS}
+     */
     public AdmissionController(AdmissionSettings settings) {
-        fullAt = settings.fullAtObjectiveShare();
-        settings.tenants().forEach((name, l) -> tenants.put(name, new Tenant(name, l)));
+        fleetLimit = new FleetConcurrencyLimit(settings.fullAtObjectiveShare());
+        settings.tenants().forEach((name, quota) -> tenants.put(name, new TenantAdmission(name, quota)));
         if (!tenants.containsKey(OTHERS)) {
-            throw new IllegalArgumentException("no entry for tenants that are not named");
+            throw new InvalidAdmissionSettingsException("no entry for tenants that are not named");
         }
     }
 
     /** The entry that a tenant goes by; null counts as none. */
-    private Tenant of(String tenant) {
-        Tenant known = tenant == null ? null : tenants.get(tenant);
+    private TenantAdmission entryOf(String tenant) {
+        TenantAdmission known = tenant == null ? null : tenants.get(tenant);
         return known == null ? tenants.get(OTHERS) : known;
     }
 
-    /** A call comes; where it is admitted, one {@link #onCallEnded} is owed. */
-    public Verdict onArrival(long now, String tenant) {
-        Tenant t = of(tenant);
-        t.lastCall = now;
-        t.settle(now);
-        if (t.limit.maxPending() > 0 && t.open >= t.limit.maxPending()) {
-            t.refusedOpen++;
-            return new Verdict(Decision.TOO_MANY_PENDING, SHARE_WAIT);
+    /** A call arrived; where it is admitted, {@link #onCallEnded} has to follow. */
+    public Verdict onArrival(long nowNanos, String tenantName) {
+        TenantAdmission tenant = entryOf(tenantName);
+        tenant.onArrival(nowNanos);
+        if (tenant.isPendingExhausted()) {
+            return reject(tenant, Decision.TOO_MANY_PENDING, RETRY_AFTER_NANOS);
         }
-        if (open >= SLACK * limit && t.open + 1 > allowance(t, now) && !alone(t, now)) {
-            t.refusedShare++;
-            return new Verdict(Decision.OVER_SHARE, SHARE_WAIT);
+        if (isOverShare(tenant, nowNanos)) {
+            return reject(tenant, Decision.OVER_SHARE, RETRY_AFTER_NANOS);
         }
-        if (t.limit.requestsPerSecond() > 0) { // last, so that a call refused for another reason costs no token
-            t.tokens = Math.min(
-                    t.limit.burst(), t.tokens + (now - t.filledAt) / (double) SECOND * t.limit.requestsPerSecond());
-            t.filledAt = now;
-            if (t.tokens < 1) {
-                t.refusedRate++;
-                return new Verdict(Decision.OVER_RATE, (long) ((1 - t.tokens) / t.limit.requestsPerSecond() * SECOND));
-            }
-            t.tokens--;
+        OptionalLong tokenIn = tenant.acquireToken(nowNanos); // last, so that a call rejected otherwise costs no token
+        if (tokenIn.isPresent()) {
+            return reject(tenant, Decision.OVER_RATE, tokenIn.getAsLong());
         }
-        t.open++;
-        open++;
-        t.admitted++;
+        tenant.onAdmitted();
+        pending++;
         return ADMITTED;
     }
 
-    private static boolean active(Tenant t, long now) {
-        return t.open > 0 || now - t.lastCall < ACTIVE;
+    private static Verdict reject(TenantAdmission tenant, Decision decision, long retryAfterNanos) {
+        tenant.onRejected(decision);
+        return new Verdict(decision, retryAfterNanos);
     }
 
-    /** Calls that a tenant may have open of those that the fleet bears, among the tenants that are active. */
-    private double shareOf(Tenant t, long now) {
-        double weights = 0;
-        for (Tenant other : tenants.values()) {
-            weights += active(other, now) ? other.limit.weight() : 0;
-        }
-        return Math.max(1, limit * t.limit.weight() / weights);
+    private boolean isOverShare(TenantAdmission tenant, long nowNanos) {
+        return fleetLimit.isNearlyReached(pending)
+                && tenant.pending() + 1 > allowance(tenant, nowNanos)
+                && !isOnlyActive(tenant, nowNanos);
     }
 
-    /** Beyond its share by what chance makes of calls that come one by one, where it keeps within it on average. */
-    private double allowance(Tenant t, long now) {
-        double share = shareOf(t, now);
-        return t.meanOpen <= SLACK * share ? share + CHANCE * Math.sqrt(share) : share;
+    /** Calls that a tenant may have pending: its share, and where it keeps to that on average, what chance adds to it. */
+    private double allowance(TenantAdmission tenant, long nowNanos) {
+        double share = shareOf(tenant, nowNanos);
+        boolean isSteady = tenant.meanPending() <= STEADY_PART * share;
+        return isSteady ? share + BURST_DEVIATIONS * Math.sqrt(share) : share;
     }
 
-    private boolean alone(Tenant t, long now) {
-        for (Tenant other : tenants.values()) {
-            if (other != t && active(other, now)) {
+    /** A tenant's part, by weight among the active ones, of the calls that the fleet bears. */
+    private double shareOf(TenantAdmission tenant, long nowNanos) {
+        double weights = 0;
+        for (TenantAdmission other : tenants.values()) {
+            weights += other.isActive(nowNanos) ? other.weight() : 0;
+        }
+        return Math.max(1, fleetLimit.limit() * tenant.weight() / weights);
+    }
+
+    private boolean isOnlyActive(TenantAdmission tenant, long nowNanos) {
+        for (TenantAdmission other : tenants.values()) {
+            if (other != tenant && other.isActive(nowNanos)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** A call that was admitted ended, so long after it came; {@code aimNs} is what its class wants. */
-    public void onCallEnded(long now, String tenant, CallEnd how, long tookNanos, long aimNanos) {
-        Tenant t = of(tenant);
-        t.settle(now);
-        t.open--;
-        boolean near = open >= limit / 2; // else the answer tells nothing of the limit
-        open--;
-        if (how == CallEnd.REFUSED || how == CallEnd.ANSWERED && tookNanos > fullAt * aimNanos) {
-            if (now - cutAt >= CUT_PAUSE) {
-                limit = Math.max(LIMIT_LEAST, Math.min(limit, open + 1) * CUT);
-                cutAt = now;
-            }
-            crowdedOnce = true;
-        } else if (how == CallEnd.ANSWERED && tookNanos < QUICK * fullAt * aimNanos && near) {
-            limit = Math.min(LIMIT_MOST, limit + (crowdedOnce ? 1 / limit : 1));
-        }
+    /** An admitted call ended so long after it arrived; {@code objectiveNanos} is the latency objective of its class. */
+    public void onCallEnded(long nowNanos, String tenantName, CallEnd end, long tookNanos, long objectiveNanos) {
+        entryOf(tenantName).onCallEnded(nowNanos);
+        fleetLimit.onCallEnded(nowNanos, pending, end, tookNanos, objectiveNanos);
+        pending--;
     }
 
-    /** Calls open at once that the fleet is believed to bear. */
+    /** Calls pending at once that the fleet is believed to bear. */
     public double limit() {
-        return limit;
+        return fleetLimit.limit();
     }
 
-    /** What was counted, by tenant. */
+    /** Metrics by tenant, in the order of the settings. */
     public List<TenantMetrics> metrics() {
-        List<TenantMetrics> all = new ArrayList<>();
-        tenants.values()
-                .forEach(t -> all.add(
-                        new TenantMetrics(t.name, t.open, t.admitted, t.refusedRate, t.refusedOpen, t.refusedShare)));
-        return all;
+        return tenants.values().stream().map(TenantAdmission::metrics).toList();
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/admission/package-info.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/package-info.java
@@ -1,2 +1,6 @@
-/** Who is let in at a gateway's door, by tenant; pure: told calls and ends with their times. */
+/**
+ * Admission control of a gateway, by tenant: rate limits, pending limits and fair shares under overload.
+ * {@link wharfhinge.decisions.admission.AdmissionController} is the entry. Pure: arrivals and ends come in with their times; no I/O,
+ * clock or thread.
+ */
 package wharfhinge.decisions.admission;
