--- a/config/src/main/java/wharfhinge/config/InvalidFileException.java
+++ b/config/src/main/java/wharfhinge/config/InvalidFileException.java
@@ -4,13 +4,17 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file that is not taken; carries all that is wrong with it at once. */
+/** A file that can't be used; carries all that is wrong with it at once, and the message has a line for each. */
 public final class InvalidFileException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<Fault> faults;
 
     InvalidFileException(Path file, List<Fault> faults) {
-        super(faults.stream().sorted().map(f -> file + ": " + f).collect(Collectors.joining("\n")));
+        this(file, faults, null);
+    }
+
+    InvalidFileException(Path file, List<Fault> faults, Throwable cause) {
+        super(faults.stream().sorted().map(fault -> file + ": " + fault).collect(Collectors.joining("\n")), cause);
         this.faults = faults.stream().sorted().toList();
     }
 
--- a/config/src/test/java/wharfhinge/config/GatewayConfigTest.java
+++ b/config/src/test/java/wharfhinge/config/GatewayConfigTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -22,20 +23,18 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"loads-on-call", "silent-workers", "loads-by-order"})
-    void samplesLoad(String name) throws InvalidFileException {
+    void sample_loads(String name) throws InvalidFileException {
         assertEquals(
                 3, GatewayConfig.load(SAMPLES.resolve(name + ".xml")).settings().groupSize());
     }
 
     @Test
-    void allIsMapped() throws InvalidFileException {
+    void load_mapsUnitsEnumsAndLists() throws InvalidFileException {
         GatewayConfig config = GatewayConfig.load(SAMPLES.resolve("loads-by-order.xml"));
         assertEquals(5_000_000_000L, config.settings().functionLoading().loadQuotaPeriodNanos());
         assertEquals(12, config.settings().functionLoading().loadQuotaBase());
         assertEquals(OnMissBehavior.MISS, config.settings().functionLoading().onMiss());
-        assertEquals(
-                java.util.List.of("q", "rif", "x1"),
-                config.settings().feedback().metricNames());
+        assertEquals(List.of("q", "rif", "x1"), config.settings().feedback().metricNames());
         assertEquals("127.0.0.1", config.roster().host());
         assertTrue(config.log().json());
     }
@@ -59,20 +58,20 @@
                 "127.0.0.1:8500|127.0.0.1:99999|allowed: a port from 1 to 65535",
                 "<roster|<extra/><roster|found element extra, allowed:"
             })
-    void whatIsWrongIsNamedWithItsPlace(String from, String to, String expected) throws IOException {
+    void invalidValue_isRejectedWithItsPlace(String from, String to, String expected) throws IOException {
         String text = Files.readString(SAMPLES.resolve("loads-on-call.xml")).replace(from, to == null ? "" : to);
-        InvalidFileException e = refused(text);
-        assertTrue(e.getMessage().contains(expected), e.getMessage());
-        assertTrue(e.faults().get(0).line() > 1, e.getMessage());
-        assertEquals(1, e.faults().size(), e.getMessage());
+        InvalidFileException rejection = loadRejected(text);
+        assertTrue(rejection.getMessage().contains(expected), rejection.getMessage());
+        assertTrue(rejection.faults().get(0).line() > 1, rejection.getMessage());
+        assertEquals(1, rejection.faults().size(), rejection.getMessage());
     }
 
     @Test
-    void allFaultsOfAFileComeAtOnce() throws IOException {
+    void allFaultsOfAFile_areReportedAtOnce() throws IOException {
         String text = Files.readString(SAMPLES.resolve("loads-on-call.xml"));
         assertEquals(
                 3,
-                refused(text.replace("8400", "-1")
+                loadRejected(text.replace("8400", "-1")
                                 .replace("idempotent", "x")
                                 .replace("0.2\"", "7\"")
                                 .replace("late-worth=\"7\"", ""))
@@ -80,22 +79,22 @@
                         .size());
         assertEquals(
                 2,
-                refused(text.replace("number=\"0\"", "number=\"9\"").replace("\"600\"", "\"3000\""))
+                loadRejected(text.replace("number=\"0\"", "number=\"9\"").replace("\"600\"", "\"3000\""))
                         .faults()
                         .size());
     }
 
     @Test
-    void sharesMustAddUp() throws IOException {
+    void tenantShares_mustAddUpToOne() throws IOException {
         String text = Files.readString(SAMPLES.resolve("loads-on-call.xml"))
                 .replace(
                         "<rules",
                         "<tenants><tenant name=\"a\" share=\"0.5\"/><tenant name=\"b\" share=\"0.6\"/></tenants><rules");
-        assertTrue(refused(text).getMessage().contains("add up to 1.1, allowed: 1"));
+        assertTrue(loadRejected(text).getMessage().contains("add up to 1.1, allowed: 1"));
     }
 
     @Test
-    void namedChainsAreCheckedAtLoad() throws Exception {
+    void namedChains_areValidatedAtLoad() throws Exception {
         String text = Files.readString(SAMPLES.resolve("loads-on-call.xml"));
         String chain = "<chains><chain name=\"save\" aim-ms=\"600\"><step id=\"a\" function=\"f\" class=\"sync\" "
                 + "least-ms=\"200\"/><step id=\"b\" function=\"g\" class=\"sync\" input=\"client a\" least-ms=\"300\"/>"
@@ -104,34 +103,34 @@
         Files.writeString(file, text.replace("<log", chain));
         assertEquals(
                 2, GatewayConfig.load(file).chains().named().get("save").steps().size());
-        assertTrue(refused(text.replace("<log", chain.replace("300", "500")))
+        assertTrue(loadRejected(text.replace("<log", chain.replace("300", "500")))
                 .getMessage()
                 .contains("add up to 700 ms"));
-        assertTrue(refused(text.replace("<log", chain.replace("client a", "b")))
+        assertTrue(loadRejected(text.replace("<log", chain.replace("client a", "b")))
                 .getMessage()
                 .contains("a cycle"));
-        assertTrue(refused(text.replace("<log", chain.replace("client a", "x")))
+        assertTrue(loadRejected(text.replace("<log", chain.replace("client a", "x")))
                 .getMessage()
                 .contains("found 'x'"));
-        assertTrue(refused(text.replace("<log", chain.replace("class=\"sync\"", "class=\"y\"")))
+        assertTrue(loadRejected(text.replace("<log", chain.replace("class=\"sync\"", "class=\"y\"")))
                 .getMessage()
                 .contains("found class y"));
     }
 
     @Test
-    void entitiesAndBrokenFilesAreRefused() throws IOException {
+    void entitiesAndMalformedFiles_areRejected() throws IOException {
         String text = Files.readString(SAMPLES.resolve("loads-on-call.xml"));
         String entity = text.replace("?>\n", "?>\n<!DOCTYPE x [<!ENTITY f SYSTEM \"file:///etc/hostname\">]>\n")
                 .replace("name=\"gateway-1\"", "name=\"&f;\"");
-        refused(entity);
-        assertTrue(refused(text.replace("</classes>", "")).getMessage().contains("not well formed"));
-        refused("");
+        loadRejected(entity);
+        assertTrue(loadRejected(text.replace("</classes>", "")).getMessage().contains("not well formed"));
+        loadRejected("");
         assertTrue(assertThrows(InvalidFileException.class, () -> GatewayConfig.load(folder.resolve("none.xml")))
                 .getMessage()
                 .contains("can't be read"));
     }
 
-    private InvalidFileException refused(String text) throws IOException {
+    private InvalidFileException loadRejected(String text) throws IOException {
         Path file = folder.resolve("settings.xml");
         Files.writeString(file, text);
         return assertThrows(InvalidFileException.class, () -> GatewayConfig.load(file));
