--- a/config/src/main/java/wharfhinge/config/SettingsValidator.java
+++ b/config/src/main/java/wharfhinge/config/SettingsValidator.java
@@ -26,7 +26,7 @@
         new SettingsValidator(settings, faults).validate();
     }
 
-    /** The order decides which of several faults at one place is told first. */
+    /** The order decides which of several faults at one place is reported first. */
     private void validate() {
         settings.classes.classes.forEach(this::validateClass);
         validateUnique(settings.classes.classes, callClass -> callClass.name, "class");
--- a/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
@@ -12,7 +12,7 @@
  * is admitted whatever the others do, so that a flood costs them nothing; what one leaves unused the others may have. A tenant
  * that is the only active one is never rejected for its share: then the policy sheds what is too much.
  *
- * <p>Counts nothing that the policy counts: a call rejected here is never told to it, and its rejections give no token back. A
+ * <p>Counts nothing that the policy counts: a call rejected here never reaches it, and its rejections give no token back. A
  * chain is one call; its steps are not asked about. Tenants that the settings do not name share one entry. Pure; one thread.
  */
 public final class AdmissionController {
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
@@ -7,7 +7,7 @@
 
 /**
  * Learned service times by function, apart for warm calls and cold starts. Where a function has too few samples, what the client
- * told of the step stands in, then what other functions take, then a part of the chain's time. Bounded: the functions not heard of
+ * said of the step stands in, then what other functions take, then a part of the chain's time. Bounded: the functions not heard of
  * for longest are forgotten first.
  */
 final class ServiceTimeEstimates {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
@@ -68,7 +68,7 @@
         FAILED,
         /** It failed and its memory can't be given back: something in it does not end. */
         FAILED_STUCK,
-        /** The package needs more memory than was booked; {@link CopyScheduler#measured} was told how much. */
+        /** The package needs more memory than was booked; {@link CopyScheduler#measured} has said how much. */
         MISJUDGED
     }
 
@@ -153,7 +153,7 @@
     /**
      * A call arrived.
      *
-     * @param hint           what the caller says of the function's needs; used until its package tells them
+     * @param hint           what the caller says of the function's needs; used until its package reports them
      * @param expiresAtNanos when its caller stops waiting; a call that still waits then is rejected
      */
     public void call(long nowNanos, long callId, String functionName, MemoryEstimate hint, long expiresAtNanos) {
@@ -287,7 +287,7 @@
     }
 
     /**
-     * A package told what its copies need.
+     * A package reported what its copies need.
      *
      * @return false where the booked memory does not suffice and no more is free: the load has then to end as
      *     {@link LoadEnd#MISJUDGED}
@@ -337,7 +337,7 @@
         orders.onLoadFailed(function);
     }
 
-    /** A copy that was told to stop is gone and its memory is free. */
+    /** A copy that was asked to stop is gone and its memory is free. */
     public void stopped(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             pool.release(copy);
@@ -345,7 +345,7 @@
         });
     }
 
-    /** A copy that was told to stop does not: its memory stays booked until {@link #stopped} is told after all. */
+    /** A copy that was asked to stop does not: its memory stays booked until {@link #stopped} follows after all. */
     public void hung(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             pool.markStuck(copy);
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopySettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopySettings.java
@@ -4,7 +4,7 @@
  * Settings of a {@link CopyScheduler}. Memory in KiB, times in nanoseconds.
  *
  * @param totalKb     memory for copies
- * @param usualKb     what a copy is assumed to need where neither its package nor a caller told
+ * @param usualKb     what a copy is assumed to need where neither its package nor a caller says it
  * @param queue       calls that may wait, of all functions; guards against unbounded memory and hopeless waits
  * @param loadsAtOnce loads under way at most; guards the store that packages come from
  * @param loadLine    loads that may wait for their turn or for memory
--- a/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
@@ -68,7 +68,7 @@
     /**
      * Starts loads in the order of their admission. One whose memory was lost meanwhile, to a leak or a stuck copy, is given up.
      *
-     * @param onGivenUp told of each load given up, once its copy is out of the pool
+     * @param onGivenUp called for each load given up, once its copy is out of the pool
      */
     void startNext(Consumer<FunctionState> onGivenUp) {
         while (!queue.isEmpty()) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** A package told what it needs; false where that much is not to be had beside the loads that wait. */
+    /** A package reported what it needs; false where that much is not to be had beside the loads that wait. */
     boolean onMeasured(Copy copy, MemoryEstimate measured) {
         estimates.learn(copy.function().name(), measured);
         copy.setLanes(measured.lanes());
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimates.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimates.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What packages said of their needs when they were loaded; bounded, the functions not asked for longest are forgotten. */
+/** What packages reported of their needs when they were loaded; bounded, the functions not asked for longest are forgotten. */
 final class MemoryEstimates {
     /** Functions remembered. */
     static final int MAX_FUNCTIONS = 4096;
@@ -19,7 +19,7 @@
     };
 
     /**
-     * No package has told anything yet.
+     * No package has reported anything yet.
      *
      * @param defaultKb memory of a copy where nothing is known
      */
@@ -31,7 +31,7 @@
         byFunction.put(function, measured);
     }
 
-    /** Memory for one copy in KiB: as its package told, else as the caller's hint says, else the default. */
+    /** Memory for one copy in KiB: as its package reported, else as the caller's hint says, else the default. */
     long memoryKb(String function, MemoryEstimate hint) {
         MemoryEstimate known = byFunction.get(function);
         long estimatedKb = known != null ? known.kb() : hint.kb();
--- a/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
+++ b/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
@@ -7,7 +7,7 @@
  * that doubles, each drawn between half of it and the whole. So a watch that breaks again and again, or a source that is down, costs
  * each process a few attempts a second at most, and many processes whose watches ended together do not reconnect together.
  *
- * <p>Pure: durations are told, and it draws from its seed alone. One thread.
+ * <p>Pure: durations come in, and it draws from its seed alone. One thread.
  */
 public final class WatchBackoff {
     private static final long NANOS_PER_MILLI = 1_000_000L;
