--- a/app/src/main/java/wharfhinge/app/PlatformCommand.java
+++ b/app/src/main/java/wharfhinge/app/PlatformCommand.java
@@ -29,7 +29,7 @@
             return serve();
         }
         Logs.set(false, "info");
-        int code = new PlatformProcess().rehearse(rehearse);
+        int code = new PlatformProcess().runWarmUpOnly(rehearse);
         Logs.flush();
         return code;
     }
