--- a/engine/src/main/java/wharfhinge/engine/EngineActions.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineActions.java
@@ -13,6 +13,7 @@
 import wharfhinge.policy.DispatcherActions;
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.RequestClass;
+import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.FinalAnswer;
 
 /**
@@ -87,10 +88,11 @@
         call.attempts.add(attempt);
         call.attemptsInFlight++;
         long remainingNanos = call.deadline - eventLoop.now();
-        if (call.answered
-                || remainingNanos <= 0
-                || timeoutNanos < 0
-                || attempt.index >= settings.dispatcher().limits().maxAttempts()) {
+        boolean sendable = !call.answered
+                && remainingNanos > 0
+                && timeoutNanos >= 0
+                && attempt.index < settings.dispatcher().limits().maxAttempts();
+        if (!sendable) {
             metrics.increment(Counter.SUPERSEDED);
             attempt.handle = WorkerTransport.AttemptHandle.NONE;
             executeInIncarnation("superseded", () -> pendingCalls.endAttempt(attempt, Outcome.SUPERSEDED));
@@ -98,35 +100,7 @@
         }
         metrics.increment(Counter.ATTEMPTS);
         long attemptTimeoutNanos = timeoutNanos == 0 ? remainingNanos : Math.min(timeoutNanos, remainingNanos);
-        var head = call.clientCall.head();
-        boolean streams = streamingClasses.contains(call.clientCall.requestClass());
-        attempt.handle = workers.sendAttempt(
-                new WorkerTransport.AttemptRequest(
-                        worker,
-                        call.externalId(),
-                        attempt.index,
-                        functions.get(head.function()),
-                        call.clientCall.requestClass(),
-                        head.tenant(),
-                        eventLoop.clock().toNanoTime(eventLoop.now() + attemptTimeoutNanos),
-                        head.costUs(),
-                        call.clientCall.body(),
-                        call.clientCall.contentType(),
-                        streams,
-                        head.idempotencyKey(),
-                        call.clientCall.clientCancelled()::get),
-                new WorkerTransport.AttemptListener() {
-                    @Override
-                    public void onCompleted(ExchangeResult result) {
-                        executeInIncarnation(
-                                "attempt-completed", () -> pendingCalls.onAttemptCompleted(attempt, result));
-                    }
-
-                    @Override
-                    public void onStreamStarted(WorkerTransport.ResponseStream stream) {
-                        executeInIncarnation("stream-started", () -> pendingCalls.onStreamStarted(attempt, stream));
-                    }
-                });
+        attempt.handle = workers.sendAttempt(attemptRequest(attempt, attemptTimeoutNanos), listener(attempt));
         eventLoop.schedule(attemptTimeoutNanos, "timeout", () -> {
             if (attempt.stream == null) {
                 pendingCalls.endAttempt(attempt, Outcome.TIMEOUT);
@@ -134,6 +108,40 @@
         });
     }
 
+    private WorkerTransport.AttemptRequest attemptRequest(PendingAttempt attempt, long timeoutNanos) {
+        PendingCall call = attempt.pendingCall;
+        ClientCall clientCall = call.clientCall;
+        CallHead head = clientCall.head();
+        return new WorkerTransport.AttemptRequest(
+                attempt.worker,
+                call.externalId(),
+                attempt.index,
+                functions.get(head.function()),
+                clientCall.requestClass(),
+                head.tenant(),
+                eventLoop.clock().toNanoTime(eventLoop.now() + timeoutNanos),
+                head.costUs(),
+                clientCall.body(),
+                clientCall.contentType(),
+                streamingClasses.contains(clientCall.requestClass()),
+                head.idempotencyKey(),
+                clientCall.clientCancelled()::get);
+    }
+
+    private WorkerTransport.AttemptListener listener(PendingAttempt attempt) {
+        return new WorkerTransport.AttemptListener() {
+            @Override
+            public void onCompleted(ExchangeResult result) {
+                executeInIncarnation("attempt-completed", () -> pendingCalls.onAttemptCompleted(attempt, result));
+            }
+
+            @Override
+            public void onStreamStarted(WorkerTransport.ResponseStream stream) {
+                executeInIncarnation("stream-started", () -> pendingCalls.onStreamStarted(attempt, stream));
+            }
+        };
+    }
+
     @Override
     public void cancelAttempt(String request, int attempt) {
         PendingCall call = pendingCalls.get(request);
--- a/policy/src/main/java/wharfhinge/policy/PreferredWorkers.java
+++ b/policy/src/main/java/wharfhinge/policy/PreferredWorkers.java
@@ -30,10 +30,10 @@
 
     /** Mixes the bits of a hash code (the finalizer of SplitMix64). */
     static long mix(long value) {
-        long z = value * 0x9E3779B97F4A7C15L;
-        z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
-        z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
-        return z ^ (z >>> 31);
+        long mixed = value * 0x9E3779B97F4A7C15L;
+        mixed = (mixed ^ (mixed >>> 30)) * 0xBF58476D1CE4E5B9L;
+        mixed = (mixed ^ (mixed >>> 27)) * 0x94D049BB133111EBL;
+        return mixed ^ (mixed >>> 31);
     }
 
     /** A value between 0 and 1 that is fixed for a worker and a function. */
