--- a/app/src/main/java/wharfhinge/app/Serving.java
+++ b/app/src/main/java/wharfhinge/app/Serving.java
@@ -8,7 +8,7 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.engine.EndpointSource;
 import wharfhinge.gateway.Gateway;
-import wharfhinge.gateway.discovery.HttpRoster;
+import wharfhinge.gateway.discovery.HttpEndpointSource;
 
 /** The life of a gateway process. */
 public final class Serving {
@@ -30,8 +30,8 @@
             return Program.WANTING;
         }
         Logs.set(config.log());
-        Gateway gateway =
-                new Gateway(config, decisions, (group, type) -> heard.apply(new HttpRoster(config, group, type)));
+        Gateway gateway = new Gateway(
+                config, decisions, (group, type) -> heard.apply(new HttpEndpointSource(config, group, type)));
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -35,8 +35,8 @@
 import wharfhinge.engine.PeerTransport;
 import wharfhinge.engine.Slf4jAccessLog;
 import wharfhinge.engine.StepJournal;
-import wharfhinge.gateway.discovery.HttpRoster;
-import wharfhinge.gateway.discovery.RememberedList;
+import wharfhinge.gateway.discovery.EndpointSnapshotFile;
+import wharfhinge.gateway.discovery.HttpEndpointSource;
 import wharfhinge.gateway.front.Front;
 import wharfhinge.gateway.front.Intake;
 import wharfhinge.gateway.front.StatusPage;
@@ -59,7 +59,7 @@
     private final EventLoopGroup group;
     private final HttpWorkers workers;
     private final EndpointSource source;
-    private final RememberedList remembered;
+    private final EndpointSnapshotFile remembered;
     private final StepJournal journal;
     private final CapturedDecisions captured;
     private final DispatchEngine loop;
@@ -110,8 +110,8 @@
         acceptor = group(epoll, 1);
         group = group(epoll, IO_THREADS);
         workers = new HttpWorkers(config, group, channel, System::nanoTime);
-        source = sourceOf == null ? new HttpRoster(config, group, channel) : sourceOf.apply(group, channel);
-        remembered = new RememberedList(config.roster().remembered(), System::currentTimeMillis);
+        source = sourceOf == null ? new HttpEndpointSource(config, group, channel) : sourceOf.apply(group, channel);
+        remembered = new EndpointSnapshotFile(config.roster().remembered(), System::currentTimeMillis);
         log = new Slf4jAccessLog(config.log().remarksPerS());
         AtomicReference<PeerTransport> link = new AtomicReference<>(PeerTransport.NONE);
         journal = config.chains().resumeFile() == null
@@ -203,7 +203,7 @@
         thread.start();
         source.start(update -> {
             loop.onEndpointUpdate(update);
-            remembered.update(update);
+            remembered.onEndpointUpdate(update);
         });
         address = front.listen(acceptor, group, server);
         if (grpc != null) {
--- /dev/null
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointSnapshotFile.java
@@ -0,0 +1,164 @@
+package wharfhinge.gateway.discovery;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.nio.file.StandardOpenOption;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import wharfhinge.engine.EndpointUpdate;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.protocol.RosterEntry;
+import wharfhinge.protocol.RosterFrame;
+
+/**
+ * Keeps the newest endpoint list in a file, so that a restarted gateway can serve before the endpoint service answers.
+ *
+ * <p>Each list is written to a file beside it, forced to disk and renamed over, so that a crash leaves the old or the new
+ * one. A thread of its own writes; a list that a newer one has overtaken is never written. The state is guarded by this
+ * object's monitor, and any thread may call.
+ */
+public final class EndpointSnapshotFile implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointSnapshotFile.class);
+    private static final long CLOSE_TIMEOUT_SECONDS = 2;
+
+    /** An entry and when it was received, by the wall clock; its age on disk counts from then. */
+    private record ReceivedEntry(RosterEntry entry, long receivedAtMillis) {}
+
+    private final Path file;
+    private final LongSupplier wallMillis;
+    private final ExecutorService writer;
+    private final AtomicBoolean writeScheduled = new AtomicBoolean();
+    private final Map<String, ReceivedEntry> entries = new LinkedHashMap<>();
+    private long revision;
+
+    /** Keeps the list in {@code file}; {@code wallMillis} is the wall clock, the only one that outlives a process. */
+    public EndpointSnapshotFile(Path file, LongSupplier wallMillis) {
+        this.file = file;
+        this.wallMillis = wallMillis;
+        this.writer = Executors.newSingleThreadExecutor(task -> {
+            Thread thread = new Thread(task, "endpoint-snapshot");
+            thread.setDaemon(true);
+            return thread;
+        });
+    }
+
+    /** The stored list, its entries aged by the time since it was written; empty where there is none or it is damaged. */
+    public synchronized Optional<EndpointUpdate> read() {
+        if (!Files.exists(file)) {
+            return Optional.empty();
+        }
+        try {
+            EndpointSnapshotCodec.Snapshot stored = EndpointSnapshotCodec.decode(Files.readAllBytes(file));
+            long elapsedMillis = Math.max(0, wallMillis.getAsLong() - stored.writtenAtMillis());
+            List<RosterEntry> aged = stored.list().entries().stream()
+                    .map(entry -> aged(entry, elapsedMillis))
+                    .toList();
+            EndpointUpdate update = new EndpointUpdate(
+                    EndpointUpdateMode.SNAPSHOT, stored.list().revision(), aged);
+            apply(update);
+            return Optional.of(update);
+        } catch (IOException | MalformedSnapshotException e) {
+            LOG.warn("endpoint snapshot {}: ignored: {}", file, e.getMessage());
+            return Optional.empty();
+        }
+    }
+
+    /** Merges an update and schedules a write. */
+    public synchronized void onEndpointUpdate(EndpointUpdate update) {
+        if (update.mode() == EndpointUpdateMode.REJECTED) {
+            return;
+        }
+        apply(update);
+        if (writeScheduled.compareAndSet(false, true)) {
+            writer.execute(this::write);
+        }
+    }
+
+    private void apply(EndpointUpdate update) {
+        revision = update.revision();
+        if (update.mode() != EndpointUpdateMode.INCREMENTAL) {
+            entries.clear();
+        }
+        for (RosterEntry entry : update.entries()) {
+            if (entry.state() == RosterEntry.State.GONE) {
+                entries.remove(entry.id());
+            } else {
+                entries.put(entry.id(), new ReceivedEntry(entry, wallMillis.getAsLong()));
+            }
+        }
+    }
+
+    private static RosterEntry aged(RosterEntry entry, long elapsedMillis) {
+        long ageMillis =
+                entry.ageMillis() == RosterEntry.UNTOLD ? RosterEntry.UNTOLD : entry.ageMillis() + elapsedMillis;
+        return new RosterEntry(
+                entry.id(),
+                entry.zone(),
+                entry.kind(),
+                entry.cell(),
+                entry.state(),
+                entry.weight(),
+                ageMillis,
+                entry.boot());
+    }
+
+    /** Encodes the newest list; an update from here on schedules the next write. */
+    private synchronized byte[] encode() {
+        writeScheduled.set(false);
+        long now = wallMillis.getAsLong();
+        List<RosterEntry> aged = entries.values().stream()
+                .map(received -> aged(received.entry(), Math.max(0, now - received.receivedAtMillis())))
+                .toList();
+        RosterFrame list = new RosterFrame(RosterFrame.Kind.ALL, 0, revision, aged);
+        return EndpointSnapshotCodec.encode(new EndpointSnapshotCodec.Snapshot(now, list));
+    }
+
+    private void write() {
+        byte[] bytes = encode();
+        Path temporary = file.resolveSibling(file.getFileName() + ".new");
+        try {
+            if (file.getParent() != null) {
+                Files.createDirectories(file.getParent());
+            }
+            writeForced(temporary, bytes);
+            Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        } catch (IOException e) {
+            LOG.warn("endpoint snapshot {}: write failed: {}", file, e.toString());
+        }
+    }
+
+    private static void writeForced(Path target, byte[] bytes) throws IOException {
+        try (FileChannel channel = FileChannel.open(
+                target, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            while (remaining.hasRemaining()) {
+                channel.write(remaining);
+            }
+            channel.force(true);
+        }
+    }
+
+    /** Finishes a scheduled write and ends the writer. */
+    @Override
+    public void close() {
+        writer.shutdown();
+        try {
+            writer.awaitTermination(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/HttpEndpointSource.java
@@ -0,0 +1,265 @@
+package wharfhinge.gateway.discovery;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpClientCodec;
+import io.netty.handler.codec.http.HttpContent;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObject;
+import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.handler.codec.http.LastHttpContent;
+import io.netty.handler.timeout.ReadTimeoutHandler;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import wharfhinge.config.GatewayConfig;
+import wharfhinge.engine.EndpointSource;
+import wharfhinge.engine.EndpointUpdate;
+import wharfhinge.policy.Discovery;
+import wharfhinge.policy.EndpointUpdateMode;
+import wharfhinge.protocol.ProtocolException;
+import wharfhinge.protocol.RosterDecoder;
+import wharfhinge.protocol.RosterFrame;
+import wharfhinge.protocol.RosterProtocol;
+
+/**
+ * Watches the endpoint service (docs/protocol-roster.md) over HTTP: one stream of revisions, opened again after a backoff
+ * whenever it ends, is silent or is malformed. While there is no stream, the list held stays valid.
+ *
+ * <p>All state is confined to one event loop; the public methods only enqueue there.
+ */
+public final class HttpEndpointSource implements EndpointSource {
+    private static final Logger LOG = LoggerFactory.getLogger(HttpEndpointSource.class);
+    private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+    private static final int MAX_BACKOFF_DOUBLINGS = 20;
+
+    /** What a stream begins with. */
+    private enum StreamStart {
+        FULL_LIST,
+        CHANGES_SINCE_REVISION
+    }
+
+    private final GatewayConfig config;
+    private final EventLoop eventLoop;
+    private final Bootstrap bootstrap;
+    private final Random random;
+    private final EndpointListView view = new EndpointListView();
+    private Consumer<EndpointUpdate> listener = update -> {};
+    private Channel channel; // null where there is none
+    private boolean watching;
+    private boolean responseOwed; // to watch or refresh
+    private StreamStart streamStart = StreamStart.FULL_LIST;
+    private int consecutiveFailures;
+
+    /** Uses one event loop of {@code group}, which the caller still owns. */
+    public HttpEndpointSource(GatewayConfig config, EventLoopGroup group, Class<? extends Channel> type) {
+        this.config = config;
+        this.eventLoop = group.next();
+        this.random = new Random(config.seed());
+        this.bootstrap = new Bootstrap()
+                .group(eventLoop)
+                .channel(type)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+                .remoteAddress(config.roster().host(), config.roster().port());
+    }
+
+    @Override
+    public void start(Consumer<EndpointUpdate> updates) {
+        eventLoop.execute(() -> {
+            listener = updates;
+            if (config.settings().discovery() == Discovery.PUSHED) {
+                watching = true;
+                connect(StreamStart.FULL_LIST);
+            }
+        });
+    }
+
+    /** A new subscription is answered by the full list. */
+    @Override
+    public void watch(boolean enabled) {
+        eventLoop.execute(() -> {
+            watching = enabled;
+            closeStream();
+            if (enabled) {
+                responseOwed = true;
+                long delayNanos = consecutiveFailures == 0 ? 0 : nextBackoffNanos();
+                eventLoop.schedule(() -> connect(StreamStart.FULL_LIST), delayNanos, TimeUnit.NANOSECONDS);
+            }
+        });
+    }
+
+    @Override
+    public void refresh() {
+        eventLoop.execute(() -> {
+            responseOwed = true;
+            if (channel == null) {
+                connect(StreamStart.FULL_LIST);
+            } else {
+                streamStart = StreamStart.FULL_LIST;
+                channel.close(); // the next stream begins with the full list
+            }
+        });
+    }
+
+    @Override
+    public void close() {
+        eventLoop.execute(() -> {
+            watching = false;
+            responseOwed = false;
+            closeStream();
+        });
+    }
+
+    private void closeStream() {
+        if (channel != null) {
+            channel.close();
+        }
+    }
+
+    private void connect(StreamStart start) {
+        if (channel != null && channel.isOpen()) {
+            return;
+        }
+        streamStart = view.hasRevision() ? start : StreamStart.FULL_LIST;
+        channel = bootstrap
+                .clone()
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel connecting) {
+                        initPipeline(connecting);
+                    }
+                })
+                .connect()
+                .addListener((ChannelFuture connected) -> {
+                    if (!connected.isSuccess()) {
+                        LOG.warn(
+                                "{}: connect failed: {}",
+                                this,
+                                connected.cause().getMessage());
+                        onStreamEnded();
+                    }
+                })
+                .channel();
+    }
+
+    private void initPipeline(Channel connecting) {
+        ReadTimeoutHandler silence = new ReadTimeoutHandler(config.roster().silentAfterNanos(), TimeUnit.NANOSECONDS);
+        connecting.pipeline().addLast(new HttpClientCodec(), silence, new StreamHandler());
+    }
+
+    /** Doubles with each failure up to the limit set; jitter takes up to half of it away. */
+    private long nextBackoffNanos() {
+        int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, Math.max(0, consecutiveFailures - 1));
+        long exponentialNanos = config.roster().reconnectLeastNanos() << doublings;
+        long boundedNanos = Math.min(config.roster().reconnectMostNanos(), exponentialNanos);
+        return (long) (boundedNanos * (0.5 + random.nextDouble() / 2));
+    }
+
+    private void onStreamEnded() {
+        channel = null;
+        consecutiveFailures++;
+        if (responseOwed && config.settings().discovery() == Discovery.ON_REQUEST) {
+            responseOwed = false;
+            watching = false;
+            listener.accept(new EndpointUpdate(EndpointUpdateMode.REJECTED, Math.max(0, view.revision()), List.of()));
+        } else if (watching) {
+            scheduleReconnect();
+        }
+    }
+
+    private void scheduleReconnect() {
+        StreamStart start = streamStart;
+        eventLoop.schedule(
+                () -> {
+                    if (watching) {
+                        connect(start);
+                    }
+                },
+                nextBackoffNanos(),
+                TimeUnit.NANOSECONDS);
+    }
+
+    @Override
+    public String toString() {
+        return "endpoint service " + config.roster().host() + ':'
+                + config.roster().port();
+    }
+
+    /** One stream: sends the request once connected, decodes frames, and reports the stream's end. */
+    private final class StreamHandler extends SimpleChannelInboundHandler<HttpObject> {
+        private final RosterDecoder decoder = new RosterDecoder();
+
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
+            String query = streamStart == StreamStart.FULL_LIST ? "" : RosterProtocol.FROM_PARAMETER + view.revision();
+            FullHttpRequest request =
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, RosterProtocol.WATCH_PATH + query);
+            request.headers()
+                    .set(HttpHeaderNames.HOST, config.roster().host())
+                    .set(RosterProtocol.GATEWAY, config.name());
+            ctx.writeAndFlush(request);
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) throws ProtocolException {
+            if (message instanceof HttpResponse response && response.status().code() != HttpResponseStatus.OK.code()) {
+                throw new ProtocolException("status", response.status().toString(), "200");
+            }
+            if (message instanceof HttpContent content) {
+                decoder.decode(content.content(), frame -> onFrame(ctx, frame));
+                if (message instanceof LastHttpContent) {
+                    ctx.close();
+                }
+            }
+        }
+
+        private void onFrame(ChannelHandlerContext ctx, RosterFrame frame) {
+            consecutiveFailures = 0;
+            EndpointListView.FrameResult result = view.apply(frame);
+            if (frame.kind() == RosterFrame.Kind.ALL) {
+                streamStart = StreamStart.CHANGES_SINCE_REVISION;
+            }
+            if (result.requestsFullList()) {
+                LOG.info(
+                        "{}: gap after revision {}, requesting the full list",
+                        HttpEndpointSource.this,
+                        view.revision());
+                streamStart = StreamStart.FULL_LIST;
+                ctx.close();
+            }
+            result.update().ifPresent(update -> {
+                responseOwed = false;
+                listener.accept(update);
+                if (!watching) {
+                    ctx.close(); // a single response was requested
+                }
+            });
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            LOG.warn("{}: stream failed: {}", HttpEndpointSource.this, cause.toString());
+            ctx.close();
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            onStreamEnded();
+        }
+    }
+}
--- a/gateway/src/test/java/wharfhinge/gateway/RosterSocketTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
@@ -25,9 +25,9 @@
 import wharfhinge.standin.RosterStandIn;
 import wharfhinge.standin.Trace;
 
-/** The list over a real stream. */
+/** The endpoint list over a real stream. */
 @Timeout(60)
-class RosterSocketTest {
+class EndpointStreamTest {
     @TempDir
     private Path folder;
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aSilentRosterIsDroppedAndTheListHoldsUntilItSpeaksAgain() throws Exception {
+    void silentStream_isClosedAndListStaysValidUntilNextUpdate() throws Exception {
         Rig.await("served", () -> call().equals("well"));
         roster.mute(true);
         long before = lists();
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aGapOrALostStreamAsksForTheWhole() throws Exception {
+    void gapOrLostStream_requestsFullList() throws Exception {
         Rig.await("served", () -> call().equals("well"));
         long before = lists();
         roster.push(
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void aRestartedGatewayServesFromItsRememberedListWhileTheRosterIsLost() throws Exception {
+    void restartedGateway_servesFromSnapshotWhileEndpointServiceIsDown() throws Exception {
         Rig.await("served", () -> call().equals("well"));
         gateway.stop();
         roster.lost(true);
