--- a/gateway/src/test/java/wharfhinge/gateway/MvStepJournalTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/MvStepJournalTest.java
@@ -7,11 +7,13 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import org.h2.mvstore.MVStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -81,6 +83,22 @@
         }
     }
 
+    /** The form on disk outlives versions: a gateway restores what the one before it recorded. */
+    @Test
+    void recordedStep_keepsItsFormOnDisk() throws Exception {
+        Path file = folder.resolve("golden");
+        try (MvStepJournal journal = new MvStepJournal(file, WINDOW, wall::get)) {
+            assertTrue(journal.recordStep("t", "k", "d", 2, 1, new Answer(new byte[] {7, 8}, "a/b"), () -> {}));
+        }
+        try (MVStore store = new MVStore.Builder().fileName(file.toString()).open()) {
+            byte[] value = store.<String, byte[]>openMap("steps").get("t\nk\n1");
+            assertEquals(
+                    "00000000000f4240" + "000174" + "00016b" + "000164" + "00000002" + "00000001" + "0003612f62"
+                            + "00000002" + "0708",
+                    HexFormat.of().formatHex(value));
+        }
+    }
+
     @Test
     void aDamagedFileIsSetAsideAndTheGatewayServes() throws Exception {
         Path file = folder.resolve("steps");
