--- a/app/src/main/java/wharfhinge/app/Serving.java
+++ b/app/src/main/java/wharfhinge/app/Serving.java
@@ -45,7 +45,7 @@
                             stopped.countDown();
                         },
                         "stop"));
-        gateway.rehearse();
+        gateway.warmUp();
         gateway.start();
         stopped.await();
         return Program.OK;
--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -2,27 +2,18 @@
 
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoopGroup;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
-import io.netty.channel.ServerChannel;
-import io.netty.channel.epoll.Epoll;
-import io.netty.channel.epoll.EpollDatagramChannel;
-import io.netty.channel.epoll.EpollIoHandler;
-import io.netty.channel.epoll.EpollServerSocketChannel;
-import io.netty.channel.epoll.EpollSocketChannel;
-import io.netty.channel.nio.NioIoHandler;
-import io.netty.channel.socket.DatagramChannel;
-import io.netty.channel.socket.nio.NioDatagramChannel;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.ssl.SslContext;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import java.util.function.BiConsumer;
+import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.BiFunction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -46,266 +37,308 @@
 import wharfhinge.gateway.tls.Tokens;
 import wharfhinge.gateway.upstream.HttpWorkers;
 
-/** One gateway: put together here, begun by {@link #start}, ended by {@link #stop}. Shares nothing with another. */
+/**
+ * One gateway: its parts are wired here, started by {@link #start} and shut down by {@link #stop}. Gateways of a process
+ * share nothing. {@link #warmUp}, {@link #start} and {@link #stop} exclude each other; any thread may call.
+ */
 public final class Gateway {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-    private static final int IO_THREADS = 4;
-    private static final long LINGER_MS = 100; // calls that left their clients before these knew
+    /** After GOAWAY, before the engine rejects: calls that clients sent before they saw it are still accepted. */
+    private static final long SHUTDOWN_LINGER_MILLIS = 100;
+    /** Beyond the grace period, for the engine to abort what is left. */
+    private static final long ENGINE_SHUTDOWN_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final GatewayConfig config;
-    private final Class<? extends Channel> channel;
-    private final Class<? extends ServerChannel> server;
-    private final EventLoopGroup acceptor;
-    private final EventLoopGroup group;
-    private final HttpWorkers workers;
-    private final EndpointSource source;
-    private final EndpointSnapshotFile remembered;
+    private final NettyResources netty = new NettyResources();
+    private final HttpWorkers workerTransport;
+    private final EndpointSource endpointSource;
+    private final EndpointSnapshotFile endpointSnapshot;
     private final StepJournal journal;
-    private final CapturedDecisions captured;
-    private final DispatchEngine loop;
-    private final Front front;
-    private final Slf4jAccessLog log;
-    private final UdpPeers peers;
-    private final Thread thread;
-    private final Object life = new Object(); // held by whoever rehearses, starts or stops
+    private final RecordingDispatcherFactory recording; // null where nothing is captured
+    private final Slf4jAccessLog accessLog;
+    private final DispatchEngine engine;
+    private final Thread engineThread;
+    private final UdpPeerTransport peers; // null where none are set
+    private final Tls tls; // null where calls come in the clear
+    private final Front clientListener;
+    private final GrpcFront grpcListener; // null where none is set
+    private final ReentrantLock lifecycleLock = new ReentrantLock();
     private final AtomicBoolean stopping = new AtomicBoolean();
-    private final GrpcFront grpc;
-    private final Tls tls;
     private InetSocketAddress address;
     private InetSocketAddress grpcAddress;
-    private Rehearsal.Played rehearsed = new Rehearsal.Played(0, 0, 0);
+    private WarmUp.Result warmUpResult = WarmUp.Result.SKIPPED;
 
-    /** What the engine reads of a gateway's settings. */
-    static EngineSettings engineSettings(GatewayConfig config) {
-        ChainConfig chains = config.chains();
-        return new EngineSettings(
-                config.seed(),
-                config.settings(),
-                config.clients().maxOpen(),
-                config.clients().handOver(),
-                config.door(),
-                new EngineSettings.Chains(
-                        chains.settings(), chains.resumeWindowNanos(), chains.resumeKeys(), chains.resumeBytes()));
-    }
-
-    /** A gateway whose list comes from the roster of its settings. */
+    /** A gateway that watches the endpoint service of its settings. */
     public Gateway(GatewayConfig config) throws InterruptedException {
         this(config, DispatcherFactory.CACHE_AWARE, null);
     }
 
     /**
-     * A gateway with other decisions or another source of the list.
+     * A gateway with another dispatcher or endpoint source.
      *
-     * @param sourceOf makes the source from an I/O group and its channel type; null for the roster of the settings
+     * @param sourceFactory makes the source from an I/O group and its channel type; null for the endpoint service of the
+     *     settings
+     * @throws GatewayStartException where a file or port of the settings can't be used
      */
     public Gateway(
             GatewayConfig config,
-            DispatcherFactory decisions,
-            BiFunction<EventLoopGroup, Class<? extends Channel>, EndpointSource> sourceOf)
+            DispatcherFactory dispatchers,
+            BiFunction<EventLoopGroup, Class<? extends Channel>, EndpointSource> sourceFactory)
             throws InterruptedException {
         this.config = config;
-        boolean epoll = Epoll.isAvailable();
-        channel = epoll ? EpollSocketChannel.class : NioSocketChannel.class;
-        server = epoll ? EpollServerSocketChannel.class : NioServerSocketChannel.class;
-        acceptor = group(epoll, 1);
-        group = group(epoll, IO_THREADS);
-        workers = new HttpWorkers(config, group, channel, System::nanoTime);
-        source = sourceOf == null ? new HttpEndpointSource(config, group, channel) : sourceOf.apply(group, channel);
-        remembered = new EndpointSnapshotFile(config.roster().remembered(), System::currentTimeMillis);
-        log = new Slf4jAccessLog(config.log().remarksPerS());
-        AtomicReference<PeerTransport> link = new AtomicReference<>(PeerTransport.NONE);
-        journal = config.chains().resumeFile() == null
-                ? StepJournal.NONE
-                : new MvStepJournal(
-                        config.chains().resumeFile(), config.chains().resumeWindowNanos(), System::currentTimeMillis);
-        captured = config.capture() == null ? null : new CapturedDecisions(decisions, config.name(), config.capture());
-        loop = new DispatchEngine(
+        workerTransport = new HttpWorkers(config, netty.ioGroup(), netty.channelType(), System::nanoTime);
+        endpointSource = sourceFactory == null
+                ? new HttpEndpointSource(config, netty.ioGroup(), netty.channelType())
+                : sourceFactory.apply(netty.ioGroup(), netty.channelType());
+        endpointSnapshot = new EndpointSnapshotFile(config.roster().remembered(), System::currentTimeMillis);
+        accessLog = new Slf4jAccessLog(config.log().remarksPerS());
+        journal = openJournal(config.chains());
+        recording = config.capture() == null
+                ? null
+                : new RecordingDispatcherFactory(dispatchers, config.name(), config.capture());
+        AtomicReference<PeerTransport> peerLink = new AtomicReference<>(PeerTransport.NONE);
+        engine = new DispatchEngine(
                 engineSettings(config),
-                captured == null ? decisions : captured,
-                workers,
-                source,
-                (peer, payload) -> link.get().send(peer, payload),
+                recording == null ? dispatchers : recording,
+                workerTransport,
+                endpointSource,
+                (peer, payload) -> peerLink.get().send(peer, payload),
                 journal,
-                log,
+                accessLog,
                 System::nanoTime);
-        BiConsumer<Integer, byte[]> inbox = loop::onPeerMessage;
-        Class<? extends DatagramChannel> datagrams = epoll ? EpollDatagramChannel.class : NioDatagramChannel.class;
-        peers = config.peers().isEmpty()
-                ? null
-                : new UdpPeers(config.settings().dispatcherNumber(), config.peers(), group, datagrams, inbox);
+        engineThread = new Thread(engine, "decisions");
+        peers = openPeers();
         if (peers != null) {
-            link.set(peers);
+            peerLink.set(peers);
         }
-        Intake intake;
+        tls = openTls(config.tls());
+        SslContext sslContext = tls == null ? null : tls.context();
+        Intake intake = new Intake(config, engine, newIdentity(config.proof()));
+        clientListener = new Front(config, intake, new StatusPage(this::metrics), sslContext);
+        grpcListener = config.grpc() == null
+                ? null
+                : new GrpcFront(
+                        config, intake, sslContext, netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
+    }
+
+    /** What the engine reads of a gateway's settings. */
+    static EngineSettings engineSettings(GatewayConfig config) {
+        ChainConfig chains = config.chains();
+        return new EngineSettings(
+                config.seed(),
+                config.settings(),
+                config.clients().maxOpen(),
+                config.clients().handOver(),
+                config.door(),
+                new EngineSettings.Chains(
+                        chains.settings(), chains.resumeWindowNanos(), chains.resumeKeys(), chains.resumeBytes()));
+    }
+
+    private static StepJournal openJournal(ChainConfig chains) {
+        return chains.resumeFile() == null
+                ? StepJournal.NONE
+                : new MvStoreStepJournal(chains.resumeFile(), chains.resumeWindowNanos(), System::currentTimeMillis);
+    }
+
+    private UdpPeerTransport openPeers() throws InterruptedException {
+        return config.peers().isEmpty()
+                ? null
+                : new UdpPeerTransport(
+                        config.settings().dispatcherNumber(), config.peers(), netty, engine::onPeerMessage);
+    }
+
+    private static Tls openTls(GatewayConfig.Tls settings) {
         try {
-            tls = config.tls() == null ? null : new Tls(config.tls());
-            GatewayConfig.Proof proof = config.proof();
-            intake = new Intake(
-                    config,
-                    loop,
-                    new Identity(
-                            proof == null || proof.tokenKey() == null
-                                    ? null
-                                    : new Tokens(proof.tokenKey(), System::currentTimeMillis),
-                            proof != null && proof.needed()));
+            return settings == null ? null : new Tls(settings);
         } catch (IOException e) {
-            throw new UncheckedIOException(e.getMessage(), e);
+            throw new GatewayStartException(e.getMessage(), e);
         }
-        front = new Front(config, intake, new StatusPage(this::figures), tls == null ? null : tls.context());
-        grpc = config.grpc() == null
-                ? null
-                : new GrpcFront(config, intake, tls == null ? null : tls.context(), acceptor, group, server);
-        thread = new Thread(loop, "decisions");
     }
 
-    private static EventLoopGroup group(boolean epoll, int threads) {
-        return new MultiThreadIoEventLoopGroup(
-                threads, epoll ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
+    private static Identity newIdentity(GatewayConfig.Proof proof) {
+        if (proof == null) {
+            return new Identity(null, false);
+        }
+        try {
+            Tokens tokens = proof.tokenKey() == null ? null : new Tokens(proof.tokenKey(), System::currentTimeMillis);
+            return new Identity(tokens, proof.needed());
+        } catch (IOException e) {
+            throw new GatewayStartException(e.getMessage(), e);
+        }
     }
 
-    /** Warms up, for at most as long as the settings say; to be called before {@link #start}, or not at all. A stop ends it. */
-    public void rehearse() throws InterruptedException {
-        synchronized (life) {
+    /** Warms up for at most as long as the settings say; optional, before {@link #start}. A stop ends it early. */
+    public void warmUp() throws InterruptedException {
+        lifecycleLock.lock();
+        try {
             if (stopping.get()) {
                 return;
             }
-            rehearsed = Rehearsal.play(
-                    config, config.clients().rehearseNanos(), acceptor, group, channel, server, stopping::get);
+            warmUpResult = WarmUp.run(config, config.clients().rehearseNanos(), netty, stopping::get);
+        } finally {
+            lifecycleLock.unlock();
         }
         LOG.info(
-                "gateway {} rehearsed {} calls in {} ms, {} us each at last",
+                "gateway {}: warmed up with {} calls in {} ms, {} us per call in the fastest thousand",
                 config.name(),
-                rehearsed.calls(),
-                rehearsed.tookMillis(),
-                rehearsed.quickestUs());
+                warmUpResult.calls(),
+                warmUpResult.durationMillis(),
+                warmUpResult.fastestCallMicros());
     }
 
-    /** What came of the rehearsal. */
-    Rehearsal.Played rehearsed() {
-        return rehearsed;
+    /** What came of the warm-up. */
+    WarmUp.Result warmUpResult() {
+        return warmUpResult;
     }
 
-    /** Begins: the remembered list, the loop, the roster, then the port, whose address it tells; null where it was told to stop before. */
+    /**
+     * Starts from the endpoint snapshot: the engine, the endpoint source, then the listeners.
+     *
+     * @return the address of the client listener; null where the gateway was told to stop before
+     * @throws GatewayStartException where the gRPC port can't be bound
+     */
     public InetSocketAddress start() throws InterruptedException {
-        synchronized (life) {
-            return stopping.get() ? null : begin();
+        lifecycleLock.lock();
+        try {
+            return stopping.get() ? null : startParts();
+        } finally {
+            lifecycleLock.unlock();
         }
     }
 
-    private InetSocketAddress begin() throws InterruptedException {
-        remembered.read().ifPresent(list -> {
+    private InetSocketAddress startParts() throws InterruptedException {
+        endpointSnapshot.read().ifPresent(snapshot -> {
             LOG.info(
-                    "remembered list of revision {} with {} workers",
-                    list.revision(),
-                    list.entries().size());
-            loop.onEndpointUpdate(list);
+                    "gateway {}: endpoint snapshot of revision {} loaded, {} workers",
+                    config.name(),
+                    snapshot.revision(),
+                    snapshot.entries().size());
+            engine.onEndpointUpdate(snapshot);
         });
-        thread.start();
-        source.start(update -> {
-            loop.onEndpointUpdate(update);
-            remembered.onEndpointUpdate(update);
+        engineThread.start();
+        endpointSource.start(update -> {
+            engine.onEndpointUpdate(update);
+            endpointSnapshot.onEndpointUpdate(update);
         });
-        address = front.listen(acceptor, group, server);
-        if (grpc != null) {
-            try {
-                grpcAddress = grpc.listen();
-            } catch (IOException e) {
-                throw new UncheckedIOException(
-                        "grpc on " + config.grpc().address() + ":"
-                                + config.grpc().port() + ": " + e.getMessage(),
-                        e);
-            }
-            LOG.info("gateway {} takes gRPC on {}", config.name(), grpcAddress);
+        address = clientListener.listen(netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
+        if (grpcListener != null) {
+            startGrpc();
         }
-        LOG.info("gateway {} takes calls on {}", config.name(), address);
+        LOG.info("gateway {} takes calls on {}", config.name(), address); // scripts wait for these words
         return address;
     }
 
-    /** Where it listens. */
+    private void startGrpc() {
+        try {
+            grpcAddress = grpcListener.listen();
+        } catch (IOException e) {
+            String bindAddress = config.grpc().address() + ":" + config.grpc().port();
+            throw new GatewayStartException("grpc on " + bindAddress + ": " + e.getMessage(), e);
+        }
+        LOG.info("gateway {} takes gRPC on {}", config.name(), grpcAddress); // scripts wait for these words
+    }
+
+    /** Where clients connect; null before the start. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Where it takes gRPC, or null. */
+    /** Where gRPC clients connect; null before the start, or where no gRPC port is set. */
     public InetSocketAddress grpcAddress() {
         return grpcAddress;
     }
 
-    /** What it counts. */
-    public Map<String, Long> figures() {
-        Map<String, Long> figures = new LinkedHashMap<>(loop.metrics().snapshot());
-        figures.putAll(loop.chainMetrics());
-        figures.putAll(loop.admissionMetrics());
-        figures.put("ready", 1L); // nobody could read it before
-        figures.put("rehearsed_calls", rehearsed.calls());
-        figures.put("rehearsed_ms", rehearsed.tookMillis());
-        figures.put("open_calls", (long) loop.pendingCalls());
-        figures.put("connections", (long) front.connections());
-        figures.put("connections_turned_away", front.turnedAway());
-        figures.put("remarks_dropped", log.dropped());
-        if (captured != null) {
-            captured.into(figures);
+    /** The status page's keys and values. */
+    public Map<String, Long> metrics() {
+        Map<String, Long> metrics = new LinkedHashMap<>(engine.metrics().snapshot());
+        metrics.putAll(engine.chainMetrics());
+        metrics.putAll(engine.admissionMetrics());
+        metrics.put("ready", 1L); // nobody could read it before
+        putWithDeprecatedKey(metrics, "warm_up_calls", "rehearsed_calls", warmUpResult.calls());
+        putWithDeprecatedKey(metrics, "warm_up_ms", "rehearsed_ms", warmUpResult.durationMillis());
+        metrics.put("open_calls", (long) engine.pendingCalls());
+        metrics.put("connections", (long) clientListener.connections());
+        putWithDeprecatedKey(metrics, "connections_rejected", "connections_turned_away", clientListener.turnedAway());
+        putWithDeprecatedKey(metrics, "diagnostics_dropped", "remarks_dropped", accessLog.dropped());
+        if (recording != null) {
+            recording.addMetricsTo(metrics);
         }
-        return figures;
+        return metrics;
     }
 
-    /** The loop, for those who put a gateway into a program of their own. */
-    public DispatchEngine loop() {
-        return loop;
+    /** The former key stays beside the standard one for a version. */
+    private static void putWithDeprecatedKey(Map<String, Long> metrics, String key, String deprecatedKey, long value) {
+        metrics.put(deprecatedKey, value);
+        metrics.put(key, value);
+    }
+
+    /** The engine, for those who embed a gateway in a program of their own. */
+    public DispatchEngine engine() {
+        return engine;
     }
 
     /**
-     * Takes nothing more, answers what is open within the time that the settings give, and ends.
+     * Shuts down: accepts nothing more, completes what is in flight within the grace period of the settings, aborts the rest.
      *
-     * @return how many calls had to be ended without a worker's answer; 0 where it was told to stop before
+     * @return how many calls were aborted; 0 where it was told to stop before
      */
     public int stop() throws InterruptedException {
         if (!stopping.compareAndSet(false, true)) {
             return 0;
         }
-        synchronized (life) { // a rehearsal or a start under way ends first
-            if (thread.getState() == Thread.State.NEW) {
-                thread.start(); // never begun: the loop ends by itself as any other
+        lifecycleLock.lock(); // a warm-up or a start in progress ends first
+        try {
+            if (engineThread.getState() == Thread.State.NEW) {
+                engineThread.start(); // never started: shuts down as any other
             }
-            return end();
+            return shutDown();
+        } finally {
+            lifecycleLock.unlock();
         }
     }
 
-    private int end() throws InterruptedException {
-        long within = config.clients().stopWithinNanos();
-        LOG.info("gateway {} stops: {} calls open", config.name(), loop.pendingCalls());
-        front.finish(); // first: clients go elsewhere, and what is on its way meanwhile is still taken
-        if (grpc != null) {
-            grpc.finish();
+    private int shutDown() throws InterruptedException {
+        LOG.info("gateway {}: shutting down, {} calls in flight", config.name(), engine.pendingCalls());
+        clientListener.finish(); // first: clients go elsewhere, and what they already sent is still accepted
+        if (grpcListener != null) {
+            grpcListener.finish();
         }
-        TimeUnit.MILLISECONDS.sleep(LINGER_MS);
-        var closed = loop.shutdown(within);
-        int ended = 0;
+        TimeUnit.MILLISECONDS.sleep(SHUTDOWN_LINGER_MILLIS);
+        int abortedCalls = shutDownEngine();
+        closeParts();
+        LOG.info("gateway {}: stopped, {} calls aborted", config.name(), abortedCalls);
+        return abortedCalls;
+    }
+
+    private int shutDownEngine() throws InterruptedException {
+        long graceNanos = config.clients().stopWithinNanos();
+        CompletableFuture<Integer> aborted = engine.shutdown(graceNanos);
         try {
-            ended = closed.get(within + TimeUnit.SECONDS.toNanos(1), TimeUnit.NANOSECONDS);
-        } catch (java.util.concurrent.ExecutionException | java.util.concurrent.TimeoutException e) {
-            LOG.error("the loop did not end in time", e);
+            return aborted.get(graceNanos + ENGINE_SHUTDOWN_MARGIN_NANOS, TimeUnit.NANOSECONDS);
+        } catch (ExecutionException | TimeoutException e) {
+            LOG.error("gateway {}: engine did not shut down in time", config.name(), e);
+            return 0;
         }
-        source.close();
-        remembered.close();
+    }
+
+    private void closeParts() throws InterruptedException {
+        endpointSource.close();
+        endpointSnapshot.close();
         journal.close();
-        if (captured != null) {
-            captured.close();
+        if (recording != null) {
+            recording.close();
         }
-        workers.close();
+        workerTransport.close();
         if (peers != null) {
             peers.close();
         }
-        front.close();
-        if (grpc != null) {
-            grpc.close();
+        clientListener.close();
+        if (grpcListener != null) {
+            grpcListener.close();
         }
         if (tls != null) {
             tls.close();
         }
-        acceptor.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-        group.shutdownGracefully(50, 1000, TimeUnit.MILLISECONDS).awaitUninterruptibly(2000);
-        LOG.info("gateway {} stopped, {} calls were ended", config.name(), ended);
-        return ended;
+        netty.close();
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
@@ -88,8 +88,8 @@
         assertEquals(expected, outcomes.get(Way.HTTP));
     }
 
-    private static Rig rig(Path folder) throws Exception {
-        return new Rig(folder, "", DispatcherFactory.CACHE_AWARE);
+    private static GatewayFixture rig(Path folder) throws Exception {
+        return new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
     }
 
     private static WharfhingeClient client(Way way, String... gateways) {
@@ -128,17 +128,17 @@
     @Test
     void aServedCallAndTheWorkersHeaders() throws Exception {
         both(List.of(List.of("served", "well", 1), "t1"), (way, at) -> {
-            try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                    Rig rig = rig(at);
+            try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                rig.list(worker.id());
+                rig.announce(worker.id());
                 List<Object> end = get(client.call(once(2000)
                         .body("input".getBytes(), "text/plain")
                         .tenant("t1")
                         .id("mine")
                         .copy(64, 2, 100)
                         .build()));
-                ScriptedPeer.In in = worker.next();
+                FakePeer.ReceivedRequest in = worker.next();
                 return List.of(end, String.valueOf(in.headers.get("wh-tenant")));
             }
         });
@@ -147,7 +147,7 @@
     @Test
     void aCallThatIsWrongIsInvalidWithTheSamePlace() throws Exception {
         both(List.of("invalid", "wh-class: found 'none', allowed: one of [safe, once, flow]", 1), (way, at) -> {
-            try (Rig rig = rig(at);
+            try (GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
                 return get(client.call(
                         Call.safe("f", "none", Duration.ofMillis(500)).build()));
@@ -159,7 +159,7 @@
     void aRefusalMeansTheSameAndWithoutABudgetItIsTheAnswer() throws Exception {
         ClientPolicy none = new ClientPolicy(100, 0, 0, 5 * MS, 50 * MS, 400 * MS, 3, 500 * MS, 150 * MS);
         both(List.of("refused", "not-sent (budget-spent)", 1), (way, at) -> {
-            try (Rig rig = rig(at);
+            try (GatewayFixture rig = rig(at);
                     WharfhingeClient client =
                             new WharfhingeClient(way.transport(), none, List.of(way.of(rig.gateway)))) {
                 return get(client.call(once(500).build())); // the gateway has no workers
@@ -170,10 +170,10 @@
     @Test
     void theDeadlinePassesWhileTheCallWaitsOnALoad() throws Exception {
         both("no answer, may have run, in time", (way, at) -> {
-            try (ScriptedPeer loads = new ScriptedPeer(in -> {});
-                    Rig rig = rig(at);
+            try (FakePeer loads = new FakePeer(in -> {});
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                rig.list(loads.id());
+                rig.announce(loads.id());
                 long began = System.nanoTime();
                 Result r = client.call(once(300).copy(64, 1, 5000).build()).get(5, TimeUnit.SECONDS);
                 boolean mayHaveRun = r instanceof Result.Failed || r instanceof Result.Late late && late.mayHaveRun();
@@ -186,11 +186,11 @@
     @Test
     void anUnsafeCallWhoseConnectionBrokeIsFailedAndASafeOneGoesElsewhere() throws Exception {
         both(List.of("failed", 1, List.of("served", "well", 2)), (way, at) -> {
-            try (ScriptedPeer breaks = new ScriptedPeer(ScriptedPeer.In::breakConnection);
-                    ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                    Rig rig = rig(at);
+            try (FakePeer breaks = new FakePeer(FakePeer.ReceivedRequest::breakConnection);
+                    FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, breaks.id())) {
-                rig.list(worker.id());
+                rig.announce(worker.id());
                 Result unsafe = client.call(once(2000).build()).get(5, TimeUnit.SECONDS);
                 client.gateways(List.of(breaks.id(), way.of(rig.gateway)));
                 List<Object> safe = List.of();
@@ -208,10 +208,10 @@
     void aGatewayThatAcceptsAndSaysNothingCostsATryWhateverTheClass() throws Exception {
         both(List.of("served", "well", 2), (way, at) -> {
             try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                    ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                    Rig rig = rig(at);
+                    FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, "127.0.0.1:" + silent.getLocalPort())) {
-                rig.list(worker.id());
+                rig.announce(worker.id());
                 CompletableFuture<Result> call = client.call(once(9000).build());
                 client.gateways(List.of("127.0.0.1:" + silent.getLocalPort(), way.of(rig.gateway)));
                 return get(call);
@@ -223,23 +223,22 @@
     void theServiceRestartsUnderOpenCallsAndNoneFails() throws Exception {
         both(List.of("served", 20L), (way, at) -> {
             Path other = Files.createDirectory(at.resolve("other"));
-            try (ScriptedPeer worker = new ScriptedPeer(in -> in.later(150, () -> in.answer(SERVED, FOUND, "well")));
-                    ScriptedPeer second =
-                            new ScriptedPeer(in -> in.later(150, () -> in.answer(SERVED, FOUND, "well")));
-                    ScriptedPeer third = new ScriptedPeer(in -> in.later(150, () -> in.answer(SERVED, FOUND, "well")));
-                    Rig stays = rig(other);
+            try (FakePeer worker = new FakePeer(in -> in.schedule(150, () -> in.respond(SERVED, FOUND, "well")));
+                    FakePeer second = new FakePeer(in -> in.schedule(150, () -> in.respond(SERVED, FOUND, "well")));
+                    FakePeer third = new FakePeer(in -> in.schedule(150, () -> in.respond(SERVED, FOUND, "well")));
+                    GatewayFixture stays = rig(other);
                     WharfhingeClient client = client(way, way.of(stays.gateway))) {
-                stays.list(worker.id(), second.id(), third.id());
-                Rig stops = rig(at);
-                stops.list(worker.id(), second.id(), third.id());
+                stays.announce(worker.id(), second.id(), third.id());
+                GatewayFixture stops = rig(at);
+                stops.announce(worker.id(), second.id(), third.id());
                 client.gateways(List.of(way.of(stops.gateway), way.of(stays.gateway)));
                 List<CompletableFuture<Result>> calls = new ArrayList<>();
                 for (int i = 0; i < 10; i++) {
                     calls.add(client.call(once(4000).copy(1, 64, 10).build()));
                 }
-                Rig.await(
+                GatewayFixture.await(
                         "calls open at the one that stops",
-                        () -> stops.gateway.loop().pendingCalls() > 0);
+                        () -> stops.gateway.engine().pendingCalls() > 0);
                 stops.close();
                 for (int i = 0; i < 10; i++) {
                     calls.add(client.call(once(4000).copy(1, 64, 10).build()));
@@ -258,16 +257,16 @@
     @Test
     void cancelIsToldToTheGatewayWhileTheWorkerRuns() throws Exception {
         both(List.of("left", 1L), (way, at) -> {
-            try (ScriptedPeer worker = new ScriptedPeer(in -> {});
-                    Rig rig = rig(at);
+            try (FakePeer worker = new FakePeer(in -> {});
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                rig.list(worker.id());
+                rig.announce(worker.id());
                 CompletableFuture<Result> call = client.call(once(4000).build());
                 worker.next();
                 call.cancel(true);
-                Rig.await("the gateway knows", () -> rig.figure("left") == 1);
+                GatewayFixture.await("the gateway knows", () -> rig.metric("left") == 1);
                 assertEquals(0, client.figures().get(2, TimeUnit.SECONDS).open());
-                return List.of("left", rig.figure("left"));
+                return List.of("left", rig.metric("left"));
             }
         });
     }
@@ -275,10 +274,10 @@
     @Test
     void tenThousandCallsAtOnceThroughOneClient() throws Exception {
         both(List.of(10_000L), (way, at) -> {
-            try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                    Rig rig = rig(at);
+            try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                rig.list(worker.id());
+                rig.announce(worker.id());
                 List<CompletableFuture<Result>> calls = new ArrayList<>();
                 for (int i = 0; i < 10_000; i++) {
                     calls.add(client.call(Call.safe("f", "safe", Duration.ofSeconds(20))
@@ -307,10 +306,10 @@
                         true,
                         List.of("served", "well", 1)),
                 (way, at) -> {
-                    try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                            Rig rig = new Rig(at, "", "", door, DispatcherFactory.CACHE_AWARE);
+                    try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                            GatewayFixture rig = new GatewayFixture(at, "", "", door, DispatcherFactory.CACHE_AWARE);
                             WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                        rig.list(worker.id());
+                        rig.announce(worker.id());
                         List<Object> first =
                                 get(client.call(once(1000).tenant("busy").build()));
                         Result second =
@@ -318,8 +317,8 @@
                         long comeBack = ((Result.Refused) second).comeBack().toMillis();
                         List<Object> other =
                                 get(client.call(once(1000).tenant("calm").build()));
-                        assertEquals(1, rig.figure("door_busy_refused_rate"));
-                        assertEquals(0, rig.figure("door_others_open"), "each that was let in has ended");
+                        assertEquals(1, rig.metric("door_busy_refused_rate"));
+                        assertEquals(0, rig.metric("door_others_open"), "each that was let in has ended");
                         return List.of(first, fields(second), comeBack > 1000 && comeBack <= 2000, other);
                     }
                 });
@@ -328,13 +327,13 @@
     @Test
     void anAnswerAfterTheDeadlineIsNobodysAndTheGatewayAnsweredInTime() throws Exception {
         both(List.of(true, 0L), (way, at) -> {
-            try (ScriptedPeer slow = new ScriptedPeer(in -> in.later(700, () -> in.answer(SERVED, FOUND, "late")));
-                    Rig rig = rig(at);
+            try (FakePeer slow = new FakePeer(in -> in.schedule(700, () -> in.respond(SERVED, FOUND, "late")));
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                rig.list(slow.id());
+                rig.announce(slow.id());
                 Result r = client.call(once(250).build()).get(5, TimeUnit.SECONDS);
-                Rig.await("the gateway is done with it", () -> rig.figure("open_calls") == 0);
-                return List.of(r instanceof Result.Failed || r instanceof Result.Late, rig.figure("served"));
+                GatewayFixture.await("the gateway is done with it", () -> rig.metric("open_calls") == 0);
+                return List.of(r instanceof Result.Failed || r instanceof Result.Late, rig.metric("served"));
             }
         });
     }
@@ -343,16 +342,16 @@
     void cancelBeforeItIsSentAndWhileItWaitsToComeBack() throws Exception {
         both(List.of(true, true, 0), (way, at) -> {
             try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-                    Rig rig = rig(at);
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, "127.0.0.1:" + silent.getLocalPort())) {
                 CompletableFuture<Result> connecting = client.call(once(4000).build());
                 boolean first = connecting.cancel(true);
                 client.gateways(List.of(
                         way.of(rig.gateway))); // which has no workers and refuses: the call comes back now and then
                 CompletableFuture<Result> waiting = client.call(safe(4000).build());
-                Rig.await("it was taken", () -> rig.figure("taken") > 0);
+                GatewayFixture.await("it was taken", () -> rig.metric("taken") > 0);
                 boolean second = waiting.cancel(true);
-                Rig.await("nothing is open", () -> rig.figure("open_calls") == 0);
+                GatewayFixture.await("nothing is open", () -> rig.metric("open_calls") == 0);
                 return List.of(
                         first, second, client.figures().get(2, TimeUnit.SECONDS).open());
             }
@@ -399,29 +398,29 @@
         both(
                 List.of("began", "one", "two", List.of("served", "", 1), List.of("began", "half"), "failed", 1, 2L),
                 (way, at) -> {
-                    try (ScriptedPeer worker = new ScriptedPeer(null);
-                            Rig rig = rig(at);
+                    try (FakePeer worker = new FakePeer(null);
+                            GatewayFixture rig = rig(at);
                             WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                        rig.list(worker.id());
+                        rig.announce(worker.id());
                         Reader reader = new Reader(false);
                         CompletableFuture<Result> whole = client.stream(flow(700), reader);
-                        ScriptedPeer.In in = worker.next();
-                        in.head(SERVED, FOUND, false);
+                        FakePeer.ReceivedRequest in = worker.next();
+                        in.sendHeaders(SERVED, FOUND, false);
                         String began = reader.next();
-                        in.part("one", false);
+                        in.sendData("one", false);
                         String one = reader.next();
-                        in.later(900, () -> in.part("two", true)); // the deadline has passed
+                        in.schedule(900, () -> in.sendData("two", true)); // the deadline has passed
                         String two = reader.next();
                         List<Object> end = get(whole);
                         Reader half = new Reader(false);
                         CompletableFuture<Result> broken = client.stream(flow(2000), half);
-                        ScriptedPeer.In second = worker.next();
-                        second.head(SERVED, FOUND, false);
-                        second.part("half", false);
+                        FakePeer.ReceivedRequest second = worker.next();
+                        second.sendHeaders(SERVED, FOUND, false);
+                        second.sendData("half", false);
                         List<String> got = List.of(half.next(), half.next());
                         second.reset(io.netty.handler.codec.http2.Http2Error.INTERNAL_ERROR);
                         Result r = broken.get(5, TimeUnit.SECONDS);
-                        Rig.await("the gateway is done", () -> rig.figure("open_calls") == 0);
+                        GatewayFixture.await("the gateway is done", () -> rig.metric("open_calls") == 0);
                         return List.of(
                                 began,
                                 one,
@@ -430,7 +429,7 @@
                                 got,
                                 r instanceof Result.Failed ? "failed" : r.toString(),
                                 r.tries(),
-                                rig.figure("taken"));
+                                rig.metric("taken"));
                     }
                 });
     }
@@ -438,14 +437,14 @@
     @Test
     void aSlowReaderOfAStreamHoldsTheWorkerBackAndCancelEndsIt() throws Exception {
         both(List.of("began", true, true), (way, at) -> {
-            try (ScriptedPeer worker = new ScriptedPeer(null);
-                    Rig rig = rig(at);
+            try (FakePeer worker = new FakePeer(null);
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
-                rig.list(worker.id());
+                rig.announce(worker.id());
                 Reader slow = new Reader(true);
                 CompletableFuture<Result> call = client.stream(flow(2000), slow);
-                ScriptedPeer.In in = worker.next();
-                in.head(SERVED, FOUND, false);
+                FakePeer.ReceivedRequest in = worker.next();
+                in.sendHeaders(SERVED, FOUND, false);
                 String began = slow.next();
                 in.flood(400); // 25 MB
                 slow.next();
@@ -468,7 +467,7 @@
     void aRefusedStreamIsARefusalWithoutParts() throws Exception {
         ClientPolicy none = new ClientPolicy(100, 0, 0, 5 * MS, 50 * MS, 5000 * MS, 3, 500 * MS, 150 * MS);
         both(List.of("refused", true), (way, at) -> {
-            try (Rig rig = rig(at);
+            try (GatewayFixture rig = rig(at);
                     WharfhingeClient client =
                             new WharfhingeClient(way.transport(), none, List.of(way.of(rig.gateway)))) {
                 Reader reader = new Reader(false);
@@ -480,10 +479,10 @@
     @Test
     void theListOfGatewaysMayChange() throws Exception {
         both(List.of("refused", List.of("served", "well", 1)), (way, at) -> {
-            try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                    Rig rig = rig(at);
+            try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                    GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way)) {
-                rig.list(worker.id());
+                rig.announce(worker.id());
                 Result none = client.call(safe(500).build()).get(5, TimeUnit.SECONDS);
                 client.gateways(List.of(way.of(rig.gateway)));
                 assertTrue(none instanceof Result.Refused r && r.reason().contains("no-gateway"), none.toString());
--- a/gateway/src/test/java/wharfhinge/gateway/ChainSocketTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ChainSocketTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static wharfhinge.gateway.Rig.answer;
-import static wharfhinge.gateway.Rig.get;
+import static wharfhinge.gateway.GatewayFixture.answer;
+import static wharfhinge.gateway.GatewayFixture.get;
 import static wharfhinge.protocol.AnswerCode.FULL;
 import static wharfhinge.protocol.AnswerCode.SERVED;
 import static wharfhinge.protocol.CopyNote.BEGAN;
@@ -46,14 +46,14 @@
 
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private ScriptedPeer worker;
-    private Rig rig;
+    private FakePeer worker;
+    private GatewayFixture rig;
 
     @BeforeEach
     void begin() throws Exception {
-        worker = new ScriptedPeer(null);
-        rig = new Rig(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE);
-        rig.list(worker.id());
+        worker = new FakePeer(null);
+        rig = new GatewayFixture(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE);
+        rig.announce(worker.id());
     }
 
     @AfterEach
@@ -62,7 +62,7 @@
         worker.close();
     }
 
-    private CompletableFuture<HttpResponse<String>> chain(Rig at, String json) {
+    private CompletableFuture<HttpResponse<String>> chain(GatewayFixture at, String json) {
         return client.sendAsync(
                 HttpRequest.newBuilder(at.uri("/v1/chain"))
                         .POST(HttpRequest.BodyPublishers.ofString(json.replace('\'', '"')))
@@ -108,14 +108,14 @@
     @Test
     void stepsRunInOrderAndTheirAnswersFlowOn() throws Exception {
         CompletableFuture<HttpResponse<String>> call = chain(rig, steps("'id':'c1','deadline_ms':2000", A, B));
-        ScriptedPeer.In a = worker.next();
+        FakePeer.ReceivedRequest a = worker.next();
         assertEquals("/call/f-a", a.headers.path().toString());
         assertEquals("c1.a", a.headers.get("wh-call").toString());
-        a.answer(SERVED, FOUND, "from a");
-        ScriptedPeer.In b = worker.next();
+        a.respond(SERVED, FOUND, "from a");
+        FakePeer.ReceivedRequest b = worker.next();
         int left = Integer.parseInt(b.headers.get("wh-deadline-ms").toString());
         assertTrue(left < 2000, "one deadline for both");
-        b.answer(SERVED, FOUND, "done");
+        b.respond(SERVED, FOUND, "done");
         HttpResponse<String> response = get(call);
         assertEquals(200, response.statusCode());
         assertTrue(response.body().contains("\"output\":\"done\""), response.body());
@@ -125,8 +125,8 @@
     @Test
     void aNamedChainRunsAsItIsSet() throws Exception {
         CompletableFuture<HttpResponse<String>> call = chain(rig, "{'chain':'save','input':'x'}");
-        worker.next().answer(SERVED, FOUND, "1");
-        worker.next().answer(SERVED, FOUND, "2");
+        worker.next().respond(SERVED, FOUND, "1");
+        worker.next().respond(SERVED, FOUND, "2");
         assertEquals("served", answer(get(call)));
     }
 
@@ -144,31 +144,31 @@
         CompletableFuture<HttpResponse<String>> call = chain(
                 rig,
                 steps("'deadline_ms':2000", A, "{'id':'new','function':'never-seen','class':'safe','input':['a']}"));
-        worker.next().answer(SERVED, FOUND, "a");
-        ScriptedPeer.In in = worker.next();
+        worker.next().respond(SERVED, FOUND, "a");
+        FakePeer.ReceivedRequest in = worker.next();
         assertEquals(
                 "/call/never-seen",
                 in.headers.path().toString(),
                 "nothing is known of it, which is no reason to refuse");
         Thread.sleep(100); // its load
-        in.answer(SERVED, BEGAN, "loaded");
+        in.respond(SERVED, BEGAN, "loaded");
         HttpResponse<String> response = get(call);
         assertTrue(answer(response).equals("served") && response.body().contains("loaded"), response.body());
     }
 
     @Test
     void aFirstStepServedLateEndsTheChainInTime() throws Exception {
-        worker.silentOrders = true; // the load that is ordered ahead does not end in time
+        worker.ignoreNonCalls = true; // the load that is ordered ahead does not end in time
         long began = System.nanoTime();
         CompletableFuture<HttpResponse<String>> call =
                 chain(rig, steps("'deadline_ms':950", A, step("cold", "safe", "'a'", 900)));
-        ScriptedPeer.In a = worker.next();
+        FakePeer.ReceivedRequest a = worker.next();
         Thread.sleep(290); // under the patience after which the call would be tried again
-        a.answer(SERVED, FOUND, "late");
+        a.respond(SERVED, FOUND, "late");
         assertEquals("refused", answer(get(call)));
         assertTrue(System.nanoTime() - began < 900_000_000L, "refused early, not at its deadline");
-        assertEquals(1, rig.figure("chain_ahead_ordered"));
-        assertEquals(1, rig.figure("chain_ahead_unused"));
+        assertEquals(1, rig.metric("chain_ahead_ordered"));
+        assertEquals(1, rig.metric("chain_ahead_unused"));
         assertTrue(worker.gotNothingWithin(50));
     }
 
@@ -199,9 +199,9 @@
                         step("a", "once", "'client'", 0),
                         step("b", "safe", "'client'", 0),
                         step("c", "safe", "'a','b'", 0)));
-        ScriptedPeer.In one = worker.next();
-        ScriptedPeer.In two = worker.next();
-        ScriptedPeer.In a = one.headers.path().toString().endsWith("f-a") ? one : two;
+        FakePeer.ReceivedRequest one = worker.next();
+        FakePeer.ReceivedRequest two = worker.next();
+        FakePeer.ReceivedRequest a = one.headers.path().toString().endsWith("f-a") ? one : two;
         a.reset(io.netty.handler.codec.http2.Http2Error.INTERNAL_ERROR);
         assertEquals("failed", answer(get(call)));
         assertTrue(worker.resets.poll(2, TimeUnit.SECONDS) != null, "the twin goes on for nothing");
@@ -211,24 +211,24 @@
     void aClientThatLeavesAtTheSecondStepStopsTheThird() throws Exception {
         Socket socket = new Socket("127.0.0.1", rig.gateway.address().getPort());
         socket.getOutputStream().write(rawChain(steps("'deadline_ms':2000", A, B, step("c", "safe", "'b'", 0))));
-        worker.next().answer(SERVED, FOUND, "a");
+        worker.next().respond(SERVED, FOUND, "a");
         worker.next();
         socket.close();
         assertTrue(worker.resets.poll(2, TimeUnit.SECONDS) != null, "the second step goes on for nothing");
         assertTrue(worker.gotNothingWithin(100));
-        assertEquals(1, rig.figure("chain_left"));
-        Rig.await("nothing is open", () -> rig.figure("open_calls") == 0);
+        assertEquals(1, rig.metric("chain_left"));
+        GatewayFixture.await("nothing is open", () -> rig.metric("open_calls") == 0);
     }
 
     @Test
     void anUnsafeFirstStepAndARefusedSecondTellWhatRan() throws Exception {
         CompletableFuture<HttpResponse<String>> call =
                 chain(rig, steps("'deadline_ms':2000", step("a", "once", "'client'", 0), B));
-        worker.next().answer(SERVED, FOUND, "ran");
+        worker.next().respond(SERVED, FOUND, "ran");
         while (!call.isDone()) { // as often as it is tried: that is not this test's
-            ScriptedPeer.In b = worker.poll(20);
+            FakePeer.ReceivedRequest b = worker.poll(20);
             if (b != null) {
-                b.answer(FULL, NONE, "");
+                b.respond(FULL, NONE, "");
             }
         }
         HttpResponse<String> response = get(call);
@@ -241,27 +241,27 @@
     void aRetryWithTheSameKeyRunsOnlyWhatIsMissing() throws Exception {
         String json = steps("'key':'k1','deadline_ms':2000", step("a", "once", "'client'", 0), B);
         CompletableFuture<HttpResponse<String>> first = chain(rig, json);
-        worker.next().answer(SERVED, FOUND, "ran once");
+        worker.next().respond(SERVED, FOUND, "ran once");
         while (!first.isDone()) {
-            ScriptedPeer.In b = worker.poll(20);
+            FakePeer.ReceivedRequest b = worker.poll(20);
             if (b != null) {
                 b.reset(io.netty.handler.codec.http2.Http2Error.INTERNAL_ERROR);
             }
         }
         assertEquals("failed", answer(get(first)));
         rig.close(); // the same gateway, restarted with its table
-        rig = new Rig(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE);
-        rig.list(worker.id());
+        rig = new GatewayFixture(folder, "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE);
+        rig.announce(worker.id());
         CompletableFuture<HttpResponse<String>> again = chain(rig, json);
-        ScriptedPeer.In b = worker.next();
+        FakePeer.ReceivedRequest b = worker.next();
         assertEquals("/call/f-b", b.headers.path().toString(), "the first step ran twice");
-        b.answer(SERVED, FOUND, "done");
+        b.respond(SERVED, FOUND, "done");
         assertEquals("served", answer(get(again)));
-        assertEquals(1, rig.figure("chains_resumed"));
+        assertEquals(1, rig.metric("chains_resumed"));
         java.nio.file.Files.createDirectory(folder.resolve("other"));
-        try (Rig other = new Rig(
+        try (GatewayFixture other = new GatewayFixture(
                 folder.resolve("other"), "", "/>" + KEEP + "<log level=\"info\"", DispatcherFactory.CACHE_AWARE)) {
-            other.list(worker.id());
+            other.announce(worker.id());
             CompletableFuture<HttpResponse<String>> elsewhere = chain(other, json);
             assertEquals("/call/f-a", worker.next().headers.path().toString(), "another gateway does not know them");
             elsewhere.cancel(true);
@@ -272,15 +272,15 @@
     void aRetryWhileTheFirstTryRunsListensToIt() throws Exception {
         String json = steps("'key':'k2','deadline_ms':2000", A);
         CompletableFuture<HttpResponse<String>> first = chain(rig, json);
-        ScriptedPeer.In a = worker.next();
+        FakePeer.ReceivedRequest a = worker.next();
         CompletableFuture<HttpResponse<String>> second = chain(rig, json);
-        Rig.await("it joined", () -> rig.figure("chains_joined") == 1);
+        GatewayFixture.await("it joined", () -> rig.metric("chains_joined") == 1);
         assertEquals("refused", answer(get(chain(rig, json.replace("'in'", "'else'")))), "the key is another chain's");
-        a.answer(SERVED, BEGAN, "once");
+        a.respond(SERVED, BEGAN, "once");
         assertTrue(get(first).body().contains("once"));
         assertTrue(get(second).body().contains("once"));
         assertTrue(worker.gotNothingWithin(50));
-        Rig.await("nothing is open", () -> rig.figure("open_calls") == 0);
+        GatewayFixture.await("nothing is open", () -> rig.metric("open_calls") == 0);
     }
 
     @Test
@@ -288,20 +288,20 @@
         String slow = steps("'deadline_ms':2000", step("slow", "safe", "'client'", 20));
         for (int i = 0; i < 4; i++) {
             CompletableFuture<HttpResponse<String>> call = chain(rig, slow);
-            ScriptedPeer.In in = worker.next();
+            FakePeer.ReceivedRequest in = worker.next();
             Thread.sleep(250); // the load that was told as 20 ms
-            in.answer(SERVED, BEGAN, "x");
+            in.respond(SERVED, BEGAN, "x");
             assertEquals("served", answer(get(call)));
         }
         CompletableFuture<HttpResponse<String>> gone = chain(rig, slow);
-        worker.next().answer(wharfhinge.protocol.AnswerCode.MISS, wharfhinge.protocol.CopyNote.LOAD_FAILED, "");
+        worker.next().respond(wharfhinge.protocol.AnswerCode.MISS, wharfhinge.protocol.CopyNote.LOAD_FAILED, "");
         while (!gone.isDone()) {
-            ScriptedPeer.In again = worker.poll(20);
+            FakePeer.ReceivedRequest again = worker.poll(20);
             if (again != null) {
-                again.answer(wharfhinge.protocol.AnswerCode.MISS, wharfhinge.protocol.CopyNote.LOAD_FAILED, "");
+                again.respond(wharfhinge.protocol.AnswerCode.MISS, wharfhinge.protocol.CopyNote.LOAD_FAILED, "");
             }
         }
-        worker.silentOrders = true;
+        worker.ignoreNonCalls = true;
         HttpResponse<String> response = get(chain(rig, slow.replace("2000", "200")));
         assertTrue(response.body().contains("too-little-time"), response.body());
         assertTrue(worker.gotNothingWithin(50));
--- a/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
@@ -34,14 +34,14 @@
     @CsvSource({"true,false", "true,true", "false,false", "false,true"})
     void whileItsCallWaitsForAConnectionNothingGoesOut(boolean leavesFirst, boolean reset) throws Exception {
         try (ServerSocket worker = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-                Rig rig = new Rig(
+                GatewayFixture rig = new GatewayFixture(
                         folder,
                         "dial-timeout-ms=\"8000\"",
                         text -> text.replace("aim-ms=\"600\"", "aim-ms=\"9000\"")
                                 .replace("give-up-ms=\"2500\"", "give-up-ms=\"9500\""),
                         DispatcherFactory.CACHE_AWARE);
                 Socket client = new Socket()) {
-            rig.list("127.0.0.1:" + worker.getLocalPort());
+            rig.announce("127.0.0.1:" + worker.getLocalPort());
             client.connect(
                     new InetSocketAddress("127.0.0.1", rig.gateway.address().getPort()));
             client.getOutputStream()
@@ -51,7 +51,7 @@
                 s.setSoTimeout(8000);
                 DataInputStream in = new DataInputStream(s.getInputStream());
                 in.readNBytes(PREFACE);
-                Rig.await("it is out", () -> rig.figure("attempts") == 1);
+                GatewayFixture.await("it is out", () -> rig.metric("attempts") == 1);
                 if (!leavesFirst) {
                     s.getOutputStream().write(SETTINGS);
                     int sent = 0;
@@ -64,12 +64,12 @@
                 }
                 client.setSoLinger(reset, 0);
                 client.close();
-                Rig.await("it left", () -> rig.figure("left") == 1);
+                GatewayFixture.await("it left", () -> rig.metric("left") == 1);
                 if (leavesFirst) {
                     s.getOutputStream().write(SETTINGS);
                 }
                 assertEquals(0, callsUntilPing(s, in), "sent after it left");
-                Rig.await("nothing is open", () -> rig.figure("open_calls") == 0);
+                GatewayFixture.await("nothing is open", () -> rig.metric("open_calls") == 0);
             }
         }
     }
--- a/gateway/src/test/java/wharfhinge/gateway/DeadlineTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/DeadlineTest.java
@@ -36,14 +36,14 @@
     @Test
     void ofACallThatWaitedForItsConnection() throws Exception {
         try (ServerSocket worker = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-                Rig rig = new Rig(
+                GatewayFixture rig = new GatewayFixture(
                         folder,
                         "dial-timeout-ms=\"8000\"",
                         text -> text.replace("aim-ms=\"600\"", "aim-ms=\"9000\"")
                                 .replace("give-up-ms=\"2500\"", "give-up-ms=\"" + GIVE_UP_MS + "\""),
                         DispatcherFactory.CACHE_AWARE);
                 Socket client = new Socket()) {
-            rig.list("127.0.0.1:" + worker.getLocalPort());
+            rig.announce("127.0.0.1:" + worker.getLocalPort());
             client.connect(
                     new InetSocketAddress("127.0.0.1", rig.gateway.address().getPort()));
             client.getOutputStream()
@@ -53,9 +53,10 @@
                 s.setSoTimeout(8000);
                 DataInputStream in = new DataInputStream(s.getInputStream());
                 in.readNBytes(PREFACE);
-                Rig.await("it is out", () -> rig.figure("attempts") == 1);
+                GatewayFixture.await("it is out", () -> rig.metric("attempts") == 1);
                 long began = System.nanoTime();
-                Rig.await("time passed", () -> System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(HELD_MS));
+                GatewayFixture.await(
+                        "time passed", () -> System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(HELD_MS));
                 s.getOutputStream().write(SETTINGS);
                 long toldMillis = deadlineOfTheFirstCall(in);
                 assertTrue(
@@ -63,7 +64,7 @@
                         "told " + toldMillis + " ms, left " + (GIVE_UP_MS - HELD_MS) + " at most");
                 assertTrue(toldMillis > 0);
             }
-            assertEquals(1, rig.figure("attempts"));
+            assertEquals(1, rig.metric("attempts"));
         }
     }
 
--- a/gateway/src/test/java/wharfhinge/gateway/DoorFuzzTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/DoorFuzzTest.java
@@ -40,7 +40,9 @@
                     new RequestClass("safe", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 2, 1, 0, false, 0);
             Path folder = Files.createTempDirectory("fuzz");
             return new ChainJson(
-                    Map.of("safe", type), type, Rig.config(folder, "", "", 1).chains());
+                    Map.of("safe", type),
+                    type,
+                    GatewayFixture.config(folder, "", "", 1).chains());
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
--- a/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
@@ -32,16 +32,17 @@
     private Path folder;
 
     private final EventLoopGroup group = Net.group(2);
-    private ScriptedPeer worker;
+    private FakePeer worker;
     private RosterStandIn roster;
     private Gateway gateway;
 
     @BeforeEach
     void begin() throws Exception {
-        worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
+        worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
         roster = new RosterStandIn(group, 0, 0, new Trace(System::nanoTime));
-        roster.report(Rig.entry(worker.id(), State.UP, "b0"));
-        gateway = new Gateway(Rig.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
+        roster.report(GatewayFixture.entry(worker.id(), State.UP, "b0"));
+        gateway =
+                new Gateway(GatewayFixture.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
         gateway.start();
     }
 
@@ -70,28 +71,28 @@
     }
 
     private long lists() {
-        return gateway.figures().get("lists");
+        return gateway.metrics().get("lists");
     }
 
     @Test
     void silentStream_isClosedAndListStaysValidUntilNextUpdate() throws Exception {
-        Rig.await("served", () -> call().equals("well"));
+        GatewayFixture.await("served", () -> call().equals("well"));
         roster.mute(true);
         long before = lists();
         Thread.sleep(2500); // longer than silent-after-ms
         assertEquals("well", call(), "the list held goes on to hold");
         assertEquals(before, lists());
         roster.mute(false);
-        roster.report(Rig.entry("127.0.0.1:9", State.UP, "b0"));
-        Rig.await("news after the silence", () -> lists() > before);
+        roster.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
+        GatewayFixture.await("news after the silence", () -> lists() > before);
     }
 
     @Test
     void gapOrLostStream_requestsFullList() throws Exception {
-        Rig.await("served", () -> call().equals("well"));
+        GatewayFixture.await("served", () -> call().equals("well"));
         long before = lists();
-        roster.push(
-                new RosterFrame(RosterFrame.Kind.CHANGES, 900, 901, List.of(Rig.entry(worker.id(), State.GONE, "b0"))));
+        roster.push(new RosterFrame(
+                RosterFrame.Kind.CHANGES, 900, 901, List.of(GatewayFixture.entry(worker.id(), State.GONE, "b0"))));
         Thread.sleep(400);
         assertEquals("well", call(), "changes with a gap are not taken");
         assertEquals(before, lists(), "and the whole list was the one already held");
@@ -99,19 +100,20 @@
         Thread.sleep(300);
         assertEquals("well", call());
         roster.lost(false);
-        roster.report(Rig.entry("127.0.0.1:9", State.UP, "b0"));
-        Rig.await("news after the loss", () -> lists() > before);
+        roster.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
+        GatewayFixture.await("news after the loss", () -> lists() > before);
     }
 
     @Test
     void restartedGateway_servesFromSnapshotWhileEndpointServiceIsDown() throws Exception {
-        Rig.await("served", () -> call().equals("well"));
+        GatewayFixture.await("served", () -> call().equals("well"));
         gateway.stop();
         roster.lost(true);
-        gateway = new Gateway(Rig.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
+        gateway =
+                new Gateway(GatewayFixture.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
         gateway.start();
         assertEquals("well", call());
-        assertTrue(gateway.figures().get("lists") >= 1);
+        assertTrue(gateway.metrics().get("lists") >= 1);
         roster.lost(false);
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/ScriptedPeer.java
+++ b/gateway/src/test/java/wharfhinge/gateway/FakePeer.java
@@ -37,15 +37,15 @@
 import wharfhinge.protocol.CopyNote;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** A worker that does frame by frame what a test tells it to. */
-final class ScriptedPeer implements AutoCloseable {
-    /** One request that came. */
-    final class In {
+/** A worker, or another gateway, that does frame by frame what a test scripts. */
+final class FakePeer implements AutoCloseable {
+    /** One request that was received. */
+    final class ReceivedRequest {
         final Http2Headers headers;
         private final ChannelHandlerContext ctx;
         private final Http2FrameStream stream;
 
-        private In(ChannelHandlerContext ctx, Http2FrameStream stream, Http2Headers headers) {
+        private ReceivedRequest(ChannelHandlerContext ctx, Http2FrameStream stream, Http2Headers headers) {
             this.ctx = ctx;
             this.stream = stream;
             this.headers = headers;
@@ -55,12 +55,12 @@
             return stream.id();
         }
 
-        void answer(AnswerCode code, CopyNote note, String body) {
-            head(code, note, false);
-            part(body, true);
+        void respond(AnswerCode code, CopyNote note, String body) {
+            sendHeaders(code, note, false);
+            sendData(body, true);
         }
 
-        void head(AnswerCode code, CopyNote note, boolean end) {
+        void sendHeaders(AnswerCode code, CopyNote note, boolean end) {
             Http2Headers head = new DefaultHttp2Headers()
                     .status(Integer.toString(code.status()))
                     .set(WorkerProtocol.OUTCOME, code.word())
@@ -70,7 +70,7 @@
             ctx.writeAndFlush(new DefaultHttp2HeadersFrame(head, end).stream(stream));
         }
 
-        void part(String text, boolean end) {
+        void sendData(String text, boolean end) {
             ctx.writeAndFlush(
                     new DefaultHttp2DataFrame(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8), end).stream(stream));
         }
@@ -93,7 +93,7 @@
             ctx.writeAndFlush(new DefaultHttp2ResetFrame(error).stream(stream));
         }
 
-        void later(long ms, Runnable what) {
+        void schedule(long ms, Runnable what) {
             ctx.executor().schedule(what, ms, TimeUnit.MILLISECONDS);
         }
 
@@ -116,21 +116,21 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final Channel listening;
-    private final BlockingQueue<In> calls = new LinkedBlockingQueue<>();
-    private final List<Channel> held = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<ReceivedRequest> calls = new LinkedBlockingQueue<>();
+    private final List<Channel> heldChannels = new CopyOnWriteArrayList<>();
     final BlockingQueue<Integer> resets = new LinkedBlockingQueue<>();
-    final BlockingQueue<In> others = new LinkedBlockingQueue<>();
-    private final Consumer<In> script;
+    final BlockingQueue<ReceivedRequest> nonCalls = new LinkedBlockingQueue<>();
+    private final Consumer<ReceivedRequest> script;
     volatile boolean holdHandshakes;
-    volatile boolean silentOrders;
+    volatile boolean ignoreNonCalls;
     volatile int flooded;
 
     /** Answers every call with {@code script}; where it is null, calls wait for {@link #next}. */
-    ScriptedPeer(Consumer<In> script) {
+    FakePeer(Consumer<ReceivedRequest> script) {
         this(0, script);
     }
 
-    ScriptedPeer(int port, Consumer<In> script) {
+    FakePeer(int port, Consumer<ReceivedRequest> script) {
         this.script = script;
         listening = new ServerBootstrap()
                 .group(group)
@@ -140,7 +140,7 @@
                     protected void initChannel(Channel channel) {
                         if (holdHandshakes) {
                             channel.config().setAutoRead(false);
-                            held.add(channel);
+                            heldChannels.add(channel);
                         } else {
                             pipeline(channel);
                         }
@@ -169,8 +169,8 @@
     }
 
     /** The next call that came. */
-    In next() throws InterruptedException {
-        In in = calls.poll(5, TimeUnit.SECONDS);
+    ReceivedRequest next() throws InterruptedException {
+        ReceivedRequest in = calls.poll(5, TimeUnit.SECONDS);
         if (in == null) {
             throw new AssertionError("no call came to " + id());
         }
@@ -178,7 +178,7 @@
     }
 
     /** The next call that comes within a time, or null. */
-    In poll(long ms) throws InterruptedException {
+    ReceivedRequest poll(long ms) throws InterruptedException {
         return calls.poll(ms, TimeUnit.MILLISECONDS);
     }
 
@@ -187,12 +187,12 @@
     }
 
     int heldHandshakes() {
-        return held.size();
+        return heldChannels.size();
     }
 
-    void letHandshakesGo() {
+    void releaseHandshakes() {
         holdHandshakes = false;
-        held.forEach(channel -> channel.eventLoop().execute(() -> {
+        heldChannels.forEach(channel -> channel.eventLoop().execute(() -> {
             pipeline(channel);
             channel.config().setAutoRead(true);
         }));
@@ -222,17 +222,17 @@
         }
 
         private void came(ChannelHandlerContext ctx, Http2FrameStream stream) {
-            In in = new In(ctx, stream, open.remove(stream));
+            ReceivedRequest in = new ReceivedRequest(ctx, stream, open.remove(stream));
             String path = in.headers.path().toString();
             boolean call = path.startsWith(WorkerProtocol.CALL_PATH)
                     || path.startsWith(ClientProtocol.CALL_PATH)
                     || path.startsWith("/wharfhinge.v1."); // it may play a gateway too
             if (!call) {
-                others.add(in);
-                if (silentOrders) {
+                nonCalls.add(in);
+                if (ignoreNonCalls) {
                     return;
                 }
-                in.head(AnswerCode.SERVED, CopyNote.NONE, true);
+                in.sendHeaders(AnswerCode.SERVED, CopyNote.NONE, true);
             } else if (script == null) {
                 calls.add(in);
             } else {
--- a/gateway/src/test/java/wharfhinge/gateway/FrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/FrontTest.java
@@ -46,14 +46,14 @@
     @TempDir
     private Path folder;
 
-    private ScriptedPeer worker;
-    private Rig rig;
+    private FakePeer worker;
+    private GatewayFixture rig;
 
     @BeforeEach
     void begin() throws Exception {
-        worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-        rig = new Rig(folder, "", DispatcherFactory.CACHE_AWARE);
-        rig.list(worker.id());
+        worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+        rig = new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
+        rig.announce(worker.id());
     }
 
     @AfterEach
@@ -100,7 +100,7 @@
         String answer = raw(line + " HTTP/1.1\nhost: x\n" + header + "\ncontent-length: 0\n\n");
         assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
         assertTrue(answer.contains(expected), answer);
-        assertEquals("well", Rig.get(rig.call("safe", "f", 2000)).body());
+        assertEquals("well", GatewayFixture.get(rig.call("safe", "f", 2000)).body());
     }
 
     @Test
@@ -113,7 +113,7 @@
         assertTrue(chunks.startsWith("HTTP/1.1 400"), chunks);
         String nonsense = raw("\u0001\u0002 nonsense\n\n");
         assertTrue(nonsense.startsWith("HTTP/1.1 400"), nonsense);
-        assertEquals("well", Rig.get(rig.call("safe", "f", 2000)).body());
+        assertEquals("well", GatewayFixture.get(rig.call("safe", "f", 2000)).body());
     }
 
     @Test
@@ -126,7 +126,7 @@
 
     @Test
     void answersTellTheWorkerTheReasonAndTheAttempts() throws Exception {
-        HttpResponse<String> response = Rig.get(rig.call("safe", "f", 2000));
+        HttpResponse<String> response = GatewayFixture.get(rig.call("safe", "f", 2000));
         assertEquals(worker.id(), response.headers().firstValue("wh-worker").orElse(""));
         assertEquals(
                 worker.id() + ":served/found",
--- a/gateway/src/test/java/wharfhinge/gateway/Rig.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
@@ -25,8 +25,8 @@
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
 
-/** A gateway in this process, a list that the test tells, and clients. */
-final class Rig implements AutoCloseable {
+/** A gateway in this process, an endpoint list that the test announces, and clients. */
+final class GatewayFixture implements AutoCloseable {
     static final String SETTINGS =
             """
         <wharfhinge xmlns="urn:wharfhinge:settings:1">
@@ -55,24 +55,26 @@
     private Consumer<EndpointUpdate> fleet;
     private long revision = 1;
 
-    Rig(Path folder, String workers, DispatcherFactory decisions) throws Exception {
+    GatewayFixture(Path folder, String workers, DispatcherFactory decisions) throws Exception {
         this(folder, workers, "", decisions);
     }
 
-    Rig(Path folder, String workers, String clients, DispatcherFactory decisions) throws Exception {
+    GatewayFixture(Path folder, String workers, String clients, DispatcherFactory decisions) throws Exception {
         this(folder, workers, clients, "", decisions);
     }
 
-    Rig(Path folder, String workers, String clients, String more, DispatcherFactory decisions) throws Exception {
+    GatewayFixture(Path folder, String workers, String clients, String more, DispatcherFactory decisions)
+            throws Exception {
         this(config(folder, workers, clients, more, 1), decisions);
     }
 
     /** Before settings changed as a test needs them. */
-    Rig(Path folder, String workers, UnaryOperator<String> change, DispatcherFactory decisions) throws Exception {
+    GatewayFixture(Path folder, String workers, UnaryOperator<String> change, DispatcherFactory decisions)
+            throws Exception {
         this(load(folder, change.apply(text(workers, "", "", 1))), decisions);
     }
 
-    private Rig(GatewayConfig config, DispatcherFactory decisions) throws Exception {
+    private GatewayFixture(GatewayConfig config, DispatcherFactory decisions) throws Exception {
         gateway = new Gateway(config, decisions, (group, type) -> EndpointSource.pushedBy(updates -> fleet = updates));
         gateway.start();
     }
@@ -104,7 +106,7 @@
         return new RosterEntry(id, "z", "k", 0, state, 1, 1_000_000, boot);
     }
 
-    void list(String... workers) {
+    void announce(String... workers) {
         List<RosterEntry> entries = new ArrayList<>();
         for (String worker : workers) {
             entries.add(entry(worker, State.UP, "b0"));
@@ -112,7 +114,7 @@
         fleet.accept(new EndpointUpdate(EndpointUpdateMode.FULL, revision++, entries));
     }
 
-    void change(RosterEntry entry) {
+    void announceChange(RosterEntry entry) {
         fleet.accept(new EndpointUpdate(EndpointUpdateMode.INCREMENTAL, revision++, List.of(entry)));
     }
 
@@ -139,8 +141,8 @@
         return response.headers().firstValue("wh-answer").orElse("none");
     }
 
-    long figure(String name) {
-        return gateway.figures().get(name);
+    long metric(String name) {
+        return gateway.metrics().get(name);
     }
 
     static void await(String what, BooleanSupplier holds) throws InterruptedException {
--- a/gateway/src/test/java/wharfhinge/gateway/GrpcFrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GrpcFrontTest.java
@@ -42,12 +42,12 @@
     @TempDir
     private Path folder;
 
-    private Rig rig;
+    private GatewayFixture rig;
     private ManagedChannel channel;
 
     @BeforeEach
     void begin() throws Exception {
-        rig = new Rig(folder, "", DispatcherFactory.CACHE_AWARE);
+        rig = new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
         channel = NettyChannelBuilder.forAddress(
                         "127.0.0.1", rig.gateway.grpcAddress().getPort())
                 .usePlaintext()
@@ -70,16 +70,16 @@
 
     @Test
     void aStreamIsHandedOnAsItComes() throws Exception {
-        try (ScriptedPeer worker = new ScriptedPeer(null)) {
-            rig.list(worker.id());
+        try (FakePeer worker = new FakePeer(null)) {
+            rig.announce(worker.id());
             Iterator<CallReply> parts = flow();
-            ScriptedPeer.In in = worker.next();
-            in.head(SERVED, FOUND, false);
+            FakePeer.ReceivedRequest in = worker.next();
+            in.sendHeaders(SERVED, FOUND, false);
             CallReply head = parts.next();
             assertEquals(worker.id(), head.getWorker());
-            in.part("one", false);
+            in.sendData("one", false);
             assertEquals("one", parts.next().getBody().toStringUtf8(), "before the worker has ended");
-            in.part("two", true);
+            in.sendData("two", true);
             assertEquals("two", parts.next().getBody().toStringUtf8());
             assertTrue(!parts.hasNext() || parts.next().getBody().isEmpty() && !parts.hasNext());
         }
@@ -87,13 +87,13 @@
 
     @Test
     void aStreamThatBreaksOffDoesNotLookWhole() throws Exception {
-        try (ScriptedPeer worker = new ScriptedPeer(null)) {
-            rig.list(worker.id());
+        try (FakePeer worker = new FakePeer(null)) {
+            rig.announce(worker.id());
             Iterator<CallReply> parts = flow();
-            ScriptedPeer.In in = worker.next();
-            in.head(SERVED, FOUND, false);
+            FakePeer.ReceivedRequest in = worker.next();
+            in.sendHeaders(SERVED, FOUND, false);
             parts.next();
-            in.part("half", false);
+            in.sendData("half", false);
             assertEquals("half", parts.next().getBody().toStringUtf8());
             in.reset(Http2Error.INTERNAL_ERROR);
             assertEquals(
@@ -106,8 +106,8 @@
 
     @Test
     void aSlowClientHoldsTheWorkerBackAndLeavingEndsIt() throws Exception {
-        try (ScriptedPeer worker = new ScriptedPeer(null)) {
-            rig.list(worker.id());
+        try (FakePeer worker = new FakePeer(null)) {
+            rig.announce(worker.id());
             CompletableFuture<Throwable> over = new CompletableFuture<>();
             CompletableFuture<io.grpc.stub.ClientCallStreamObserver<CallRequest>> call = new CompletableFuture<>();
             GatewayGrpc.newStub(channel).stream(
@@ -131,8 +131,8 @@
                             over.complete(null);
                         }
                     });
-            ScriptedPeer.In in = worker.next();
-            in.head(SERVED, FOUND, false);
+            FakePeer.ReceivedRequest in = worker.next();
+            in.sendHeaders(SERVED, FOUND, false);
             in.flood(400); // 25 MB
             long before = -1;
             for (int same = 0; same < 20; same = worker.flooded == before ? same + 1 : 0) {
@@ -183,8 +183,8 @@
         assertTrue(
                 wrong.getStatus().getDescription().contains("$.steps"),
                 wrong.getStatus().getDescription());
-        try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"))) {
-            rig.list(worker.id());
+        try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"))) {
+            rig.announce(worker.id());
             assertTrue(stub.chain(chain(text)).getJson().toStringUtf8().contains("\"served\""));
         }
     }
--- a/gateway/src/test/java/wharfhinge/gateway/KeysTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/KeysTest.java
@@ -54,8 +54,8 @@
         GRPC
     }
 
-    private static WharfhingeClient client(Way way, Rig rig, Path authority, TestKeys.Pair own, Supplier<String> token)
-            throws Exception {
+    private static WharfhingeClient client(
+            Way way, GatewayFixture rig, Path authority, TestKeys.Pair own, Supplier<String> token) throws Exception {
         SslContextBuilder builder =
                 SslContextBuilder.forClient().trustManager(authority.toFile()).sslProvider(SslProvider.JDK);
         if (own != null) {
@@ -88,8 +88,8 @@
                 .get(10, TimeUnit.SECONDS);
     }
 
-    private static ScriptedPeer worker() {
-        return new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
+    private static FakePeer worker() {
+        return new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
     }
 
     private static String tls(TestKeys.Pair server, Path clients, Path revoked, String more) {
@@ -105,14 +105,14 @@
         TestKeys.Pair server = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
         TestKeys.Pair revoked = keys.client("gone");
         TestKeys others = new TestKeys(folder.resolve("others"), "theirs");
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
                         folder,
                         "",
                         "",
                         tls(server, keys.authority, keys.revoked(revoked.certificate()), "<proof/>"),
                         DispatcherFactory.CACHE_AWARE)) {
-            rig.list(worker.id());
+            rig.announce(worker.id());
             try (WharfhingeClient client = client(way, rig, keys.authority, keys.client("t1"), null)) {
                 assertTrue(call(client, null) instanceof Result.Served);
                 assertEquals("t1", worker.next().headers.get("wh-tenant").toString());
@@ -137,7 +137,7 @@
                     client(way, rig, keys.authority, others.client("t1"), null)) { // which Java does not even show
                 assertTrue(((Result.Invalid) call(client, null)).reason().contains("no proof"));
             }
-            assertEquals(2, rig.figure("taken"), "nothing of the others was taken");
+            assertEquals(2, rig.metric("taken"), "nothing of the others was taken");
         }
     }
 
@@ -149,15 +149,15 @@
         TestKeys.Pair t1 = keys.client("t1");
         TestKeys.Pair gone = keys.client("gone");
         Path forged = forger.revoked(t1.certificate());
-        Exception refused = assertThrows(java.io.UncheckedIOException.class, () -> new Rig(
+        Exception refused = assertThrows(java.io.UncheckedIOException.class, () -> new GatewayFixture(
                         folder, "", "", tls(server, keys.authority, forged, "<proof/>"), DispatcherFactory.CACHE_AWARE)
                 .close());
         assertTrue(refused.getMessage().contains("signed by none of"), refused.getMessage());
         Path list = keys.revoked(gone.certificate());
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
                         folder, "", "", tls(server, keys.authority, list, "<proof/>"), DispatcherFactory.CACHE_AWARE)) {
-            rig.list(worker.id());
+            rig.announce(worker.id());
             Files.copy(forged, list, StandardCopyOption.REPLACE_EXISTING);
             Files.setLastModifiedTime(
                     list, java.nio.file.attribute.FileTime.fromMillis(System.currentTimeMillis() + 5000));
@@ -178,11 +178,12 @@
                 keys.issue("old", "gw", "127.0.0.1", -2 * TestKeys.DAY, -TestKeys.DAY),
                 keys.issue("early", "gw", "127.0.0.1", TestKeys.DAY, 2 * TestKeys.DAY),
                 keys.issue("host", "gw", "127.0.0.9", -TestKeys.DAY, TestKeys.DAY))) {
-            try (Rig rig = new Rig(folder, "", "", tls(server, null, null, ""), DispatcherFactory.CACHE_AWARE);
+            try (GatewayFixture rig = new GatewayFixture(
+                            folder, "", "", tls(server, null, null, ""), DispatcherFactory.CACHE_AWARE);
                     WharfhingeClient client = client(way, rig, keys.authority, null, null)) {
                 Result r = call(client, null);
                 assertTrue(r instanceof Result.Refused, r.toString());
-                assertEquals(0, rig.figure("taken"));
+                assertEquals(0, rig.metric("taken"));
             }
         }
     }
@@ -196,15 +197,15 @@
         Tokens tokens = new Tokens(secret, System::currentTimeMillis);
         long later = System.currentTimeMillis() / 1000 + 3600;
         String[] token = {null};
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
                         folder,
                         "",
                         "",
                         tls(server, null, null, "<proof token-key-file='" + secret + "'/>"),
                         DispatcherFactory.CACHE_AWARE);
                 WharfhingeClient client = client(way, rig, keys.authority, null, () -> token[0])) {
-            rig.list(worker.id());
+            rig.announce(worker.id());
             token[0] = tokens.make("a.tenant", later);
             assertTrue(call(client, null) instanceof Result.Served);
             assertEquals("a.tenant", worker.next().headers.get("wh-tenant").toString());
@@ -218,7 +219,7 @@
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("another form"));
             token[0] = null;
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("no proof"));
-            assertEquals(1, rig.figure("taken"));
+            assertEquals(1, rig.metric("taken"));
         }
         Files.write(secret, new byte[3]);
         assertTrue(assertThrows(java.io.IOException.class, () -> new Tokens(secret, () -> 0))
@@ -260,7 +261,8 @@
     void aCertificateWhoseKeyIsNotYetThereIsNotShown() throws Exception {
         TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
         TestKeys.Pair first = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        try (Rig rig = new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE)) {
+        try (GatewayFixture rig =
+                new GatewayFixture(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE)) {
             int port = rig.gateway.address().getPort();
             TestKeys.Pair next = keys.issue("next", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
             Files.copy(next.chain(), first.chain(), StandardCopyOption.REPLACE_EXISTING);
@@ -269,7 +271,7 @@
                 assertEquals(first.certificate().getSerialNumber(), shown(port));
             }
             Files.copy(next.key(), first.key(), StandardCopyOption.REPLACE_EXISTING);
-            Rig.await("both are there", () -> {
+            GatewayFixture.await("both are there", () -> {
                 try {
                     return shown(port).equals(next.certificate().getSerialNumber());
                 } catch (Exception e) {
@@ -284,7 +286,7 @@
                 StandardCopyOption.REPLACE_EXISTING);
         var wrong = assertThrows(
                 java.io.UncheckedIOException.class,
-                () -> new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE));
+                () -> new GatewayFixture(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE));
         assertTrue(wrong.getMessage().contains("the key is not that of the certificate"), wrong.getMessage());
     }
 
@@ -292,19 +294,20 @@
     void aNewCertificateIsShownToNewConnectionsAndThoseThatStandGoOn() throws Exception {
         TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
         TestKeys.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, 4000);
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
+                        folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
                 WharfhingeClient http = client(Way.HTTP, rig, keys.authority, null, null);
                 WharfhingeClient grpc = client(Way.GRPC, rig, keys.authority, null, null)) {
-            rig.list(worker.id());
+            rig.announce(worker.id());
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
-            long connections = rig.figure("connections");
+            long connections = rig.metric("connections");
             TestKeys.Pair next = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
             for (int port : new int[] {
                 rig.gateway.address().getPort(), rig.gateway.grpcAddress().getPort()
             }) {
-                Rig.await("the new certificate is shown", () -> {
+                GatewayFixture.await("the new certificate is shown", () -> {
                     try {
                         return shown(port).equals(next.certificate().getSerialNumber());
                     } catch (Exception e) {
@@ -312,13 +315,13 @@
                     }
                 });
             }
-            Rig.await(
+            GatewayFixture.await(
                     "the first has expired",
                     () -> System.currentTimeMillis()
                             > soonOver.certificate().getNotAfter().getTime());
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
-            assertEquals(connections, rig.figure("connections"), "on the connection that stood");
+            assertEquals(connections, rig.metric("connections"), "on the connection that stood");
         }
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/LoopTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/LoopTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static wharfhinge.gateway.Rig.answer;
-import static wharfhinge.gateway.Rig.get;
+import static wharfhinge.gateway.GatewayFixture.answer;
+import static wharfhinge.gateway.GatewayFixture.get;
 import static wharfhinge.protocol.AnswerCode.SERVED;
 import static wharfhinge.protocol.CopyNote.FOUND;
 
@@ -102,31 +102,32 @@
     @Test
     void everyActionDoesWhatItSaysAndNoneReenters() throws Exception {
         CompletableFuture<Noting> made = new CompletableFuture<>();
-        try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                ScriptedPeer silent = new ScriptedPeer(null);
-                Rig rig = new Rig(folder, "max-attempts=\"3\"", (now, seed, settings, actions) -> {
-                    Noting noting = new Noting(actions) {
-                        @Override
-                        public void onRequest(long at, Request r) {
-                            super.onRequest(at, r);
-                            within = true;
-                            actions.ensureLoaded(worker.id(), r.function(), 1);
-                            actions.unload(worker.id(), r.function());
-                            actions.probe(worker.id());
-                            actions.scheduleTimer("t", 0);
-                            actions.sendAttempt(r.id(), silent.id(), 0);
-                            actions.sendAttempt(r.id(), silent.id(), 30_000_000);
-                            actions.cancelAttempt(r.id(), 0);
-                            actions.sendAttempt(r.id(), worker.id(), 0);
-                            actions.sendAttempt(r.id(), worker.id(), 0); // one more than there may be
-                            actions.sendAttempt("unheard-of", worker.id(), 0);
-                            within = false;
-                        }
-                    };
-                    made.complete(noting);
-                    return noting;
-                })) {
-            rig.list(worker.id(), silent.id());
+        try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                FakePeer silent = new FakePeer(null);
+                GatewayFixture rig =
+                        new GatewayFixture(folder, "max-attempts=\"3\"", (now, seed, settings, actions) -> {
+                            Noting noting = new Noting(actions) {
+                                @Override
+                                public void onRequest(long at, Request r) {
+                                    super.onRequest(at, r);
+                                    within = true;
+                                    actions.ensureLoaded(worker.id(), r.function(), 1);
+                                    actions.unload(worker.id(), r.function());
+                                    actions.probe(worker.id());
+                                    actions.scheduleTimer("t", 0);
+                                    actions.sendAttempt(r.id(), silent.id(), 0);
+                                    actions.sendAttempt(r.id(), silent.id(), 30_000_000);
+                                    actions.cancelAttempt(r.id(), 0);
+                                    actions.sendAttempt(r.id(), worker.id(), 0);
+                                    actions.sendAttempt(r.id(), worker.id(), 0); // one more than there may be
+                                    actions.sendAttempt("unheard-of", worker.id(), 0);
+                                    within = false;
+                                }
+                            };
+                            made.complete(noting);
+                            return noting;
+                        })) {
+            rig.announce(worker.id(), silent.id());
             assertEquals("well", get(rig.call("safe", "f", 1000)).body());
             List<String> told = made.get().told;
             for (String expected : List.of(
@@ -140,18 +141,18 @@
                     "completed 1 TIMEOUT UNKNOWN ",
                     "completed 2 SERVED HIT true",
                     "completed 3 SUPERSEDED UNKNOWN ")) {
-                Rig.await(expected + " in " + told, () -> List.copyOf(told).stream()
+                GatewayFixture.await(expected + " in " + told, () -> List.copyOf(told).stream()
                         .anyMatch(t -> t.startsWith(expected)));
             }
-            assertEquals(2, worker.others.size() - 1, "a hold, an unload and a probe went out");
+            assertEquals(2, worker.nonCalls.size() - 1, "a hold, an unload and a probe went out");
         }
     }
 
     @Test
     void whenTheDecisionsThrowEachOpenCallIsAnsweredOnceAndANewLifeBegins() throws Exception {
         List<Noting> lives = Collections.synchronizedList(new ArrayList<>());
-        try (ScriptedPeer silent = new ScriptedPeer(null);
-                Rig rig = new Rig(folder, "", (now, seed, settings, actions) -> {
+        try (FakePeer silent = new FakePeer(null);
+                GatewayFixture rig = new GatewayFixture(folder, "", (now, seed, settings, actions) -> {
                     lives.add(new Noting(actions) {
                         @Override
                         public void onRequest(long at, Request r) {
@@ -167,52 +168,53 @@
                     });
                     return lives.get(lives.size() - 1);
                 })) {
-            rig.list(silent.id());
+            rig.announce(silent.id());
             CompletableFuture<HttpResponse<String>> sent = rig.call("once", "sent", 2000);
             silent.next();
             CompletableFuture<HttpResponse<String>> held = rig.call("once", "held", 2000);
-            Rig.await("both are open", () -> rig.figure("open_calls") == 2);
+            GatewayFixture.await("both are open", () -> rig.metric("open_calls") == 2);
             CompletableFuture<HttpResponse<String>> bad = rig.call("safe", "bad", 2000);
             assertEquals("failed", answer(get(sent)), "it may have run");
             assertEquals("refused", answer(get(held)), "it was never sent");
             assertEquals("refused", answer(get(bad)));
-            assertEquals(1, rig.figure("restarts"));
-            Rig.await(
+            assertEquals(1, rig.metric("restarts"));
+            GatewayFixture.await(
                     "the new life is told",
                     () -> lives.size() == 2 && !lives.get(1).told.isEmpty());
             assertEquals("members SNAPSHOT 1", lives.get(1).told.get(0), "the list held is told anew");
             assertEquals("refused", answer(get(rig.call("safe", "next", 2000))));
-            assertEquals(0, rig.figure("open_calls"));
+            assertEquals(0, rig.metric("open_calls"));
         }
     }
 
     @Test
     void aFullHandOverTurnsCallsAwayBeforeTheyAreTaken() throws Exception {
         CountDownLatch stuck = new CountDownLatch(1);
-        try (Rig rig = new Rig(folder, "", "hand-over=\"2\"", (now, seed, settings, actions) -> new Noting(actions) {
-            @Override
-            public void onRequest(long at, Request r) {
-                super.onRequest(at, r);
-                try {
-                    stuck.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                actions.reject(r.id(), 0);
-            }
-        })) {
+        try (GatewayFixture rig = new GatewayFixture(
+                folder, "", "hand-over=\"2\"", (now, seed, settings, actions) -> new Noting(actions) {
+                    @Override
+                    public void onRequest(long at, Request r) {
+                        super.onRequest(at, r);
+                        try {
+                            stuck.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                        actions.reject(r.id(), 0);
+                    }
+                })) {
             List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
                 calls.add(rig.call("safe", "f", 2000));
             }
-            Rig.await("some are turned away", () -> rig.figure("turned_away_hand_over") >= 5);
-            assertEquals(0, rig.figure("refused"));
+            GatewayFixture.await("some are turned away", () -> rig.metric("turned_away_hand_over") >= 5);
+            assertEquals(0, rig.metric("refused"));
             stuck.countDown();
             for (CompletableFuture<HttpResponse<String>> call : calls) {
                 assertEquals("refused", answer(get(call)));
             }
-            assertEquals(8, rig.figure("taken") + rig.figure("turned_away_hand_over"));
-            assertTrue(rig.figure("event_age_us_max") > 0);
+            assertEquals(8, rig.metric("taken") + rig.metric("turned_away_hand_over"));
+            assertTrue(rig.metric("event_age_us_max") > 0);
         }
     }
 
@@ -234,7 +236,7 @@
             Path file = folder.resolve("gw" + i + ".xml");
             java.nio.file.Files.writeString(
                     file,
-                    Rig.SETTINGS
+                    GatewayFixture.SETTINGS
                             .replace("CLIENTS", "")
                             .replace("WORKERS", "")
                             .replace("ROSTER", "1")
@@ -252,16 +254,16 @@
             gateways[i].start();
         }
         one.get().actions.sendToPeers(-1, new byte[] {1, 2});
-        Rig.await("it arrives", () -> two.join().told.contains("inbox 0"));
+        GatewayFixture.await("it arrives", () -> two.join().told.contains("inbox 0"));
         gateways[0].stop();
         gateways[1].stop();
     }
 
     @Test
     void theProductsDecisionsServeFromTheFirstCallOn() throws Exception {
-        try (ScriptedPeer worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-                Rig rig = new Rig(folder, "", CacheAwareDispatcher::new)) {
-            rig.list(worker.id());
+        try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+                GatewayFixture rig = new GatewayFixture(folder, "", CacheAwareDispatcher::new)) {
+            rig.announce(worker.id());
             assertEquals("well", get(rig.call("once", "f", 2000)).body());
         }
     }
--- a/gateway/src/test/java/wharfhinge/gateway/MvStepJournalTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/MvStoreStepJournalTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharfhinge.decisions.chain.FinishedSteps.Answer;
 
-/** Finished steps over a crash. */
+/** The journal of finished steps over a crash. */
 @Timeout(30)
-class MvStepJournalTest {
+class MvStoreStepJournalTest {
     private static final long WINDOW = 30_000_000_000L;
 
     @TempDir
@@ -31,7 +31,7 @@
 
     private List<String> restored(Path file) {
         List<String> steps = new ArrayList<>();
-        try (MvStepJournal journal = new MvStepJournal(file, WINDOW, wall::get)) {
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get)) {
             journal.restore((age, tenant, key, digest, count, step, answer) -> steps.add(tenant
                     + key
                     + digest
@@ -45,11 +45,11 @@
     }
 
     @Test
-    void whatWasSaidToBeKeptACrashLeaves() throws Exception {
+    void acknowledgedStep_survivesCrash() throws Exception {
         Path file = folder.resolve("deep/steps");
         List<Path> crashed = new CopyOnWriteArrayList<>();
         CountDownLatch kept = new CountDownLatch(100);
-        MvStepJournal journal = new MvStepJournal(file, WINDOW, wall::get);
+        MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get);
         try (journal) {
             for (int i = 0; i < 100; i++) {
                 int step = i;
@@ -87,7 +87,7 @@
     @Test
     void recordedStep_keepsItsFormOnDisk() throws Exception {
         Path file = folder.resolve("golden");
-        try (MvStepJournal journal = new MvStepJournal(file, WINDOW, wall::get)) {
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get)) {
             assertTrue(journal.recordStep("t", "k", "d", 2, 1, new Answer(new byte[] {7, 8}, "a/b"), () -> {}));
         }
         try (MVStore store = new MVStore.Builder().fileName(file.toString()).open()) {
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aDamagedFileIsSetAsideAndTheGatewayServes() throws Exception {
+    void damagedFile_isSetAsideAndReplaced() throws Exception {
         Path file = folder.resolve("steps");
         Files.write(file, "this is no store, whatever it was before".repeat(400).getBytes());
         assertEquals(List.of(), restored(file));
