--- a/gateway/src/test/java/wharfhinge/gateway/upstream/EndingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/upstream/EndingTest.java
@@ -51,6 +51,25 @@
         assertEquals(outcome, Ending.ANSWERED.outcome(status, code));
     }
 
+    /** The words go into the access log and {@code wh-reason}. */
+    @ParameterizedTest
+    @CsvSource({
+        "ANSWERED,answered",
+        "NOT_CONNECTED,not-connected",
+        "NOT_WRITTEN,not-written",
+        "WITHDRAWN,withdrawn",
+        "TOO_LATE,too-late",
+        "STREAM_REFUSED,stream-refused",
+        "GONE_AWAY,gone-away",
+        "STREAM_RESET,stream-reset",
+        "CONNECTION_LOST,connection-lost",
+        "TOO_LARGE,too-large",
+        "TIMED_OUT,timed-out"
+    })
+    void word_isThatOfTheProtocol(Ending ending, String word) {
+        assertEquals(word, ending.word());
+    }
+
     @Test
     void everyEndingIsInTheTable() {
         assertEquals(11, Ending.values().length);
