--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -35,7 +35,7 @@
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.gateway.tls.Tls;
 import wharfhinge.gateway.tls.Tokens;
-import wharfhinge.gateway.upstream.HttpWorkers;
+import wharfhinge.gateway.upstream.HttpWorkerTransport;
 
 /**
  * One gateway: its parts are wired here, started by {@link #start} and shut down by {@link #stop}. Gateways of a process
@@ -50,7 +50,7 @@
 
     private final GatewayConfig config;
     private final NettyResources netty = new NettyResources();
-    private final HttpWorkers workerTransport;
+    private final HttpWorkerTransport workerTransport;
     private final EndpointSource endpointSource;
     private final EndpointSnapshotFile endpointSnapshot;
     private final StepJournal journal;
@@ -86,7 +86,7 @@
             BiFunction<EventLoopGroup, Class<? extends Channel>, EndpointSource> sourceFactory)
             throws InterruptedException {
         this.config = config;
-        workerTransport = new HttpWorkers(config, netty.ioGroup(), netty.channelType(), System::nanoTime);
+        workerTransport = new HttpWorkerTransport(config, netty.ioGroup(), netty.channelType(), System::nanoTime);
         endpointSource = sourceFactory == null
                 ? new HttpEndpointSource(config, netty.ioGroup(), netty.channelType())
                 : sourceFactory.apply(netty.ioGroup(), netty.channelType());
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
@@ -20,7 +20,7 @@
 import wharfhinge.gateway.front.Intake;
 import wharfhinge.gateway.front.StatusPage;
 import wharfhinge.gateway.tls.Identity;
-import wharfhinge.gateway.upstream.HttpWorkers;
+import wharfhinge.gateway.upstream.HttpWorkerTransport;
 import wharfhinge.policy.DispatcherSettings;
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
@@ -72,7 +72,8 @@
 
     private void run() throws InterruptedException {
         List<WarmUpWorker> fleet = new ArrayList<>();
-        try (HttpWorkers transport = new HttpWorkers(config, netty.ioGroup(), netty.channelType(), System::nanoTime)) {
+        try (HttpWorkerTransport transport =
+                new HttpWorkerTransport(config, netty.ioGroup(), netty.channelType(), System::nanoTime)) {
             for (int i = 0; i < WORKERS; i++) {
                 fleet.add(new WarmUpWorker(netty));
             }
@@ -102,7 +103,7 @@
         engineThread.join(TimeUnit.SECONDS.toMillis(SHUTDOWN_TIMEOUT_SECONDS));
     }
 
-    private DispatchEngine newEngine(HttpWorkers transport) {
+    private DispatchEngine newEngine(HttpWorkerTransport transport) {
         return new DispatchEngine(
                 Gateway.engineSettings(config),
                 DispatcherFactory.CACHE_AWARE,
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
@@ -6,169 +6,189 @@
 import io.netty.handler.codec.http2.Http2Headers;
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
-import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import wharfhinge.engine.WorkerTransport;
-import wharfhinge.protocol.AnswerCode;
-import wharfhinge.protocol.CopyNote;
-import wharfhinge.protocol.LoadReport;
+import wharfhinge.policy.Outcome;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** One request to a worker and its answer; lives on its pool's event loop once begun. */
+/**
+ * One request to a worker and its response. Confined to its pool's event loop once started; owns the request's body until it
+ * is sent and the response's until it is handed on.
+ */
 final class Exchange {
-    final Http2Headers request;
-    final boolean streams;
+    private static final int MAX_COMPONENTS = 256;
+
+    private final Http2Headers request;
     private final LongSupplier nanoTime;
-    private final long began;
-    private final Consumer<WorkerTransport.ExchangeResult> ended;
-    private final Consumer<WorkerStream> streamBegan;
-    private final BooleanSupplier clientGone;
+    private final long startedAt;
+    private final Consumer<WorkerTransport.ExchangeResult> onCompleted;
+    private final Consumer<WorkerResponseStream> onStreamStarted; // null where the response is not streamed
+    private final BooleanSupplier clientCancelled;
     private ByteBuf body;
-    private boolean done;
-    private long giveUpAt;
-    private boolean bounded; // giveUpAt counts
-    private int status;
-    private Http2Headers head;
-    private CompositeByteBuf answer;
-    WorkerConnection connection;
-    Http2FrameStream stream;
-    WorkerStream workerStream;
-    Future<?> timeout;
-
-    /** Takes over {@code body}, which may be null; {@code streamBegan} may be null where nothing streams. */
+    private boolean completed;
+    private long deadlineAt;
+    private boolean hasDeadline;
+    private WorkerResponseHead responseHead = WorkerResponseHead.NONE;
+    private CompositeByteBuf responseBody;
+    private WorkerConnection connection; // null until it is sent, as is the stream
+    private Http2FrameStream stream;
+    private WorkerResponseStream responseStream; // null unless a streamed response has started
+    private Future<?> timeout;
+
+    /** Takes ownership of {@code body}, which may be null; {@code onStreamStarted} is null where nothing streams. */
     Exchange(
             Http2Headers request,
             ByteBuf body,
             LongSupplier nanoTime,
-            Consumer<WorkerTransport.ExchangeResult> ended,
-            Consumer<WorkerStream> streamBegan,
-            BooleanSupplier clientGone) {
+            Consumer<WorkerTransport.ExchangeResult> onCompleted,
+            Consumer<WorkerResponseStream> onStreamStarted,
+            BooleanSupplier clientCancelled) {
         this.request = request;
         this.body = body;
         this.nanoTime = nanoTime;
-        this.began = nanoTime.getAsLong();
-        this.ended = ended;
-        this.streams = streamBegan != null;
-        this.streamBegan = streamBegan;
-        this.clientGone = clientGone;
+        this.startedAt = nanoTime.getAsLong();
+        this.onCompleted = onCompleted;
+        this.onStreamStarted = onStreamStarted;
+        this.clientCancelled = clientCancelled;
+    }
+
+    /** A request without a body, for no client: a probe, a load or an unload. */
+    static Exchange control(
+            Http2Headers request, LongSupplier nanoTime, Consumer<WorkerTransport.ExchangeResult> onCompleted) {
+        return new Exchange(request, null, nanoTime, onCompleted, null, () -> false);
+    }
+
+    Http2Headers request() {
+        return request;
     }
 
     /** Whether there is nobody left to send it for. */
-    boolean unwanted() {
-        return clientGone.getAsBoolean();
+    boolean isClientCancelled() {
+        return clientCancelled.getAsBoolean();
     }
 
-    /** The gateway stops waiting at that reading of its clock; the worker is told what is left of it. */
-    void giveUpAt(long nanos) {
-        giveUpAt = nanos;
-        bounded = true;
+    boolean isCompleted() {
+        return completed;
     }
 
-    /** Writes the time that is left into the request, which is about to go out; false where none is left. */
-    boolean stampDeadline() {
-        if (!bounded) {
+    /** When the gateway stops waiting, by its monotonic clock; the worker receives what is left of it. */
+    void setDeadline(long deadlineNanos) {
+        deadlineAt = deadlineNanos;
+        hasDeadline = true;
+    }
+
+    /** Writes the time that is left into the request, which is about to be sent; false where none is left. */
+    boolean writeRemainingDeadline() {
+        if (!hasDeadline) {
             return true;
         }
-        long leftNanos = giveUpAt - nanoTime.getAsLong();
+        long leftNanos = deadlineAt - nanoTime.getAsLong();
         request.setLong(WorkerProtocol.DEADLINE_MS, Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos)));
         return leftNanos > 0;
     }
 
-    boolean done() {
-        return done;
+    /** Is cancelled when the exchange ends. */
+    void setTimeout(Future<?> scheduled) {
+        timeout = scheduled;
+    }
+
+    /** It goes out on that stream. */
+    void onSent(WorkerConnection over, Http2FrameStream as) {
+        connection = over;
+        stream = as;
+    }
+
+    boolean isSent() {
+        return connection != null;
     }
 
-    /** The body, to be sent; the exchange holds it no longer. */
+    WorkerConnection connection() {
+        return connection;
+    }
+
+    Http2FrameStream stream() {
+        return stream;
+    }
+
+    /** Passes ownership of the body, which may be null, to the caller. */
     ByteBuf takeBody() {
         ByteBuf taken = body;
         body = null;
         return taken;
     }
 
-    void headers(Http2Headers headers) {
-        if (head == null) {
-            head = headers;
-            CharSequence text = headers.status();
-            status = text == null || text.length() != 3 ? 0 : Integer.parseInt(text.toString());
-        } // later ones are trailers, which the page has no use for
+    void onHeaders(Http2Headers headers) {
+        if (responseHead == WorkerResponseHead.NONE) {
+            responseHead = new WorkerResponseHead(headers);
+            responseHead.parseStatus();
+        } // later ones are trailers, which the protocol does not use
+    }
+
+    /** Whether the response that has started is to be passed on as it comes. */
+    boolean shouldStartStream() {
+        return onStreamStarted != null
+                && responseStream == null
+                && AttemptOutcomeMapping.RESPONSE_RECEIVED.outcome(responseHead.status(), responseHead.code())
+                        == Outcome.SERVED;
     }
 
-    /** Whether the answer that began is one to be handed on as it comes. */
-    boolean streamable() {
-        return streams
-                && workerStream == null
-                && Ending.ANSWERED.outcome(status, AnswerCode.of(head.get(WorkerProtocol.OUTCOME)))
-                        == wharfhinge.policy.Outcome.SERVED;
+    void startStream() {
+        responseStream = new WorkerResponseStream(this, responseHead.contentType());
+        onStreamStarted.accept(responseStream);
     }
 
-    void beginStream() {
-        workerStream = new WorkerStream(this, head.get("content-type"));
-        streamBegan.accept(workerStream);
+    /** The streamed response, or null. */
+    WorkerResponseStream responseStream() {
+        return responseStream;
     }
 
-    /** Keeps a part of the answer, taking it over; false where it is over the limit. */
-    boolean keep(ByteBuf part, int most) {
-        if (answer == null) {
-            answer = part.alloc().compositeBuffer(256);
+    /** Appends a part of the response, taking ownership; false where it is over the limit. */
+    boolean appendBody(ByteBuf part, int maxBytes) {
+        if (responseBody == null) {
+            responseBody = part.alloc().compositeBuffer(MAX_COMPONENTS);
         }
-        answer.addComponent(true, part);
-        return answer.readableBytes() <= most;
+        responseBody.addComponent(true, part);
+        return responseBody.readableBytes() <= maxBytes;
     }
 
-    /** Ends it; told once. */
-    void end(Ending ending) {
-        if (done) {
+    /** Ends it and reports the result; the first call counts. */
+    void complete(AttemptOutcomeMapping end) {
+        if (completed) {
             return;
         }
-        AnswerCode code = head == null ? null : AnswerCode.of(head.get(WorkerProtocol.OUTCOME));
-        CopyNote note = head == null ? CopyNote.NONE : CopyNote.of(head.get(WorkerProtocol.NOTE));
-        Map<String, Double> report = head == null ? Map.of() : LoadReport.parse(head.get(WorkerProtocol.REPORT));
-        ByteBuf whole = ending == Ending.ANSWERED ? answer : null;
-        if (whole != null) {
-            answer = null;
+        boolean responded = end == AttemptOutcomeMapping.RESPONSE_RECEIVED;
+        WorkerTransport.ExchangeResult result = new WorkerTransport.ExchangeResult(
+                end.outcome(responseHead.status(), responseHead.code()),
+                AttemptOutcomeMapping.cacheStatus(responseHead.note()),
+                responseHead.concurrentOnWorker(),
+                responseHead.loadReport(),
+                responseHead.loadedCopies(),
+                nanoTime.getAsLong() - startedAt,
+                responded ? responseBody : null,
+                responseHead.contentType(),
+                responded ? responseHead.reason() : end.word());
+        if (responded) {
+            responseBody = null; // the result owns it
         }
-        String how = ending != Ending.ANSWERED
-                ? ending.word()
-                : (code == null ? "status-" + status : code.word()) + (note == CopyNote.NONE ? "" : "/" + note.word());
-        close();
-        if (workerStream != null) {
-            workerStream.ended(ending == Ending.ANSWERED);
+        discard();
+        if (responseStream != null) {
+            responseStream.onEnd(responded);
         }
-        ended.accept(new WorkerTransport.ExchangeResult(
-                ending.outcome(status, code),
-                Ending.note(note),
-                number(WorkerProtocol.COMPANY),
-                report,
-                number(WorkerProtocol.COUNT),
-                nanoTime.getAsLong() - began,
-                whole,
-                head == null ? null : head.get("content-type"),
-                how));
-    }
-
-    /** Drops it without a word: it was cancelled. */
-    void close() {
-        done = true;
+        onCompleted.accept(result);
+    }
+
+    /** Ends it without a result: it was cancelled. All that it still owns is released here. */
+    void discard() {
+        completed = true;
         if (timeout != null) {
             timeout.cancel(false);
         }
         ReferenceCountUtil.release(body);
-        ReferenceCountUtil.release(answer);
+        ReferenceCountUtil.release(responseBody);
         body = null;
-        answer = null;
-    }
-
-    private int number(CharSequence name) {
-        CharSequence text = head == null ? null : head.get(name);
-        if (text == null
-                || text.length() == 0
-                || text.length() > 6
-                || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            return 0;
-        }
-        return Integer.parseInt(text.toString());
+        responseBody = null;
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnection.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnection.java
@@ -19,30 +19,31 @@
 import io.netty.handler.codec.http2.Http2HeadersFrame;
 import io.netty.handler.codec.http2.Http2ResetFrame;
 import io.netty.handler.codec.http2.Http2SettingsFrame;
+import io.netty.handler.codec.http2.Http2Stream;
 import io.netty.util.ReferenceCountUtil;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** One HTTP/2 connection to a worker: streams out, answers in. Lives on one event loop. */
+/** One HTTP/2 connection to a worker: a stream for each exchange. Confined to its pool's event loop. */
 final class WorkerConnection extends Http2ChannelDuplexHandler {
-    private static final int CONNECTION_WINDOW = 1 << 20;
+    private static final int CONNECTION_WINDOW_INCREMENT_BYTES = 1 << 20;
 
-    private final WorkerPool pool;
-    private final int mostStreams;
-    private final int mostAnswerBytes;
+    private final WorkerConnectionPool pool;
+    private final int maxStreams;
+    private final int maxResponseBytes;
     private final Map<Http2FrameStream, Exchange> open = new HashMap<>();
     private ChannelHandlerContext ctx;
-    private long remoteMostStreams = Long.MAX_VALUE;
+    private long remoteMaxStreams = Long.MAX_VALUE;
     private boolean established;
-    private boolean leaving;
+    private boolean goingAway;
     private long idleSince;
 
-    WorkerConnection(WorkerPool pool, int mostStreams, int mostAnswerBytes) {
+    WorkerConnection(WorkerConnectionPool pool, int maxStreams, int maxResponseBytes) {
         this.pool = pool;
-        this.mostStreams = mostStreams;
-        this.mostAnswerBytes = mostAnswerBytes;
+        this.maxStreams = maxStreams;
+        this.maxResponseBytes = maxResponseBytes;
     }
 
     @Override
@@ -51,18 +52,18 @@
         idleSince = System.nanoTime();
     }
 
-    boolean established() {
+    boolean isEstablished() {
         return established;
     }
 
-    boolean hasRoom() {
+    boolean hasCapacity() {
         return established
-                && !leaving
+                && !goingAway
                 && ctx.channel().isActive()
-                && open.size() < Math.min(mostStreams, remoteMostStreams);
+                && open.size() < Math.min(maxStreams, remoteMaxStreams);
     }
 
-    int load() {
+    int activeStreams() {
         return open.size();
     }
 
@@ -75,25 +76,24 @@
         ctx.close();
     }
 
-    void execute(Runnable what) {
-        ctx.executor().execute(what);
+    void execute(Runnable task) {
+        ctx.executor().execute(task);
     }
 
-    /** Sends an exchange; from here on only what the wire proves says that it never ran. */
+    /** Sends an exchange; from here on only the wire can prove that it was not executed. */
     void open(Exchange exchange) {
         Http2FrameStream stream = newStream();
-        exchange.connection = this;
-        exchange.stream = stream;
+        exchange.onSent(this, stream);
         open.put(stream, exchange);
         ByteBuf body = exchange.takeBody();
-        boolean bare = body == null || !body.isReadable();
-        ctx.write(new DefaultHttp2HeadersFrame(exchange.request, bare).stream(stream))
+        boolean isBodyEmpty = body == null || !body.isReadable();
+        ctx.write(new DefaultHttp2HeadersFrame(exchange.request(), isBodyEmpty).stream(stream))
                 .addListener(written -> {
                     if (!written.isSuccess()) {
-                        ended(exchange, Ending.NOT_WRITTEN);
+                        complete(exchange, AttemptOutcomeMapping.WRITE_FAILED);
                     }
                 });
-        if (bare) {
+        if (isBodyEmpty) {
             ReferenceCountUtil.release(body);
         } else {
             ctx.write(new DefaultHttp2DataFrame(body, true).stream(stream));
@@ -101,40 +101,40 @@
         ctx.flush();
     }
 
-    /** Resets the stream of an exchange that is not over. */
+    /** Resets the stream of an exchange that has not ended. */
     void cancel(Exchange exchange) {
-        if (open.containsKey(exchange.stream)) {
+        if (open.containsKey(exchange.stream())) {
             reset(exchange);
             remove(exchange);
         }
-        exchange.close();
+        exchange.discard();
     }
 
-    /** A streamed part went on its way: as much more may come. */
-    void taken(Exchange exchange, int bytes) {
-        if (open.containsKey(exchange.stream) && ctx.channel().isActive()) {
-            ctx.writeAndFlush(new DefaultHttp2WindowUpdateFrame(bytes).stream(exchange.stream));
+    /** A streamed part was passed on: the worker may send as much more. */
+    void onPartConsumed(Exchange exchange, int bytes) {
+        if (open.containsKey(exchange.stream()) && ctx.channel().isActive()) {
+            ctx.writeAndFlush(new DefaultHttp2WindowUpdateFrame(bytes).stream(exchange.stream()));
         }
     }
 
     private void reset(Exchange exchange) {
         if (ctx.channel().isActive()) {
-            ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL).stream(exchange.stream));
+            ctx.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL).stream(exchange.stream()));
         }
     }
 
     private void remove(Exchange exchange) {
-        open.remove(exchange.stream);
+        open.remove(exchange.stream());
         idleSince = System.nanoTime();
-        if (leaving && open.isEmpty()) {
+        if (goingAway && open.isEmpty()) {
             ctx.close();
         }
-        pool.roomMade();
+        pool.onStreamClosed();
     }
 
-    private void ended(Exchange exchange, Ending ending) {
-        if (open.containsKey(exchange.stream)) {
-            exchange.end(ending);
+    private void complete(Exchange exchange, AttemptOutcomeMapping end) {
+        if (open.containsKey(exchange.stream())) {
+            exchange.complete(end);
             remove(exchange);
         }
     }
@@ -143,87 +143,91 @@
     public void channelRead(ChannelHandlerContext context, Object message) throws Http2Exception {
         try {
             if (message instanceof Http2HeadersFrame frame) {
-                headers(frame);
+                onHeaders(frame);
             } else if (message instanceof Http2DataFrame frame) {
-                data(frame);
+                onData(frame);
             } else if (message instanceof Http2ResetFrame frame) {
-                Exchange exchange = open.get(frame.stream());
-                if (exchange != null) {
-                    ended(
-                            exchange,
-                            frame.errorCode() == Http2Error.REFUSED_STREAM.code()
-                                    ? Ending.STREAM_REFUSED
-                                    : Ending.STREAM_RESET);
-                }
+                onReset(frame);
             } else if (message instanceof Http2GoAwayFrame frame) {
-                goAway(frame.lastStreamId());
+                onGoAway(frame.lastStreamId());
             } else if (message instanceof Http2SettingsFrame frame) {
-                settings(frame);
+                onSettings(frame);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void headers(Http2HeadersFrame frame) {
+    private void onHeaders(Http2HeadersFrame frame) {
         Exchange exchange = open.get(frame.stream());
         if (exchange == null) {
             return;
         }
-        exchange.headers(frame.headers());
+        exchange.onHeaders(frame.headers());
         if (frame.isEndStream()) {
-            ended(exchange, Ending.ANSWERED);
-        } else if (exchange.streamable()) {
-            exchange.beginStream();
+            complete(exchange, AttemptOutcomeMapping.RESPONSE_RECEIVED);
+        } else if (exchange.shouldStartStream()) {
+            exchange.startStream();
         }
     }
 
-    private void data(Http2DataFrame frame) {
+    private void onData(Http2DataFrame frame) {
         Exchange exchange = open.get(frame.stream());
         int bytes = frame.initialFlowControlledBytes();
-        if (exchange != null && exchange.workerStream != null) {
-            exchange.workerStream.data(frame.content().retain());
+        if (exchange != null && exchange.responseStream() != null) {
+            exchange.responseStream().onData(frame.content().retain());
             int padding = bytes - frame.content().readableBytes();
             if (padding > 0) {
-                taken(exchange, padding);
+                onPartConsumed(exchange, padding);
             }
         } else {
             // also for streams no longer known: the connection's window must not shrink
             ctx.write(new DefaultHttp2WindowUpdateFrame(bytes).stream(frame.stream()));
-            if (exchange != null && !exchange.keep(frame.content().retain(), mostAnswerBytes)) {
+            if (exchange != null && !exchange.appendBody(frame.content().retain(), maxResponseBytes)) {
                 reset(exchange);
-                ended(exchange, Ending.TOO_LARGE);
+                complete(exchange, AttemptOutcomeMapping.RESPONSE_TOO_LARGE);
                 return;
             }
         }
         if (exchange != null && frame.isEndStream()) {
-            ended(exchange, Ending.ANSWERED);
+            complete(exchange, AttemptOutcomeMapping.RESPONSE_RECEIVED);
         }
     }
 
-    private void goAway(int lastStream) {
-        leaving = true;
+    private void onReset(Http2ResetFrame frame) {
+        Exchange exchange = open.get(frame.stream());
+        if (exchange != null) {
+            boolean refused = frame.errorCode() == Http2Error.REFUSED_STREAM.code();
+            complete(exchange, refused ? AttemptOutcomeMapping.STREAM_REFUSED : AttemptOutcomeMapping.STREAM_RESET);
+        }
+    }
+
+    private void onGoAway(int lastStream) {
+        goingAway = true;
         for (Exchange exchange : List.copyOf(open.values())) {
-            if (exchange.stream.id() > lastStream) {
-                ended(exchange, Ending.GONE_AWAY);
+            if (exchange.stream().id() > lastStream) {
+                complete(exchange, AttemptOutcomeMapping.GOAWAY_RECEIVED);
             }
         }
         if (open.isEmpty()) {
             ctx.close();
         }
-        pool.roomMade();
+        pool.onStreamClosed();
     }
 
-    private void settings(Http2SettingsFrame frame) throws Http2Exception {
-        Long most = frame.settings().maxConcurrentStreams();
-        remoteMostStreams = most == null ? remoteMostStreams : most;
+    private void onSettings(Http2SettingsFrame frame) throws Http2Exception {
+        Long announced = frame.settings().maxConcurrentStreams();
+        remoteMaxStreams = announced == null ? remoteMaxStreams : announced;
         if (!established) {
             established = true;
             Http2Connection connection =
                     ctx.pipeline().get(Http2FrameCodec.class).connection();
-            connection.local().flowController().incrementWindowSize(connection.connectionStream(), CONNECTION_WINDOW);
+            connection
+                    .local()
+                    .flowController()
+                    .incrementWindowSize(connection.connectionStream(), CONNECTION_WINDOW_INCREMENT_BYTES);
             ctx.flush();
-            pool.established();
+            pool.onConnectionEstablished();
         }
     }
 
@@ -231,9 +235,9 @@
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof Http2FrameStreamEvent change && change.type() == Http2FrameStreamEvent.Type.State) {
             Exchange exchange = open.get(change.stream());
-            if (exchange != null && change.stream().state() == io.netty.handler.codec.http2.Http2Stream.State.CLOSED) {
-                // the frame that closed it is handed on after this event; what still is open then has lost its stream
-                execute(() -> ended(exchange, Ending.STREAM_RESET));
+            if (exchange != null && change.stream().state() == Http2Stream.State.CLOSED) {
+                // the frame that closed it arrives after this event; an exchange still open then has lost its stream
+                execute(() -> complete(exchange, AttemptOutcomeMapping.STREAM_RESET));
             }
         }
     }
@@ -246,9 +250,9 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         for (Exchange exchange : new ArrayList<>(open.values())) {
-            ended(exchange, Ending.CONNECTION_LOST);
+            complete(exchange, AttemptOutcomeMapping.CONNECTION_LOST);
         }
-        pool.lost(this);
+        pool.onConnectionClosed(this);
     }
 
     @Override
@@ -257,10 +261,10 @@
             Exchange exchange = open.get(e.stream());
             if (exchange != null) {
                 reset(exchange);
-                ended(exchange, Ending.STREAM_RESET);
+                complete(exchange, AttemptOutcomeMapping.STREAM_RESET);
             }
             return;
         }
-        context.close(); // what is open ends as lost
+        context.close(); // open exchanges end as CONNECTION_LOST
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/upstream/EndingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/upstream/AttemptOutcomeMappingTest.java
@@ -11,26 +11,27 @@
 import wharfhinge.protocol.AnswerCode;
 
 /** The table of what the wire shows and what it proves. */
-class EndingTest {
-    private static final Set<Outcome> NEVER_RAN =
+class AttemptOutcomeMappingTest {
+    private static final Set<Outcome> PROVE_NOT_EXECUTED =
             EnumSet.of(Outcome.SATURATED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED, Outcome.NOT_LOADED);
 
     @ParameterizedTest
     @CsvSource({
-        "NOT_CONNECTED,CONNECT_FAILED",
-        "NOT_WRITTEN,CONNECT_FAILED",
+        "CONNECT_FAILED,CONNECT_FAILED",
+        "WRITE_FAILED,CONNECT_FAILED",
         "STREAM_REFUSED,SATURATED",
-        "GONE_AWAY,SATURATED",
+        "GOAWAY_RECEIVED,SATURATED",
         "STREAM_RESET,RESET",
         "CONNECTION_LOST,RESET",
-        "TOO_LARGE,ERROR",
+        "RESPONSE_TOO_LARGE,ERROR",
         "TIMED_OUT,TIMEOUT",
-        "WITHDRAWN,CANCELLED",
-        "TOO_LATE,SUPERSEDED"
+        "CANCELLED_UNSENT,CANCELLED",
+        "DEADLINE_EXCEEDED_UNSENT,SUPERSEDED"
     })
-    void eachEndingHasOneOutcome(Ending ending, Outcome outcome) {
-        assertEquals(outcome, ending.outcome(0, null));
-        assertEquals(NEVER_RAN.contains(outcome), ending.provesUnrun(), "an outcome that proves must be proven");
+    void exchangeEnd_mapsToOneOutcome(AttemptOutcomeMapping end, Outcome outcome) {
+        assertEquals(outcome, end.outcome(0, null));
+        assertEquals(
+                PROVE_NOT_EXECUTED.contains(outcome), end.provesNotExecuted(), "an outcome that proves must be proven");
     }
 
     @ParameterizedTest
@@ -47,31 +48,31 @@
         "500,ERROR,ERROR",
         "200,MISS,NOT_LOADED"
     })
-    void anAnswersWordsDecideAndWithoutThemNothingIsProven(int status, AnswerCode code, Outcome outcome) {
-        assertEquals(outcome, Ending.ANSWERED.outcome(status, code));
+    void response_isMappedByItsHeadersElseByItsStatus(int status, AnswerCode code, Outcome outcome) {
+        assertEquals(outcome, AttemptOutcomeMapping.RESPONSE_RECEIVED.outcome(status, code));
     }
 
     /** The words go into the access log and {@code wh-reason}. */
     @ParameterizedTest
     @CsvSource({
-        "ANSWERED,answered",
-        "NOT_CONNECTED,not-connected",
-        "NOT_WRITTEN,not-written",
-        "WITHDRAWN,withdrawn",
-        "TOO_LATE,too-late",
+        "RESPONSE_RECEIVED,answered",
+        "CONNECT_FAILED,not-connected",
+        "WRITE_FAILED,not-written",
+        "CANCELLED_UNSENT,withdrawn",
+        "DEADLINE_EXCEEDED_UNSENT,too-late",
         "STREAM_REFUSED,stream-refused",
-        "GONE_AWAY,gone-away",
+        "GOAWAY_RECEIVED,gone-away",
         "STREAM_RESET,stream-reset",
         "CONNECTION_LOST,connection-lost",
-        "TOO_LARGE,too-large",
+        "RESPONSE_TOO_LARGE,too-large",
         "TIMED_OUT,timed-out"
     })
-    void word_isThatOfTheProtocol(Ending ending, String word) {
-        assertEquals(word, ending.word());
+    void word_isThatOfTheProtocol(AttemptOutcomeMapping end, String word) {
+        assertEquals(word, end.word());
     }
 
     @Test
-    void everyEndingIsInTheTable() {
-        assertEquals(11, Ending.values().length);
+    void allExchangeEnds_areInTheTable() {
+        assertEquals(11, AttemptOutcomeMapping.values().length);
     }
 }
