--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -28,8 +28,8 @@
 import wharfhinge.engine.StepJournal;
 import wharfhinge.gateway.discovery.EndpointSnapshotFile;
 import wharfhinge.gateway.discovery.HttpEndpointSource;
-import wharfhinge.gateway.front.Front;
-import wharfhinge.gateway.front.Intake;
+import wharfhinge.gateway.front.CallIngress;
+import wharfhinge.gateway.front.ClientListener;
 import wharfhinge.gateway.front.StatusPage;
 import wharfhinge.gateway.grpc.GrpcFront;
 import wharfhinge.gateway.tls.Identity;
@@ -60,7 +60,7 @@
     private final Thread engineThread;
     private final UdpPeerTransport peers; // null where none are set
     private final Tls tls; // null where calls come in the clear
-    private final Front clientListener;
+    private final ClientListener clientListener;
     private final GrpcFront grpcListener; // null where none is set
     private final ReentrantLock lifecycleLock = new ReentrantLock();
     private final AtomicBoolean stopping = new AtomicBoolean();
@@ -113,8 +113,8 @@
         }
         tls = openTls(config.tls());
         SslContext sslContext = tls == null ? null : tls.context();
-        Intake intake = new Intake(config, engine, newIdentity(config.proof()));
-        clientListener = new Front(config, intake, new StatusPage(this::metrics), sslContext);
+        CallIngress intake = new CallIngress(config, engine, newIdentity(config.proof()));
+        clientListener = new ClientListener(config, intake, new StatusPage(this::metrics), sslContext);
         grpcListener = config.grpc() == null
                 ? null
                 : new GrpcFront(
@@ -258,7 +258,8 @@
         putWithDeprecatedKey(metrics, "warm_up_ms", "rehearsed_ms", warmUpResult.durationMillis());
         metrics.put("open_calls", (long) engine.pendingCalls());
         metrics.put("connections", (long) clientListener.connections());
-        putWithDeprecatedKey(metrics, "connections_rejected", "connections_turned_away", clientListener.turnedAway());
+        putWithDeprecatedKey(
+                metrics, "connections_rejected", "connections_turned_away", clientListener.rejectedConnections());
         putWithDeprecatedKey(metrics, "diagnostics_dropped", "remarks_dropped", accessLog.dropped());
         if (recording != null) {
             recording.addMetricsTo(metrics);
@@ -299,7 +300,7 @@
 
     private int shutDown() throws InterruptedException {
         LOG.info("gateway {}: shutting down, {} calls in flight", config.name(), engine.pendingCalls());
-        clientListener.finish(); // first: clients go elsewhere, and what they already sent is still accepted
+        clientListener.startDraining(); // first: clients go elsewhere, and what they already sent is still accepted
         if (grpcListener != null) {
             grpcListener.finish();
         }
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
@@ -16,8 +16,8 @@
 import wharfhinge.engine.EndpointUpdate;
 import wharfhinge.engine.PeerTransport;
 import wharfhinge.engine.StepJournal;
-import wharfhinge.gateway.front.Front;
-import wharfhinge.gateway.front.Intake;
+import wharfhinge.gateway.front.CallIngress;
+import wharfhinge.gateway.front.ClientListener;
 import wharfhinge.gateway.front.StatusPage;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.gateway.upstream.HttpWorkerTransport;
@@ -88,11 +88,11 @@
         engineThread.setDaemon(true);
         engineThread.start();
         engine.onEndpointUpdate(new EndpointUpdate(EndpointUpdateMode.FULL, 1, endpoints(fleet)));
-        Intake intake = new Intake(config, engine, new Identity(null, false));
-        Front listener = new Front(config, intake, new StatusPage(Map::of), null);
+        CallIngress intake = new CallIngress(config, engine, new Identity(null, false));
+        ClientListener listener = new ClientListener(config, intake, new StatusPage(Map::of), null);
         InetSocketAddress address = listener.listen(netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
         new WarmUpClients(config.settings().classes(), address.getPort(), progress).run();
-        listener.finish();
+        listener.startDraining();
         try {
             engine.shutdown(0).get(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
--- a/gateway/src/main/java/wharfhinge/gateway/front/ChainJson.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
@@ -21,7 +21,6 @@
 import java.util.Base64;
 import java.util.HexFormat;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
@@ -35,20 +34,20 @@
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 
-/** Reads chains and writes their answers; chain.schema.json has the form. Used by any thread. */
-public final class ChainJson {
-    private static final long MS = 1_000_000L;
-    private static final int MOST_NESTING = 16;
+/** Reads chains and writes their answers as JSON; chain.schema.json has the form. Thread-safe. */
+public final class ChainJsonCodec {
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final int MAX_NESTING = 16;
     private static final ObjectMapper MAPPER = JsonMapper.builder(com.fasterxml.jackson.core.JsonFactory.builder()
                     .streamReadConstraints(StreamReadConstraints.builder()
-                            .maxNestingDepth(MOST_NESTING)
+                            .maxNestingDepth(MAX_NESTING)
                             .build())
                     .build())
             .enable(com.fasterxml.jackson.databind.DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
             .enable(com.fasterxml.jackson.databind.DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .build();
     private static final JsonSchema SCHEMA = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
-            .getSchema(ChainJson.class.getResourceAsStream("chain.schema.json"));
+            .getSchema(ChainJsonCodec.class.getResourceAsStream("chain.schema.json"));
 
     private static final String SAMPLE_CHAIN =
             """
@@ -58,13 +57,13 @@
             """;
 
     private final Map<String, RequestClass> classes;
-    private final RequestClass only;
+    private final RequestClass defaultClass;
     private final ChainConfig config;
 
     /** Reads chains of these classes, whose steps are of {@code only} where they name none; null where they must. */
-    public ChainJson(Map<String, RequestClass> classes, RequestClass only, ChainConfig config) {
+    public ChainJsonCodec(Map<String, RequestClass> classes, RequestClass defaultClass, ChainConfig config) {
         this.classes = classes;
-        this.only = only;
+        this.defaultClass = defaultClass;
         this.config = config;
         loadCodecClasses();
     }
@@ -83,28 +82,28 @@
                 parse(SAMPLE_CHAIN.getBytes(StandardCharsets.UTF_8));
                 write(plan, end, List.of(answer));
             }
-        } catch (BadChainException | InvalidPlanException e) {
+        } catch (InvalidChainException | InvalidPlanException e) {
             throw new IllegalStateException("the sample chain is rejected", e);
         }
     }
 
-    /** A chain that is not one; the message has a line for each thing that is wrong, with its place. */
-    public static final class BadChainException extends Exception {
+    /** A chain is invalid; the message has a line for each fault, with its place. */
+    public static final class InvalidChainException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        BadChainException(String message) {
+        InvalidChainException(String message) {
             super(message);
         }
     }
 
     /** Reads a chain. */
     public ChainCall read(byte[] body, String gatewayId, long receivedAt, ChainCall.Listener listener)
-            throws BadChainException {
+            throws InvalidChainException {
         JsonNode root = parse(body);
         String tenant = text(root, "tenant", null);
         String id = text(root, "id", gatewayId);
-        long deadlineNanos = root.path("deadline_ms").asLong(0) * MS;
-        Steps steps = new Steps(id, tenant);
+        long deadlineNanos = root.path("deadline_ms").asLong(0) * NANOS_PER_MILLI;
+        StepReader steps = new StepReader(id, tenant);
         if (root.has("chain")) {
             ChainConfig.Named named = named(root.get("chain").asText());
             deadlineNanos = deadlineNanos == 0 ? named.aimNanos() : deadlineNanos;
@@ -124,26 +123,26 @@
                     digest(steps.heads, steps.inputs, root),
                     deadlineNanos == 0 ? config.giveUpNanos() : Math.min(deadlineNanos, config.giveUpNanos()),
                     receivedAt,
-                    ChainJson::join,
+                    ChainJsonCodec::join,
                     listener);
         } catch (InvalidPlanException e) {
-            throw new BadChainException("$." + e.getMessage());
+            throw new InvalidChainException("$." + e.getMessage());
         }
     }
 
-    private static JsonNode parse(byte[] body) throws BadChainException {
+    private static JsonNode parse(byte[] body) throws InvalidChainException {
         JsonNode root;
         try {
             root = MAPPER.readTree(body);
         } catch (JsonProcessingException e) {
-            throw new BadChainException("body, line "
+            throw new InvalidChainException("body, line "
                     + (e.getLocation() == null ? 0 : e.getLocation().getLineNr()) + ": " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new BadChainException("body: " + e.getMessage());
+            throw new InvalidChainException("body: " + e.getMessage());
         }
         Set<ValidationMessage> faults = SCHEMA.validate(root);
         if (!faults.isEmpty()) {
-            throw new BadChainException(faults.stream()
+            throw new InvalidChainException(faults.stream()
                     .map(f -> f.getInstanceLocation() + ": " + f.getMessage().replaceFirst("^[^:]*: ", ""))
                     .sorted()
                     .collect(Collectors.joining("\n")));
@@ -151,75 +150,76 @@
         return root;
     }
 
-    private ChainConfig.Named named(String name) throws BadChainException {
+    private ChainConfig.Named named(String name) throws InvalidChainException {
         ChainConfig.Named named = config.named().get(name);
         if (named == null) {
-            throw new BadChainException("$.chain: found '" + name + "', allowed: one of "
+            throw new InvalidChainException("$.chain: found '" + name + "', allowed: one of "
                     + config.named().keySet());
         }
         return named;
     }
 
-    /** The steps of one chain as they are read: what each sends, what it takes in, and its place in the plan. */
-    private final class Steps {
+    /** Collects the steps of one chain as they are read: request heads, inputs, and the plan. */
+    private final class StepReader {
         private final String chainId;
         private final String tenant;
         private final List<CallHead> heads = new ArrayList<>();
         private final List<List<String>> inputs = new ArrayList<>();
         private final List<ChainPlan.Step> plan = new ArrayList<>();
 
-        Steps(String chainId, String tenant) {
+        StepReader(String chainId, String tenant) {
             this.chainId = chainId;
             this.tenant = tenant;
         }
 
         /** A step of a chain that the settings name. */
-        void add(ChainConfig.NamedStep s) {
+        void add(ChainConfig.NamedStep step) {
             CallHead head = new CallHead(
-                    s.function(),
-                    chainId + '.' + s.id(),
-                    s.requestClass(),
+                    step.function(),
+                    chainId + '.' + step.id(),
+                    step.requestClass(),
                     tenant,
                     0,
-                    s.costUs(),
-                    s.memoryMb(),
-                    s.lanes(),
-                    s.loadMillis(),
+                    step.costUs(),
+                    step.memoryMb(),
+                    step.lanes(),
+                    step.loadMillis(),
                     false,
                     false);
-            add(head, s.id(), s.input());
+            add(head, step.id(), step.input());
         }
 
         /** The steps that a client wrote out. */
-        void addAll(JsonNode steps) throws BadChainException {
+        void addAll(JsonNode steps) throws InvalidChainException {
             int index = 0;
-            for (JsonNode s : steps) {
-                addWritten(s, index++);
+            for (JsonNode step : steps) {
+                addWritten(step, index++);
             }
         }
 
-        private void addWritten(JsonNode s, int index) throws BadChainException {
-            String type = text(s, "class", only == null ? null : only.name());
-            if (!classes.containsKey(type) || classes.get(type).streaming()) {
-                throw new BadChainException("$.steps[" + index + "].class: found "
-                        + (type == null ? "nothing" : "'" + type + "'") + ", allowed: one of " + classes.keySet()
+        private void addWritten(JsonNode step, int index) throws InvalidChainException {
+            String requestClass = text(step, "class", defaultClass == null ? null : defaultClass.name());
+            if (!classes.containsKey(requestClass) || classes.get(requestClass).streaming()) {
+                throw new InvalidChainException("$.steps[" + index + "].class: found "
+                        + (requestClass == null ? "nothing" : "'" + requestClass + "'") + ", allowed: one of "
+                        + classes.keySet()
                         + " that does not stream");
             }
             List<String> input = new ArrayList<>();
-            s.path("input").forEach(name -> input.add(name.asText()));
+            step.path("input").forEach(name -> input.add(name.asText()));
             CallHead head = new CallHead(
-                    s.get("function").asText(),
-                    chainId + '.' + s.get("id").asText(),
-                    type,
+                    step.get("function").asText(),
+                    chainId + '.' + step.get("id").asText(),
+                    requestClass,
                     tenant,
                     0,
-                    s.path("cost_us").asLong(0),
-                    s.path("memory_mb").asDouble(0),
-                    s.path("lanes").asInt(0),
-                    s.path("load_ms").asDouble(0),
+                    step.path("cost_us").asLong(0),
+                    step.path("memory_mb").asDouble(0),
+                    step.path("lanes").asInt(0),
+                    step.path("load_ms").asDouble(0),
                     false,
-                    s.path("write").asBoolean(false));
-            add(head, s.get("id").asText(), input.isEmpty() ? List.of(ChainCall.CLIENT) : input);
+                    step.path("write").asBoolean(false));
+            add(head, step.get("id").asText(), input.isEmpty() ? List.of(ChainCall.CLIENT) : input);
         }
 
         private void add(CallHead head, String id, List<String> input) {
@@ -234,38 +234,38 @@
                             .filter(name -> !name.equals(ChainCall.CLIENT))
                             .toList(),
                     head.costUs() * 1000,
-                    (long) (head.loadMillis() * MS)));
+                    (long) (head.loadMillis() * NANOS_PER_MILLI)));
         }
     }
 
-    private static String text(JsonNode node, String name, String otherwise) {
-        return node.has(name) ? node.get(name).asText() : otherwise;
+    private static String text(JsonNode node, String name, String defaultText) {
+        return node.has(name) ? node.get(name).asText() : defaultText;
     }
 
-    /** Names what a key stands for: functions, classes, graph and input, not ids or deadlines, which a retry changes. */
+    /** Identifies what an idempotency key stands for: functions, classes, graph and input, not ids or deadlines, which a retry changes. */
     private static String digest(List<CallHead> heads, List<List<String>> inputs, JsonNode root) {
         try {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
+            MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
             for (int i = 0; i < heads.size(); i++) {
-                CallHead h = heads.get(i);
-                String step = h.id().substring(h.id().indexOf('.'))
+                CallHead head = heads.get(i);
+                String step = head.id().substring(head.id().indexOf('.'))
                         + '\n'
-                        + h.function()
+                        + head.function()
                         + '\n'
-                        + h.requestClass()
+                        + head.requestClass()
                         + '\n'
                         + inputs.get(i)
                         + '\n';
-                sha.update(step.getBytes(StandardCharsets.UTF_8));
+                sha256.update(step.getBytes(StandardCharsets.UTF_8));
             }
-            sha.update(text(root, "input", "").getBytes(StandardCharsets.UTF_8));
-            return HexFormat.of().formatHex(sha.digest(), 0, 16);
+            sha256.update(text(root, "input", "").getBytes(StandardCharsets.UTF_8));
+            return HexFormat.of().formatHex(sha256.digest(), 0, 16);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e); // every JDK has it
         }
     }
 
-    /** Several parts become one JSON object, by their names. */
+    /** Joins several parts to one JSON object, by their names. */
     static byte[] join(List<String> names, List<byte[]> parts) {
         ObjectNode object = MAPPER.createObjectNode();
         for (int i = 0; i < names.size(); i++) {
@@ -278,7 +278,7 @@
         }
     }
 
-    /** Text as it is; bytes that are none in Base64, under a name that says so. */
+    /** Text as it is; bytes that are not UTF-8 in Base64, under a name that says so. */
     private static void put(ObjectNode object, String name, byte[] bytes) {
         try {
             object.put(
@@ -292,17 +292,17 @@
         }
     }
 
-    /** Writes an answer; outputs are those of the steps that no other waits for. */
+    /** Writes an answer; outputs are those of the steps that no other depends on. */
     public static byte[] write(ChainPlan plan, ChainEnd end, List<StepAnswer> answers) {
         ObjectNode root = MAPPER.createObjectNode();
-        root.put("answer", end.kind().name().toLowerCase(Locale.ROOT));
+        root.put("answer", word(end.kind()));
         root.put("reason", end.reason());
         ArrayNode steps = root.putArray("steps");
         for (int i = 0; i < end.steps().size(); i++) {
             ObjectNode step = steps.addObject();
             String id = plan.steps().get(i).id();
             step.put("id", id);
-            step.put("state", end.steps().get(i).name().toLowerCase(Locale.ROOT).replace('_', '-'));
+            step.put("state", word(end.steps().get(i)));
             StepAnswer answer = answers.get(i);
             if (answer != null && answer.worker() != null) {
                 step.put("worker", answer.worker());
@@ -322,4 +322,22 @@
             throw new IllegalStateException(e);
         }
     }
+
+    private static String word(ChainEnd.Kind kind) {
+        return switch (kind) {
+            case SERVED -> "served";
+            case REFUSED -> "refused";
+            case FAILED -> "failed";
+        };
+    }
+
+    private static String word(ChainEnd.StepState state) {
+        return switch (state) {
+            case NOT_STARTED -> "not-started";
+            case RUNNING -> "running";
+            case SERVED -> "served";
+            case REFUSED -> "refused";
+            case MAY_HAVE_RUN -> "may-have-run";
+        };
+    }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/front/Front.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ClientListener.java
@@ -30,30 +30,33 @@
 import java.util.concurrent.atomic.LongAdder;
 import wharfhinge.config.GatewayConfig;
 
-/** The clients' side: HTTP/1.1 and HTTP/2 on one port, in the clear or over TLS. */
-public final class Front {
-    private static final int FIRST_LINE = 4096;
-    private static final int STREAMS = 1000;
-    private static final long TAKE_OVER_NS = TimeUnit.SECONDS.toNanos(5);
+/**
+ * Listens for clients: HTTP/1.1 and HTTP/2 on one port, in the clear or over TLS. Connections are spread over the I/O group;
+ * the public methods may be called by any thread and may block.
+ */
+public final class ClientListener {
+    private static final int MAX_REQUEST_LINE_BYTES = 4096;
+    private static final int MAX_CONCURRENT_STREAMS = 1000;
+    private static final long TAKEOVER_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final GatewayConfig config;
-    private final Intake intake;
-    private final StatusPage status;
+    private final CallIngress ingress;
+    private final StatusPage statusPage;
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicInteger connections = new AtomicInteger();
-    private final LongAdder turnedAway = new LongAdder();
-    private final SslContext tls; // null without
+    private final LongAdder rejectedConnections = new LongAdder();
+    private final SslContext sslContext; // null in the clear
     private Channel listening;
 
-    /** {@code tls} is null where calls come in the clear. */
-    public Front(GatewayConfig config, Intake intake, StatusPage status, SslContext tls) {
+    /** {@code sslContext} is null where calls come in the clear. */
+    public ClientListener(GatewayConfig config, CallIngress ingress, StatusPage statusPage, SslContext sslContext) {
         this.config = config;
-        this.intake = intake;
-        this.status = status;
-        this.tls = tls;
+        this.ingress = ingress;
+        this.statusPage = statusPage;
+        this.sslContext = sslContext;
     }
 
-    /** Begins to listen; the address tells the port where any was asked for. */
+    /** Binds the port of the settings; the address has the actual one where that is 0. */
     public InetSocketAddress listen(EventLoopGroup acceptor, EventLoopGroup group, Class<? extends ServerChannel> type)
             throws InterruptedException {
         ServerBootstrap bootstrap = new ServerBootstrap()
@@ -65,64 +68,64 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        onAccepted(channel);
                     }
                 });
         if (config.clients().reusePort() && EpollServerSocketChannel.class.isAssignableFrom(type)) {
-            bootstrap.option(EpollChannelOption.SO_REUSEPORT, true); // beside the process that this one takes over from
+            bootstrap.option(EpollChannelOption.SO_REUSEPORT, true); // shared with the process that this one replaces
         }
-        listening = Binding.within(
-                config.clients().reusePort() ? config.clients().stopWithinNanos() + TAKE_OVER_NS : 0,
+        listening = PortBinding.bindWithin(
+                config.clients().reusePort() ? config.clients().stopWithinNanos() + TAKEOVER_MARGIN_NANOS : 0,
                 () -> bootstrap.bind(
                         config.clients().address(), config.clients().port()));
         return (InetSocketAddress) listening.localAddress();
     }
 
-    /** Connections that stand. */
+    /** Connections now. */
     public int connections() {
         return connections.get();
     }
 
-    /** Connections closed at once since there were too many. */
-    public long turnedAway() {
-        return turnedAway.sum();
+    /** Connections closed at once because there were too many. */
+    public long rejectedConnections() {
+        return rejectedConnections.sum();
     }
 
-    private void accepted(Channel channel) {
+    private void onAccepted(Channel channel) {
         int now = connections.incrementAndGet();
         channel.closeFuture().addListener(closed -> connections.decrementAndGet());
         if (now > config.clients().maxConnections()) {
-            turnedAway.increment();
+            rejectedConnections.increment();
             channel.close();
             return;
         }
         channels.add(channel);
-        if (tls != null) {
-            channel.pipeline().addLast(tls.newHandler(channel.alloc()), new Handshakes());
+        if (sslContext != null) {
+            channel.pipeline().addLast(sslContext.newHandler(channel.alloc()), new TlsHandshakeHandler());
         }
         channel.pipeline()
                 .addLast(
                         new IdleStateHandler(0, 0, config.clients().idleNanos(), TimeUnit.NANOSECONDS),
-                        new ProtocolDetector(this::http1, this::http2));
+                        new ProtocolDetector(this::initHttp1, this::initHttp2));
     }
 
-    private void http1(ChannelHandlerContext ctx) {
+    private void initHttp1(ChannelHandlerContext ctx) {
         ctx.pipeline()
                 .addLast(
                         new HttpServerCodec(new HttpDecoderConfig()
-                                .setMaxInitialLineLength(FIRST_LINE)
+                                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
                                 .setMaxHeaderSize(config.clients().maxHeaderBytes())),
                         new HttpServerKeepAliveHandler(),
-                        new BodyKeeper(config.clients().maxBodyBytes()),
-                        new CallHandler(intake, status, false));
+                        new RequestBodyBuffer(config.clients().maxBodyBytes()),
+                        new HttpCallHandler(ingress, statusPage, false));
     }
 
-    private void http2(ChannelHandlerContext ctx) {
+    private void initHttp2(ChannelHandlerContext ctx) {
         ChannelPipeline pipeline = ctx.pipeline();
         pipeline.addLast(
                 Http2FrameCodecBuilder.forServer()
                         .initialSettings(Http2Settings.defaultSettings()
-                                .maxConcurrentStreams(STREAMS)
+                                .maxConcurrentStreams(MAX_CONCURRENT_STREAMS)
                                 .maxHeaderListSize(config.clients().maxHeaderBytes()))
                         .build(),
                 new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
@@ -131,15 +134,15 @@
                         stream.pipeline()
                                 .addLast(
                                         new Http2StreamFrameToHttpObjectCodec(true),
-                                        new BodyKeeper(config.clients().maxBodyBytes()),
-                                        new CallHandler(intake, status, true));
+                                        new RequestBodyBuffer(config.clients().maxBodyBytes()),
+                                        new HttpCallHandler(ingress, statusPage, true));
                     }
                 }),
-                new IdleCloser());
+                new IdleConnectionHandler());
     }
 
-    /** Takes no new connection, tells HTTP/2 clients to go elsewhere, and ends HTTP/1.1 ones after their answers. */
-    public void finish() {
+    /** Accepts no new connection, sends GOAWAY on HTTP/2, and closes HTTP/1.1 connections after their responses. */
+    public void startDraining() {
         if (listening != null) {
             listening.close().awaitUninterruptibly(1000);
         }
@@ -148,7 +151,7 @@
                 if (channel.pipeline().get(Http2MultiplexHandler.class) != null) {
                     channel.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR));
                 } else {
-                    channel.pipeline().fireUserEventTriggered(CallHandler.Finish.NOW);
+                    channel.pipeline().fireUserEventTriggered(HttpCallHandler.ConnectionDrain.START);
                 }
             });
         }
--- a/gateway/src/main/java/wharfhinge/gateway/front/HttpResponder.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/HttpResponseWriter.java
@@ -17,6 +17,7 @@
 import io.netty.util.ReferenceCountUtil;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.engine.ResponseSink;
@@ -24,64 +25,69 @@
 import wharfhinge.protocol.ClientProtocol;
 import wharfhinge.protocol.FinalAnswer;
 
-/** Writes one call's answer to its client; each method hands over to the connection's I/O thread. */
-final class HttpResponder implements ResponseSink {
-    private static final long MS = 1_000_000L;
-
+/** Writes one call's response to its client; any thread may call, each method enqueues on the connection's I/O thread. */
+final class HttpResponseWriter implements ResponseSink {
     private final ChannelHandlerContext ctx;
-    private final Runnable written;
-    private final BooleanSupplier last;
+    private final Runnable onWritten;
+    private final BooleanSupplier isLastResponse;
 
-    /** {@code written} runs on the I/O thread once the answer is on its way; {@code last} tells of HTTP/1.1's end. */
-    HttpResponder(ChannelHandlerContext ctx, Runnable written, BooleanSupplier last) {
+    /**
+     * Writes to {@code ctx}.
+     *
+     * @param onWritten      run on the I/O thread once the response was written
+     * @param isLastResponse whether an HTTP/1.1 connection closes after it
+     */
+    HttpResponseWriter(ChannelHandlerContext ctx, Runnable onWritten, BooleanSupplier isLastResponse) {
         this.ctx = ctx;
-        this.written = written;
-        this.last = last;
+        this.onWritten = onWritten;
+        this.isLastResponse = isLastResponse;
     }
 
     @Override
-    public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata facts) {
+    public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata metadata) {
         ctx.executor().execute(() -> {
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body == null ? Unpooled.EMPTY_BUFFER : body);
-            head(response.headers(), FinalAnswer.SERVED, contentType, facts);
+            writeHeaders(response.headers(), FinalAnswer.SERVED, contentType, metadata);
             write(response);
         });
     }
 
     @Override
-    public void sendError(FinalAnswer answer, long coolDownNanos, ResponseMetadata facts) {
+    public void sendError(FinalAnswer finalAnswer, long retryAfterNanos, ResponseMetadata metadata) {
         ctx.executor().execute(() -> {
-            String text = answer.word() + ": " + String.join(", ", facts.attemptSummaries()) + '\n';
+            String text = finalAnswer.word() + ": " + String.join(", ", metadata.attemptSummaries()) + '\n';
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
-                    HttpResponseStatus.valueOf(answer.status()),
+                    HttpResponseStatus.valueOf(finalAnswer.status()),
                     Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-            head(response.headers(), answer, HttpHeaderValues.TEXT_PLAIN, facts);
-            if (coolDownNanos > 0) {
-                long ms = Math.max(1, coolDownNanos / MS);
+            writeHeaders(response.headers(), finalAnswer, HttpHeaderValues.TEXT_PLAIN, metadata);
+            if (retryAfterNanos > 0) {
+                long retryAfterMillis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(retryAfterNanos));
                 response.headers()
-                        .set(ClientProtocol.RETRY_AFTER_MS, ms)
-                        .set(HttpHeaderNames.RETRY_AFTER, (ms + 999) / 1000);
+                        .set(ClientProtocol.RETRY_AFTER_MS, retryAfterMillis)
+                        .set(HttpHeaderNames.RETRY_AFTER, (retryAfterMillis + 999) / 1000); // rounded up to seconds
             }
             write(response);
         });
     }
 
-    /** Ends a chain; the body tells of its steps. */
-    void chainEnded(ChainEnd end, byte[] body) {
+    /** Sends a chain's final answer; {@code body} has its steps. */
+    void sendChainEnd(ChainEnd end, byte[] body) {
         ctx.executor().execute(() -> {
-            FinalAnswer answer =
+            FinalAnswer finalAnswer =
                     switch (end.kind()) {
                         case SERVED -> FinalAnswer.SERVED;
                         case REFUSED -> FinalAnswer.REFUSED;
                         case FAILED -> FinalAnswer.FAILED;
                     };
             FullHttpResponse response = new DefaultFullHttpResponse(
-                    HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()), Unpooled.wrappedBuffer(body));
-            head(
+                    HttpVersion.HTTP_1_1,
+                    HttpResponseStatus.valueOf(finalAnswer.status()),
+                    Unpooled.wrappedBuffer(body));
+            writeHeaders(
                     response.headers(),
-                    answer,
+                    finalAnswer,
                     HttpHeaderValues.APPLICATION_JSON,
                     new ResponseMetadata(
                             null,
@@ -94,16 +100,17 @@
         });
     }
 
-    private void head(HttpHeaders headers, FinalAnswer answer, CharSequence contentType, ResponseMetadata facts) {
-        headers.set(ClientProtocol.ANSWER, answer.word()).setInt(ClientProtocol.ATTEMPTS, facts.attempts());
-        if (last.getAsBoolean()) {
+    private void writeHeaders(
+            HttpHeaders headers, FinalAnswer finalAnswer, CharSequence contentType, ResponseMetadata metadata) {
+        headers.set(ClientProtocol.ANSWER, finalAnswer.word()).setInt(ClientProtocol.ATTEMPTS, metadata.attempts());
+        if (isLastResponse.getAsBoolean()) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        if (facts.worker() != null) {
-            headers.set(ClientProtocol.WORKER, facts.worker());
+        if (metadata.worker() != null) {
+            headers.set(ClientProtocol.WORKER, metadata.worker());
         }
-        if (!facts.attemptSummaries().isEmpty()) {
-            headers.set(ClientProtocol.REASON, String.join(", ", facts.attemptSummaries()));
+        if (!metadata.attemptSummaries().isEmpty()) {
+            headers.set(ClientProtocol.REASON, String.join(", ", metadata.attemptSummaries()));
         }
         if (contentType != null) {
             headers.set(HttpHeaderNames.CONTENT_TYPE, contentType);
@@ -114,14 +121,14 @@
         response.headers()
                 .setInt(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         ctx.writeAndFlush(response);
-        written.run();
+        onWritten.run();
     }
 
     @Override
-    public void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata facts) {
+    public void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata metadata) {
         ctx.executor().execute(() -> {
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-            head(response.headers(), FinalAnswer.SERVED, stream.contentType(), facts);
+            writeHeaders(response.headers(), FinalAnswer.SERVED, stream.contentType(), metadata);
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             ctx.writeAndFlush(response);
         });
@@ -142,9 +149,9 @@
                 ctx.executor().execute(() -> {
                     if (whole) {
                         ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-                        written.run();
+                        onWritten.run();
                     } else {
-                        ctx.close(); // a half answer must not look like a whole one
+                        ctx.close(); // a truncated response must not look complete
                     }
                 });
             }
--- a/gateway/src/main/java/wharfhinge/gateway/front/IdleCloser.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/IdleConnectionHandler.java
@@ -5,8 +5,8 @@
 import io.netty.handler.codec.http2.Http2FrameCodec;
 import io.netty.handler.timeout.IdleStateEvent;
 
-/** Closes an HTTP/2 connection that has carried nothing for long and has no stream open. */
-final class IdleCloser extends ChannelInboundHandlerAdapter {
+/** Closes an HTTP/2 connection on the idle timeout if it has no open stream. */
+final class IdleConnectionHandler extends ChannelInboundHandlerAdapter {
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
--- a/gateway/src/main/java/wharfhinge/gateway/front/ProtocolDetector.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ProtocolDetector.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Tells HTTP/2 (prior knowledge) from HTTP/1.1 by the first bytes of a connection, and makes way for its handlers. */
+/** Tells HTTP/2 (prior knowledge) from HTTP/1.1 by the first bytes of a connection, then gives way to the protocol's handlers. */
 final class ProtocolDetector extends ByteToMessageDecoder {
     private final Consumer<ChannelHandlerContext> http1;
     private final Consumer<ChannelHandlerContext> http2;
@@ -20,15 +20,15 @@
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        int most = Math.min(in.readableBytes(), preface.readableBytes());
-        for (int i = 0; i < most; i++) {
+        int comparable = Math.min(in.readableBytes(), preface.readableBytes());
+        for (int i = 0; i < comparable; i++) {
             if (in.getByte(in.readerIndex() + i) != preface.getByte(i)) {
                 http1.accept(ctx);
                 ctx.pipeline().remove(this);
                 return;
             }
         }
-        if (most == preface.readableBytes()) {
+        if (comparable == preface.readableBytes()) {
             http2.accept(ctx);
             ctx.pipeline().remove(this);
         }
--- a/gateway/src/main/java/wharfhinge/gateway/front/BodyKeeper.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/RequestBodyBuffer.java
@@ -13,13 +13,13 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** Keeps a request's body whole, within a limit, so that it can be sent again; over it, the client is told so. */
-final class BodyKeeper extends HttpObjectAggregator {
-    private final int most;
+/** Buffers a request's body within a limit, so that an attempt can be retried; over it, the client gets 413. */
+final class RequestBodyBuffer extends HttpObjectAggregator {
+    private final int maxBytes;
 
-    BodyKeeper(int most) {
-        super(most);
-        this.most = most;
+    RequestBodyBuffer(int maxBytes) {
+        super(maxBytes);
+        this.maxBytes = maxBytes;
     }
 
     @Override
@@ -28,7 +28,7 @@
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE,
                 Unpooled.copiedBuffer(
-                        "body: found over " + most + " bytes, allowed: at most " + most + '\n',
+                        "body: found over " + maxBytes + " bytes, allowed: at most " + maxBytes + '\n',
                         StandardCharsets.UTF_8));
         response.headers()
                 .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN)
--- a/gateway/src/main/java/wharfhinge/gateway/front/StatusPage.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/StatusPage.java
@@ -3,18 +3,18 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** What a gateway says of itself: lines of a name and a figure. */
+/** The status page: a line with key and value for each metric. */
 public final class StatusPage {
-    private final Supplier<Map<String, Long>> figures;
+    private final Supplier<Map<String, Long>> metrics;
 
-    /** A page of figures, taken anew for each reader. */
-    public StatusPage(Supplier<Map<String, Long>> figures) {
-        this.figures = figures;
+    /** A page of metrics, read anew for each request. */
+    public StatusPage(Supplier<Map<String, Long>> metrics) {
+        this.metrics = metrics;
     }
 
     String text() {
         StringBuilder text = new StringBuilder();
-        figures.get()
+        metrics.get()
                 .forEach((name, value) ->
                         text.append(name).append(' ').append(value).append('\n'));
         return text.toString().stripTrailing();
--- a/gateway/src/main/java/wharfhinge/gateway/front/Handshakes.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/TlsHandshakeHandler.java
@@ -6,15 +6,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells why a TLS handshake failed, in one line, and closes the connection. */
-final class Handshakes extends ChannelInboundHandlerAdapter {
+/** Logs why a TLS handshake failed and closes the connection; removes itself once the handshake is over. */
+final class TlsHandshakeHandler extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger("tls");
 
     @Override
     public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
-        if (event instanceof SslHandshakeCompletionEvent done) {
-            if (!done.isSuccess()) {
-                Throwable cause = done.cause();
+        if (event instanceof SslHandshakeCompletionEvent handshake) {
+            if (!handshake.isSuccess()) {
+                Throwable cause = handshake.cause();
                 while (cause.getCause() != null && cause.getCause() != cause) {
                     cause = cause.getCause();
                 }
@@ -28,6 +28,6 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close(); // told above, or the connection broke
+        ctx.close(); // logged above, or the connection was lost
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
@@ -21,8 +21,8 @@
 import wharfhinge.engine.DispatchEngine;
 import wharfhinge.engine.ResponseSink;
 import wharfhinge.engine.WorkerTransport;
-import wharfhinge.gateway.front.ChainJson;
-import wharfhinge.gateway.front.Intake;
+import wharfhinge.gateway.front.CallIngress;
+import wharfhinge.gateway.front.ChainJsonCodec;
 import wharfhinge.gateway.tls.Identity;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
@@ -40,9 +40,9 @@
 final class GatewayService extends GatewayGrpc.GatewayImplBase {
     private static final long MS = 1_000_000L;
 
-    private final Intake intake;
+    private final CallIngress intake;
 
-    GatewayService(Intake intake) {
+    GatewayService(CallIngress intake) {
         this.intake = intake;
     }
 
@@ -61,7 +61,7 @@
         RequestClass type;
         try {
             head = head(request);
-            type = intake.type(head);
+            type = intake.classOf(head);
             if (type.streaming() != streams) {
                 throw new ProtocolException(
                         ClientProtocol.CLASS.toString(),
@@ -72,7 +72,7 @@
             to.onError(Status.INVALID_ARGUMENT.withDescription(e.getMessage()).asRuntimeException());
             return;
         }
-        Identity.Checked who = intake.tenant(Callers.SESSION.get(), Callers.AUTHORIZATION.get(), head.tenant());
+        Identity.Checked who = intake.authenticate(Callers.SESSION.get(), Callers.AUTHORIZATION.get(), head.tenant());
         if (who.fault() != Identity.Fault.NONE) {
             to.onError(status(who).asRuntimeException());
             return;
@@ -94,11 +94,11 @@
                 body,
                 request.getContentType().isEmpty() ? null : request.getContentType(),
                 answer);
-        to.setOnCancelHandler(() -> intake.loop().onClientCancelled(call));
-        DispatchEngine.SubmissionResult offered = intake.loop().submit(call);
+        to.setOnCancelHandler(() -> intake.engine().onClientCancelled(call));
+        DispatchEngine.SubmissionResult offered = intake.engine().submit(call);
         if (offered.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
             ReferenceCountUtil.release(body);
-            answer.sendError(FinalAnswer.REFUSED, offered.retryAfterNanos(), Intake.notTaken(offered));
+            answer.sendError(FinalAnswer.REFUSED, offered.retryAfterNanos(), CallIngress.rejectedMetadata(offered));
         }
     }
 
@@ -157,24 +157,26 @@
                             request.getJson().toByteArray(),
                             "x" + Long.toString(System.nanoTime(), Character.MAX_RADIX),
                             System.nanoTime(),
-                            (end, answers) -> chainEnded(observer, end, ChainJson.write(self[0].plan(), end, answers)));
-        } catch (ChainJson.BadChainException e) {
+                            (end, answers) ->
+                                    chainEnded(observer, end, ChainJsonCodec.write(self[0].plan(), end, answers)));
+        } catch (ChainJsonCodec.InvalidChainException e) {
             to.onError(Status.INVALID_ARGUMENT.withDescription(e.getMessage()).asRuntimeException());
             return;
         }
-        Identity.Checked who = intake.tenant(Callers.SESSION.get(), Callers.AUTHORIZATION.get(), self[0].tenant());
+        Identity.Checked who =
+                intake.authenticate(Callers.SESSION.get(), Callers.AUTHORIZATION.get(), self[0].tenant());
         if (who.fault() != Identity.Fault.NONE) {
             to.onError(status(who).asRuntimeException());
             return;
         }
         self[0] = self[0].withTenant(who.tenant());
-        observer.setOnCancelHandler(() -> intake.loop().onClientCancelled(self[0]));
-        DispatchEngine.SubmissionResult offered = intake.loop().submit(self[0]);
+        observer.setOnCancelHandler(() -> intake.engine().onClientCancelled(self[0]));
+        DispatchEngine.SubmissionResult offered = intake.engine().submit(self[0]);
         if (offered.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
             to.onError(Status.UNAVAILABLE
                     .withDescription("refused")
-                    .asRuntimeException(
-                            trailers(FinalAnswer.REFUSED, offered.retryAfterNanos(), Intake.notTaken(offered))));
+                    .asRuntimeException(trailers(
+                            FinalAnswer.REFUSED, offered.retryAfterNanos(), CallIngress.rejectedMetadata(offered))));
         }
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcFront.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcFront.java
@@ -13,7 +13,7 @@
 import java.net.InetSocketAddress;
 import java.util.concurrent.TimeUnit;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.gateway.front.Intake;
+import wharfhinge.gateway.front.CallIngress;
 
 /** The gRPC port: calls, the standard health service, reflection where it is switched on. */
 public final class GrpcFront {
@@ -26,7 +26,7 @@
     /** {@code tls} is null where calls come in the clear. */
     public GrpcFront(
             GatewayConfig config,
-            Intake intake,
+            CallIngress intake,
             SslContext tls,
             EventLoopGroup acceptor,
             EventLoopGroup group,
--- a/gateway/src/test/java/wharfhinge/gateway/DoorFuzzTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerFuzzTest.java
@@ -7,7 +7,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import wharfhinge.engine.ChainCall;
-import wharfhinge.gateway.front.ChainJson;
+import wharfhinge.gateway.front.ChainJsonCodec;
 import wharfhinge.gateway.tls.Tokens;
 import wharfhinge.policy.DeduplicationScope;
 import wharfhinge.policy.Effect;
@@ -17,10 +17,10 @@
 import wharfhinge.protocol.ProtocolException;
 
 /** What clients send: whatever comes is taken or refused with a reason. Without JAZZER_FUZZ only seeds run. */
-class DoorFuzzTest {
+class ClientListenerFuzzTest {
     private static final byte[] KEY = new byte[32];
     private static final Tokens TOKENS = tokens();
-    private static final ChainJson CHAINS = chains();
+    private static final ChainJsonCodec CHAINS = chains();
 
     private static Tokens tokens() {
         try {
@@ -34,12 +34,12 @@
         }
     }
 
-    private static ChainJson chains() {
+    private static ChainJsonCodec chains() {
         try {
             RequestClass type =
                     new RequestClass("safe", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 2, 1, 0, false, 0);
             Path folder = Files.createTempDirectory("fuzz");
-            return new ChainJson(
+            return new ChainJsonCodec(
                     Map.of("safe", type),
                     type,
                     GatewayFixture.config(folder, "", "", 1).chains());
@@ -92,7 +92,7 @@
             if (call.plan().steps().isEmpty() || call.deadlineNanos() <= 0) {
                 throw new AssertionError("taken: " + call);
             }
-        } catch (ChainJson.BadChainException e) {
+        } catch (ChainJsonCodec.InvalidChainException e) {
             if (e.getMessage().isEmpty()) {
                 throw new AssertionError("refused without a reason");
             }
--- a/gateway/src/test/java/wharfhinge/gateway/FrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerTest.java
@@ -42,7 +42,7 @@
 
 /** What clients send, well and badly. */
 @Timeout(60)
-class FrontTest {
+class ClientListenerTest {
     @TempDir
     private Path folder;
 
--- a/gateway/src/test/java/wharfhinge/gateway/front/ChainJsonClassLoadingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/front/ChainJsonCodecClassLoadingTest.java
@@ -22,7 +22,7 @@
 import wharfhinge.policy.RequestClass;
 
 /** The first chain of a process must not wait for classes to load: its answer is written just before its deadline. */
-class ChainJsonClassLoadingTest {
+class ChainJsonCodecClassLoadingTest {
 
     /** Defines every class of the class path anew, as a new process would, and records what it defined. */
     private static final class RecordingLoader extends URLClassLoader {
@@ -66,15 +66,15 @@
         public Callable<byte[]> call() {
             RequestClass once = new RequestClass("once", Effect.AT_MOST_ONCE, null, 0, 1, 1, 1, 1, false, 1);
             ChainConfig config = new ChainConfig(null, 1_000_000_000L, 0, 0, 0, null, Map.of());
-            ChainJson codec = new ChainJson(Map.of("once", once), once, config);
+            ChainJsonCodec codec = new ChainJsonCodec(Map.of("once", once), once, config);
             return () -> readAndWrite(codec);
         }
 
-        private static byte[] readAndWrite(ChainJson codec) throws ChainJson.BadChainException {
+        private static byte[] readAndWrite(ChainJsonCodec codec) throws ChainJsonCodec.InvalidChainException {
             String json = "{\"deadline_ms\":500,\"steps\":[{\"id\":\"a\",\"function\":\"f\",\"load_ms\":1}]}";
             ChainCall chain = codec.read(json.getBytes(StandardCharsets.UTF_8), "x1", 0, (end, answers) -> {});
             ChainEnd end = new ChainEnd(ChainEnd.Kind.FAILED, "r", List.of(ChainEnd.StepState.MAY_HAVE_RUN));
-            return ChainJson.write(chain.plan(), end, Arrays.asList((ChainCall.StepAnswer) null));
+            return ChainJsonCodec.write(chain.plan(), end, Arrays.asList((ChainCall.StepAnswer) null));
         }
     }
 
--- a/gateway/src/test/java/wharfhinge/gateway/front/BindingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/front/PortBindingTest.java
@@ -21,7 +21,7 @@
 
 /** A port that a former process holds, where ports can't be shared. */
 @Timeout(20)
-class BindingTest {
+class PortBindingTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
     @AfterEach
@@ -34,7 +34,7 @@
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInboundHandlerAdapter());
-        return Binding.within(TimeUnit.MILLISECONDS.toNanos(withinMillis), () -> {
+        return PortBinding.bindWithin(TimeUnit.MILLISECONDS.toNanos(withinMillis), () -> {
             betweenTries.run();
             return bootstrap.bind("127.0.0.1", port);
         });
