--- a/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aServedCallAndTheWorkersHeaders() throws Exception {
+    void servedCall_carriesWorkerHeaders() throws Exception {
         both(List.of(List.of("served", "well", 1), "t1"), (way, at) -> {
             try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
                     GatewayFixture rig = rig(at);
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void aCallThatIsWrongIsInvalidWithTheSamePlace() throws Exception {
+    void invalidCall_isRejectedWithSamePlace() throws Exception {
         both(List.of("invalid", "wh-class: found 'none', allowed: one of [safe, once, flow]", 1), (way, at) -> {
             try (GatewayFixture rig = rig(at);
                     WharfhingeClient client = client(way, way.of(rig.gateway))) {
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void aRefusalMeansTheSameAndWithoutABudgetItIsTheAnswer() throws Exception {
+    void rejection_meansTheSameAndIsFinalWithoutRetryBudget() throws Exception {
         ClientPolicy none = new ClientPolicy(100, 0, 0, 5 * MS, 50 * MS, 400 * MS, 3, 500 * MS, 150 * MS);
         both(List.of("refused", "not-sent (budget-spent)", 1), (way, at) -> {
             try (GatewayFixture rig = rig(at);
@@ -168,7 +168,7 @@
     }
 
     @Test
-    void theDeadlinePassesWhileTheCallWaitsOnALoad() throws Exception {
+    void deadlineDuringLoad_endsCall() throws Exception {
         both("no answer, may have run, in time", (way, at) -> {
             try (FakePeer loads = new FakePeer(in -> {});
                     GatewayFixture rig = rig(at);
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void anUnsafeCallWhoseConnectionBrokeIsFailedAndASafeOneGoesElsewhere() throws Exception {
+    void lostConnection_failsUnsafeCallAndRetriesIdempotentCall() throws Exception {
         both(List.of("failed", 1, List.of("served", "well", 2)), (way, at) -> {
             try (FakePeer breaks = new FakePeer(FakePeer.ReceivedRequest::breakConnection);
                     FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
@@ -205,7 +205,7 @@
     }
 
     @Test
-    void aGatewayThatAcceptsAndSaysNothingCostsATryWhateverTheClass() throws Exception {
+    void silentGateway_costsOneAttemptForAnyClass() throws Exception {
         both(List.of("served", "well", 2), (way, at) -> {
             try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                     FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void theServiceRestartsUnderOpenCallsAndNoneFails() throws Exception {
+    void rollingRestart_failsNoCallInFlight() throws Exception {
         both(List.of("served", 20L), (way, at) -> {
             Path other = Files.createDirectory(at.resolve("other"));
             try (FakePeer worker = new FakePeer(in -> in.schedule(150, () -> in.respond(SERVED, FOUND, "well")));
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void cancelIsToldToTheGatewayWhileTheWorkerRuns() throws Exception {
+    void cancelDuringExecution_reachesGateway() throws Exception {
         both(List.of("left", 1L), (way, at) -> {
             try (FakePeer worker = new FakePeer(in -> {});
                     GatewayFixture rig = rig(at);
@@ -272,7 +272,7 @@
     }
 
     @Test
-    void tenThousandCallsAtOnceThroughOneClient() throws Exception {
+    void tenThousandConcurrentCalls_areServedThroughOneClient() throws Exception {
         both(List.of(10_000L), (way, at) -> {
             try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
                     GatewayFixture rig = rig(at);
@@ -297,7 +297,7 @@
     }
 
     @Test
-    void aTenantOverItsRateIsRefusedWithAdviceAndOthersAreNot() throws Exception {
+    void tenantOverItsRate_isRejectedWithRetryAfterAndOthersAreNot() throws Exception {
         String door = "<door><tenant name='busy' rate-per-s='0.5' burst='1'/></door>";
         both(
                 List.of(
@@ -325,7 +325,7 @@
     }
 
     @Test
-    void anAnswerAfterTheDeadlineIsNobodysAndTheGatewayAnsweredInTime() throws Exception {
+    void responseAfterDeadline_isDroppedAndGatewayAnswersInTime() throws Exception {
         both(List.of(true, 0L), (way, at) -> {
             try (FakePeer slow = new FakePeer(in -> in.schedule(700, () -> in.respond(SERVED, FOUND, "late")));
                     GatewayFixture rig = rig(at);
@@ -339,7 +339,7 @@
     }
 
     @Test
-    void cancelBeforeItIsSentAndWhileItWaitsToComeBack() throws Exception {
+    void cancelBeforeSendOrDuringRetryDelay_endsCall() throws Exception {
         both(List.of(true, true, 0), (way, at) -> {
             try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
                     GatewayFixture rig = rig(at);
@@ -394,7 +394,7 @@
     }
 
     @Test
-    void aStreamedAnswerFlowsBeyondTheDeadlineAndIsWholeOrFailed() throws Exception {
+    void stream_flowsBeyondDeadlineAndIsCompleteOrFailed() throws Exception {
         both(
                 List.of("began", "one", "two", List.of("served", "", 1), List.of("began", "half"), "failed", 1, 2L),
                 (way, at) -> {
@@ -435,7 +435,7 @@
     }
 
     @Test
-    void aSlowReaderOfAStreamHoldsTheWorkerBackAndCancelEndsIt() throws Exception {
+    void slowStreamReader_slowsWorkerDownAndCancelEndsStream() throws Exception {
         both(List.of("began", true, true), (way, at) -> {
             try (FakePeer worker = new FakePeer(null);
                     GatewayFixture rig = rig(at);
@@ -464,7 +464,7 @@
     }
 
     @Test
-    void aRefusedStreamIsARefusalWithoutParts() throws Exception {
+    void rejectedStream_hasNoParts() throws Exception {
         ClientPolicy none = new ClientPolicy(100, 0, 0, 5 * MS, 50 * MS, 5000 * MS, 3, 500 * MS, 150 * MS);
         both(List.of("refused", true), (way, at) -> {
             try (GatewayFixture rig = rig(at);
@@ -477,7 +477,7 @@
     }
 
     @Test
-    void theListOfGatewaysMayChange() throws Exception {
+    void gatewayList_mayChange() throws Exception {
         both(List.of("refused", List.of("served", "well", 1)), (way, at) -> {
             try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
                     GatewayFixture rig = rig(at);
--- a/gateway/src/test/java/wharfhinge/gateway/ChainSocketTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ChainSocketTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wharfhinge.engine.DispatcherFactory;
 
-/** Chains over real sockets, and what goes wrong with them. */
+/** Chains over real sockets, and their faults. */
 @Timeout(60)
 class ChainSocketTest {
     private static final String KEEP =
@@ -106,7 +106,7 @@
     private static final String B = step("b", "safe", "'a','client'", 0);
 
     @Test
-    void stepsRunInOrderAndTheirAnswersFlowOn() throws Exception {
+    void steps_runInOrderAndPassOutputsOn() throws Exception {
         CompletableFuture<HttpResponse<String>> call = chain(rig, steps("'id':'c1','deadline_ms':2000", A, B));
         FakePeer.ReceivedRequest a = worker.next();
         assertEquals("/call/f-a", a.headers.path().toString());
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aNamedChainRunsAsItIsSet() throws Exception {
+    void namedChain_runsAsConfigured() throws Exception {
         CompletableFuture<HttpResponse<String>> call = chain(rig, "{'chain':'save','input':'x'}");
         worker.next().respond(SERVED, FOUND, "1");
         worker.next().respond(SERVED, FOUND, "2");
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void aLoadThatDoesNotFitIsRefusedBeforeAnythingRuns() throws Exception {
+    void loadBeyondDeadline_isRejectedBeforeAnyStep() throws Exception {
         HttpResponse<String> response =
                 get(chain(rig, steps("'deadline_ms':400", A, step("cold", "safe", "'a'", 900))));
         assertEquals("refused", answer(response));
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aFunctionNeverSeenBeforeAtTheEndIsTriedAndLoaded() throws Exception {
+    void unknownFunctionInLastStep_isTriedAndLoaded() throws Exception {
         CompletableFuture<HttpResponse<String>> call = chain(
                 rig,
                 steps("'deadline_ms':2000", A, "{'id':'new','function':'never-seen','class':'safe','input':['a']}"));
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void aFirstStepServedLateEndsTheChainInTime() throws Exception {
+    void lateFirstStep_endsChainBeforeDeadline() throws Exception {
         worker.ignoreNonCalls = true; // the load that is ordered ahead does not end in time
         long began = System.nanoTime();
         CompletableFuture<HttpResponse<String>> call =
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void aSilentFirstWorkerGivesOneAnswerBeforeTheDeadline() throws Exception {
+    void silentFirstWorker_givesOneAnswerByDeadline() throws Exception {
         byte[] request = rawChain(steps("'deadline_ms':500", step("a", "once", "'client'", 0), B));
         try (Socket socket = new Socket("127.0.0.1", rig.gateway.address().getPort())) {
             // neither the process's first connection nor how long an HTTP client takes to load its classes is measured
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void aBranchThatFailsEndsTheChainAndResetsItsTwin() throws Exception {
+    void failedBranch_endsChainAndResetsSibling() throws Exception {
         CompletableFuture<HttpResponse<String>> call = chain(
                 rig,
                 steps(
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void aClientThatLeavesAtTheSecondStepStopsTheThird() throws Exception {
+    void clientCancelAtSecondStep_preventsThird() throws Exception {
         Socket socket = new Socket("127.0.0.1", rig.gateway.address().getPort());
         socket.getOutputStream().write(rawChain(steps("'deadline_ms':2000", A, B, step("c", "safe", "'b'", 0))));
         worker.next().respond(SERVED, FOUND, "a");
@@ -221,7 +221,7 @@
     }
 
     @Test
-    void anUnsafeFirstStepAndARefusedSecondTellWhatRan() throws Exception {
+    void rejectedStepAfterUnsafeStep_reportsWhatRan() throws Exception {
         CompletableFuture<HttpResponse<String>> call =
                 chain(rig, steps("'deadline_ms':2000", step("a", "once", "'client'", 0), B));
         worker.next().respond(SERVED, FOUND, "ran");
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void aRetryWithTheSameKeyRunsOnlyWhatIsMissing() throws Exception {
+    void retryWithSameKey_runsOnlyMissingSteps() throws Exception {
         String json = steps("'key':'k1','deadline_ms':2000", step("a", "once", "'client'", 0), B);
         CompletableFuture<HttpResponse<String>> first = chain(rig, json);
         worker.next().respond(SERVED, FOUND, "ran once");
@@ -269,7 +269,7 @@
     }
 
     @Test
-    void aRetryWhileTheFirstTryRunsListensToIt() throws Exception {
+    void retryDuringFirstAttempt_joinsIt() throws Exception {
         String json = steps("'key':'k2','deadline_ms':2000", A);
         CompletableFuture<HttpResponse<String>> first = chain(rig, json);
         FakePeer.ReceivedRequest a = worker.next();
@@ -284,7 +284,7 @@
     }
 
     @Test
-    void aStoreThatSlowsIsLearnedWhateverCallsTellOfLoads() throws Exception {
+    void slowLoads_areLearnedDespiteDeclaredLoadTimes() throws Exception {
         String slow = steps("'deadline_ms':2000", step("slow", "safe", "'client'", 20));
         for (int i = 0; i < 4; i++) {
             CompletableFuture<HttpResponse<String>> call = chain(rig, slow);
@@ -308,7 +308,7 @@
     }
 
     @Test
-    void stoppingGivesOpenChainsTheirAnswer() throws Exception {
+    void shutdown_answersChainsInFlight() throws Exception {
         CompletableFuture<HttpResponse<String>> call =
                 chain(rig, steps("'deadline_ms':2400", step("a", "once", "'client'", 0), B));
         worker.next();
@@ -333,7 +333,7 @@
                 "[[[[[[[[[[[[[[[[[[[[[[[[1]]]]]]]]]]]]]]]]]]]]]]]]|nesting depth",
                 "{'chain':'save','chain':'save'}|Duplicate field"
             })
-    void whatIsNoChainNamesItsPlace(String json, String expected) throws Exception {
+    void invalidChain_isRejectedWithPlaceOfFault(String json, String expected) throws Exception {
         HttpResponse<String> response = get(chain(rig, json));
         assertEquals(400, response.statusCode());
         assertTrue(response.body().contains(expected), response.body());
--- a/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
@@ -32,7 +32,7 @@
     /** The worker's settings, which make the connection one that may be used, come after the client left or before. */
     @ParameterizedTest
     @CsvSource({"true,false", "true,true", "false,false", "false,true"})
-    void whileItsCallWaitsForAConnectionNothingGoesOut(boolean leavesFirst, boolean reset) throws Exception {
+    void cancelWhileQueuedForConnection_sendsNothing(boolean leavesFirst, boolean reset) throws Exception {
         try (ServerSocket worker = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
                 GatewayFixture rig = new GatewayFixture(
                         folder,
--- a/gateway/src/test/java/wharfhinge/gateway/ClientListenerTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wharfhinge.engine.DispatcherFactory;
 
-/** What clients send, well and badly. */
+/** Requests of clients, valid and malformed. */
 @Timeout(60)
 class ClientListenerTest {
     @TempDir
@@ -96,7 +96,8 @@
                 "GET /v1/call/f|wh-class: safe|405|method: found 'GET', allowed: POST",
                 "POST /v2/other|wh-class: safe|404|path: found nothing there, allowed: /v1/call/{function}"
             })
-    void badInputIsToldApartAndOthersGoOn(String line, String header, int status, String expected) throws Exception {
+    void malformedRequest_isRejectedWithItsFaultAndOthersAreServed(
+            String line, String header, int status, String expected) throws Exception {
         String answer = raw(line + " HTTP/1.1\nhost: x\n" + header + "\ncontent-length: 0\n\n");
         assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
         assertTrue(answer.contains(expected), answer);
@@ -104,7 +105,7 @@
     }
 
     @Test
-    void sizesOverTheLimitAndBrokenFramingAreRefused() throws Exception {
+    void oversizedOrBrokenRequest_isRejected() throws Exception {
         String body = raw("POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\ncontent-length: 900000\n\nxx");
         assertTrue(body.startsWith("HTTP/1.1 413") && body.contains("allowed: at most 65536"), body);
         String headers = raw("POST /v1/call/f HTTP/1.1\nhost: x\nlong: " + "y".repeat(5000) + "\n\n");
@@ -117,7 +118,7 @@
     }
 
     @Test
-    void pipelinedCallsAreAnsweredInOrder() throws Exception {
+    void pipelinedCalls_areAnsweredInOrder() throws Exception {
         String one = "POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\nwh-id: a\ncontent-length: 0\n\n";
         String all = raw(one + one + "GET /v1/nowhere HTTP/1.1\nhost: x\n\n");
         assertEquals(2, all.split("wh-answer: served", -1).length - 1, all);
@@ -125,7 +126,7 @@
     }
 
     @Test
-    void answersTellTheWorkerTheReasonAndTheAttempts() throws Exception {
+    void response_hasWorkerReasonAndAttempts() throws Exception {
         HttpResponse<String> response = GatewayFixture.get(rig.call("safe", "f", 2000));
         assertEquals(worker.id(), response.headers().firstValue("wh-worker").orElse(""));
         assertEquals(
@@ -135,7 +136,7 @@
     }
 
     @Test
-    void http2CallsAreServedAndToldToGoAwayAtTheEnd() throws Exception {
+    void http2Calls_areServedAndReceiveGoAwayOnShutdown() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         BlockingQueue<String> got = new LinkedBlockingQueue<>();
         try {
--- a/gateway/src/test/java/wharfhinge/gateway/LoopTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/EngineOverSocketsTest.java
@@ -27,9 +27,9 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.Request;
 
-/** The loop: what it tells, what it bears, and what it does when the decisions break. */
+/** The engine with real transports: its actions, its limits, and a dispatcher that throws. */
 @Timeout(60)
-class LoopTest {
+class EngineOverSocketsTest {
     @TempDir
     private Path folder;
 
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void everyActionDoesWhatItSaysAndNoneReenters() throws Exception {
+    void eachAction_takesEffectWithoutReentrance() throws Exception {
         CompletableFuture<Noting> made = new CompletableFuture<>();
         try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
                 FakePeer silent = new FakePeer(null);
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void whenTheDecisionsThrowEachOpenCallIsAnsweredOnceAndANewLifeBegins() throws Exception {
+    void throwingDispatcher_answersEachCallOnceAndIsReplaced() throws Exception {
         List<Noting> lives = Collections.synchronizedList(new ArrayList<>());
         try (FakePeer silent = new FakePeer(null);
                 GatewayFixture rig = new GatewayFixture(folder, "", (now, seed, settings, actions) -> {
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void aFullHandOverTurnsCallsAwayBeforeTheyAreTaken() throws Exception {
+    void fullSubmissionQueue_rejectsCallsBeforeAcceptingThem() throws Exception {
         CountDownLatch stuck = new CountDownLatch(1);
         try (GatewayFixture rig = new GatewayFixture(
                 folder, "", "hand-over=\"2\"", (now, seed, settings, actions) -> new Noting(actions) {
@@ -219,7 +219,7 @@
     }
 
     @Test
-    void gatewaysSayShortThingsToEachOther() throws Exception {
+    void peers_exchangeMessages() throws Exception {
         CompletableFuture<Noting> one = new CompletableFuture<>();
         CompletableFuture<Noting> two = new CompletableFuture<>();
         int first;
@@ -260,7 +260,7 @@
     }
 
     @Test
-    void theProductsDecisionsServeFromTheFirstCallOn() throws Exception {
+    void cacheAwareDispatcher_servesFirstCall() throws Exception {
         try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
                 GatewayFixture rig = new GatewayFixture(folder, "", CacheAwareDispatcher::new)) {
             rig.announce(worker.id());
--- a/gateway/src/test/java/wharfhinge/gateway/GrpcFrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GrpcFrontTest.java
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aStreamIsHandedOnAsItComes() throws Exception {
+    void stream_isPassedOnAsItComes() throws Exception {
         try (FakePeer worker = new FakePeer(null)) {
             rig.announce(worker.id());
             Iterator<CallReply> parts = flow();
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aStreamThatBreaksOffDoesNotLookWhole() throws Exception {
+    void brokenStream_doesNotLookComplete() throws Exception {
         try (FakePeer worker = new FakePeer(null)) {
             rig.announce(worker.id());
             Iterator<CallReply> parts = flow();
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aSlowClientHoldsTheWorkerBackAndLeavingEndsIt() throws Exception {
+    void slowClient_slowsWorkerDownAndCancelEndsStream() throws Exception {
         try (FakePeer worker = new FakePeer(null)) {
             rig.announce(worker.id());
             CompletableFuture<Throwable> over = new CompletableFuture<>();
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aClassGoesByItsOwnRpc() {
+    void requestClass_hasItsOwnRpc() {
         for (String type : new String[] {"flow", "safe"}) {
             StatusRuntimeException wrong = assertThrows(StatusRuntimeException.class, () -> {
                 if (type.equals("flow")) {
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void aChainIsServedRefusedOrWrongAsOverHttp() throws Exception {
+    void chain_isServedRejectedOrInvalidAsOverHttp() throws Exception {
         String text = "{\"deadline_ms\":1500,\"steps\":[{\"id\":\"a\",\"function\":\"f\",\"class\":\"safe\"}]}";
         GatewayGrpc.GatewayBlockingStub stub =
                 GatewayGrpc.newBlockingStub(channel).withDeadlineAfter(10, TimeUnit.SECONDS);
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void healthTurnsWhenItStopsAndReflectionNamesTheService() throws Exception {
+    void shutdown_turnsHealthAndReflectionNamesService() throws Exception {
         var health = HealthGrpc.newBlockingStub(channel).withDeadlineAfter(10, TimeUnit.SECONDS);
         assertEquals(
                 ServingStatus.SERVING,
--- a/gateway/src/test/java/wharfhinge/gateway/DeadlineTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/RemainingDeadlineTest.java
@@ -19,9 +19,9 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** The time that a worker is told is what is left as the request goes out to it. */
+/** A worker receives the time that is left of the deadline as the request is sent. */
 @Timeout(60)
-class DeadlineTest {
+class RemainingDeadlineTest {
     private static final int PREFACE = 24;
     private static final int FRAME_HEAD = 9;
     private static final int HEADERS = 1;
@@ -34,7 +34,7 @@
 
     /** The connection comes up, and the worker's settings, without which nothing may go out, come late. */
     @Test
-    void ofACallThatWaitedForItsConnection() throws Exception {
+    void callQueuedForConnection_sendsRemainingDeadline() throws Exception {
         try (ServerSocket worker = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
                 GatewayFixture rig = new GatewayFixture(
                         folder,
--- a/gateway/src/test/java/wharfhinge/gateway/TestKeys.java
+++ b/gateway/src/test/java/wharfhinge/gateway/TestCertificates.java
@@ -27,8 +27,8 @@
 import org.bouncycastle.operator.ContentSigner;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
-/** An authority of the test's own, made anew each time. */
-final class TestKeys {
+/** A certificate authority of the test's own, generated each time. */
+final class TestCertificates {
     static final long DAY = 86_400_000L;
 
     /** A certificate with its key, as PEM files. */
@@ -40,7 +40,7 @@
     private final Path folder;
     private int serial = 1;
 
-    TestKeys(Path folder, String name) throws Exception {
+    TestCertificates(Path folder, String name) throws Exception {
         this.folder = Files.createDirectories(folder);
         this.keys = pair();
         this.name = new X500Name("CN=" + name);
--- a/gateway/src/test/java/wharfhinge/gateway/KeysTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
@@ -39,9 +39,9 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.gateway.tls.Tokens;
 
-/** Certificates and tokens, good and bad, over both protocols. */
+/** Certificates and tokens, valid and invalid, over both protocols. */
 @Timeout(60)
-class KeysTest {
+class TlsAndTokenTest {
     private static final long MS = 1_000_000L;
     private static final ClientPolicy ONE_TRY =
             new ClientPolicy(100, 0, 0, 5 * MS, 50 * MS, 5000 * MS, 3, 500 * MS, 150 * MS);
@@ -55,7 +55,8 @@
     }
 
     private static WharfhingeClient client(
-            Way way, GatewayFixture rig, Path authority, TestKeys.Pair own, Supplier<String> token) throws Exception {
+            Way way, GatewayFixture rig, Path authority, TestCertificates.Pair own, Supplier<String> token)
+            throws Exception {
         SslContextBuilder builder =
                 SslContextBuilder.forClient().trustManager(authority.toFile()).sslProvider(SslProvider.JDK);
         if (own != null) {
@@ -92,7 +93,7 @@
         return new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
     }
 
-    private static String tls(TestKeys.Pair server, Path clients, Path revoked, String more) {
+    private static String tls(TestCertificates.Pair server, Path clients, Path revoked, String more) {
         return "<tls certificates='" + server.chain() + "' key='" + server.key() + "'"
                 + (clients == null ? "" : " clients='" + clients + "'")
                 + (revoked == null ? "" : " revoked='" + revoked + "'") + "/>" + more;
@@ -100,11 +101,12 @@
 
     @ParameterizedTest
     @EnumSource(Way.class)
-    void theTenantIsThatOfTheCertificateAndNoOther(Way way) throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair server = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        TestKeys.Pair revoked = keys.client("gone");
-        TestKeys others = new TestKeys(folder.resolve("others"), "theirs");
+    void tenant_isThatOfCertificateOnly(Way way) throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        TestCertificates.Pair revoked = keys.client("gone");
+        TestCertificates others = new TestCertificates(folder.resolve("others"), "theirs");
         try (FakePeer worker = worker();
                 GatewayFixture rig = new GatewayFixture(
                         folder,
@@ -124,10 +126,10 @@
                         "tenant: found no proof, allowed: a client certificate or a token",
                         ((Result.Invalid) call(client, "t1")).reason());
             }
-            for (TestKeys.Pair bad : List.of(
+            for (TestCertificates.Pair bad : List.of(
                     revoked,
-                    keys.issue("old", "t1", null, -2 * TestKeys.DAY, -TestKeys.DAY),
-                    keys.issue("early", "t1", null, TestKeys.DAY, 2 * TestKeys.DAY))) {
+                    keys.issue("old", "t1", null, -2 * TestCertificates.DAY, -TestCertificates.DAY),
+                    keys.issue("early", "t1", null, TestCertificates.DAY, 2 * TestCertificates.DAY))) {
                 try (WharfhingeClient client = client(way, rig, keys.authority, bad, null)) {
                     Result r = call(client, null);
                     assertTrue(r instanceof Result.Refused, bad.certificate().getSubjectX500Principal() + ": " + r);
@@ -142,12 +144,13 @@
     }
 
     @Test
-    void aListOfRevokedThatAnotherSignedIsNotTaken() throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys forger = new TestKeys(folder.resolve("forger"), "ours"); // the same name, another key
-        TestKeys.Pair server = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        TestKeys.Pair t1 = keys.client("t1");
-        TestKeys.Pair gone = keys.client("gone");
+    void revocationListOfAnotherAuthority_isIgnored() throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates forger = new TestCertificates(folder.resolve("forger"), "ours"); // the same name, another key
+        TestCertificates.Pair server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        TestCertificates.Pair t1 = keys.client("t1");
+        TestCertificates.Pair gone = keys.client("gone");
         Path forged = forger.revoked(t1.certificate());
         Exception refused = assertThrows(java.io.UncheckedIOException.class, () -> new GatewayFixture(
                         folder, "", "", tls(server, keys.authority, forged, "<proof/>"), DispatcherFactory.CACHE_AWARE)
@@ -172,12 +175,12 @@
 
     @ParameterizedTest
     @EnumSource(Way.class)
-    void aServerThatIsNotWhoItShouldBeGetsNothing(Way way) throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        for (TestKeys.Pair server : List.of(
-                keys.issue("old", "gw", "127.0.0.1", -2 * TestKeys.DAY, -TestKeys.DAY),
-                keys.issue("early", "gw", "127.0.0.1", TestKeys.DAY, 2 * TestKeys.DAY),
-                keys.issue("host", "gw", "127.0.0.9", -TestKeys.DAY, TestKeys.DAY))) {
+    void wrongServerIdentity_getsNoRequest(Way way) throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        for (TestCertificates.Pair server : List.of(
+                keys.issue("old", "gw", "127.0.0.1", -2 * TestCertificates.DAY, -TestCertificates.DAY),
+                keys.issue("early", "gw", "127.0.0.1", TestCertificates.DAY, 2 * TestCertificates.DAY),
+                keys.issue("host", "gw", "127.0.0.9", -TestCertificates.DAY, TestCertificates.DAY))) {
             try (GatewayFixture rig = new GatewayFixture(
                             folder, "", "", tls(server, null, null, ""), DispatcherFactory.CACHE_AWARE);
                     WharfhingeClient client = client(way, rig, keys.authority, null, null)) {
@@ -190,10 +193,11 @@
 
     @ParameterizedTest
     @EnumSource(Way.class)
-    void tokensAreCheckedAndNeverNamed(Way way) throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair server = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        Path secret = Files.write(folder.resolve("tokens.key"), TestKeys.secret());
+    void tokens_areCheckedAndNeverShown(Way way) throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        Path secret = Files.write(folder.resolve("tokens.key"), TestCertificates.secret());
         Tokens tokens = new Tokens(secret, System::currentTimeMillis);
         long later = System.currentTimeMillis() / 1000 + 3600;
         String[] token = {null};
@@ -258,13 +262,15 @@
     }
 
     @Test
-    void aCertificateWhoseKeyIsNotYetThereIsNotShown() throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair first = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
+    void certificateWithoutItsKey_isNotUsed() throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair first =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
         try (GatewayFixture rig =
                 new GatewayFixture(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE)) {
             int port = rig.gateway.address().getPort();
-            TestKeys.Pair next = keys.issue("next", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
+            TestCertificates.Pair next =
+                    keys.issue("next", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
             Files.copy(next.chain(), first.chain(), StandardCopyOption.REPLACE_EXISTING);
             long until = System.nanoTime() + 2500 * MS; // two looks of a second each
             while (System.nanoTime() < until) {
@@ -280,7 +286,7 @@
             });
         }
         Files.copy(
-                keys.issue("other", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY)
+                keys.issue("other", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY)
                         .key(),
                 first.key(),
                 StandardCopyOption.REPLACE_EXISTING);
@@ -291,9 +297,9 @@
     }
 
     @Test
-    void aNewCertificateIsShownToNewConnectionsAndThoseThatStandGoOn() throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, 4000);
+    void newCertificate_isUsedForNewConnectionsOnly() throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, 4000);
         try (FakePeer worker = worker();
                 GatewayFixture rig = new GatewayFixture(
                         folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
@@ -303,7 +309,8 @@
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
             long connections = rig.metric("connections");
-            TestKeys.Pair next = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
+            TestCertificates.Pair next =
+                    keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
             for (int port : new int[] {
                 rig.gateway.address().getPort(), rig.gateway.grpcAddress().getPort()
             }) {
--- a/gateway/src/test/java/wharfhinge/gateway/WarmUpTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/WarmUpTest.java
@@ -13,7 +13,7 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.engine.EndpointSource;
 
-/** What a gateway does before its port opens. */
+/** The warm-up before the port opens. */
 @Timeout(30)
 class WarmUpTest {
     @TempDir
--- a/gateway/src/test/java/wharfhinge/gateway/HardCasesTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/WorkerFaultTest.java
@@ -28,9 +28,9 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.RosterEntry.State;
 
-/** What goes wrong on real sockets, case by case. */
+/** Faults of workers, connections and clients on real sockets. */
 @Timeout(60)
-class HardCasesTest {
+class WorkerFaultTest {
     @TempDir
     private Path folder;
 
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aWorkerThatDiesAfterTheHeadersIsRepeatedOnlyWhereThatIsSafe() throws Exception {
+    void connectionLostAfterHeaders_retriesOnlyIdempotentCalls() throws Exception {
         try (FakePeer dies = new FakePeer(FakePeer.ReceivedRequest::breakConnection);
                 GatewayFixture rig = rig("")) {
             rig.announce(dies.id());
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aGoAwayProvesThatOnlyCallsAboveItsLastStreamNeverRan() throws Exception {
+    void goAway_provesOnlyStreamsAboveLastNotExecuted() throws Exception {
         try (FakePeer leaves = new FakePeer(null);
                 FakePeer well = serving();
                 GatewayFixture rig = rig("max-connections=\"1\"")) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aRefusedStreamIsTriedElsewhereAndAResetOneIsNot() throws Exception {
+    void refusedStream_isRetriedElsewhereAndResetStreamIsNot() throws Exception {
         try (FakePeer refuses = new FakePeer(in -> in.reset(Http2Error.REFUSED_STREAM));
                 GatewayFixture rig = rig("")) {
             rig.announce(refuses.id());
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void anAnswerInTheDeadlinesMillisecondGivesOneFinalAnswer() throws Exception {
+    void responseAtDeadline_givesOneFinalAnswer() throws Exception {
         ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
         try (FakePeer slow = new FakePeer(in -> timer.schedule(
                         () -> in.respond(SERVED, FOUND, "well"),
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void aClientThatLeavesWhileASecondCopyIsOutLeavesNothingOpen() throws Exception {
+    void clientCancelDuringHedge_leavesNothingInFlight() throws Exception {
         try (FakePeer one = new FakePeer(null);
                 FakePeer two = new FakePeer(null);
                 GatewayFixture rig = rig("second-copies=\"true\"")) {
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void aDrainToldBetweenDecisionAndSendHoldsTheCallBack() throws Exception {
+    void drainBetweenDecisionAndSend_sendsNothing() throws Exception {
         try (FakePeer drains = new FakePeer(null);
                 FakePeer well = serving();
                 GatewayFixture rig = rig("dial-timeout-ms=\"590\"")) {
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aWorkerBackUnderItsAddressIsServedByItsNewProcess() throws Exception {
+    void restartedWorker_servesUnderItsOldAddress() throws Exception {
         FakePeer old = serving();
         int port = old.port();
         try (GatewayFixture rig = rig("")) {
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void deadWorkersInTheListCostATryAndUnlistedOnesGetNothing() throws Exception {
+    void deadWorker_costsOneAttemptAndUnlistedWorkerGetsNothing() throws Exception {
         FakePeer dead = serving();
         String gone = dead.id();
         dead.close();
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void requestsNameTheProcessThatTheyAreMeantFor() throws Exception {
+    void request_namesTheIntendedIncarnation() throws Exception {
         try (FakePeer worker =
                         new FakePeer(in -> in.respond(SERVED, FOUND, String.valueOf(in.headers.get("wh-boot"))));
                 GatewayFixture rig = rig("")) {
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void anAnswerWithoutEndIsCutOffAtItsLimit() throws Exception {
+    void endlessResponse_isCutOffAtLimit() throws Exception {
         try (FakePeer floods = new FakePeer(in -> {
                     in.sendHeaders(SERVED, FOUND, false);
                     in.flood(16_384);
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void aFullWorkerIsNotHarmedAndAnotherServes() throws Exception {
+    void saturatedWorker_isNotPenalizedAndAnotherServes() throws Exception {
         try (FakePeer full = new FakePeer(in -> in.respond(FULL, NONE, ""));
                 FakePeer well = serving();
                 GatewayFixture rig = rig("")) {
@@ -248,7 +248,7 @@
     }
 
     @Test
-    void fiveThousandIdleConnectionsDoNotKeepACallOut() throws Exception {
+    void idleConnections_doNotBlockCalls() throws Exception {
         try (FakePeer well = serving();
                 GatewayFixture rig = rig("")) {
             rig.announce(well.id());
@@ -273,7 +273,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aStreamFlowsAsItComesAndABrokenOneDoesNotLookWhole(boolean whole) throws Exception {
+    void stream_flowsAsItComesAndBrokenStreamDoesNotLookComplete(boolean whole) throws Exception {
         try (FakePeer flows = new FakePeer(null);
                 GatewayFixture rig = rig("")) {
             rig.announce(flows.id());
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void stoppingAnswersWhatIsOpenAndEndsWhatIsNot() throws Exception {
+    void shutdown_answersCallsInFlightAndAbortsTheRest() throws Exception {
         try (FakePeer waits = new FakePeer(null)) {
             GatewayFixture rig = rig("");
             rig.announce(waits.id());
--- a/gateway/src/test/java/wharfhinge/gateway/front/PortBindingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/front/PortBindingTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void itIsTakenAsSoonAsTheFormerLetsGo() throws Exception {
+    void portInUse_isBoundOnceReleased() throws Exception {
         ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         int[] tries = {0};
         Channel bound = bind(former.getLocalPort(), 10_000, () -> {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void onThatNeverLetsGoItEndsWithTheReason() throws Exception {
+    void portNeverReleased_failsWithReason() throws Exception {
         try (ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             assertThrows(BindException.class, () -> bind(former.getLocalPort(), 200, () -> {}));
             assertThrows(BindException.class, () -> bind(former.getLocalPort(), 0, () -> {}));
