--- a/gateway/src/test/java/wharfhinge/gateway/WorkerFaultTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/WorkerFaultTest.java
@@ -273,7 +273,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void stream_flowsAsItComesAndBrokenStreamDoesNotLookComplete(boolean whole) throws Exception {
+    void stream_isPassedOnAsItComesAndBrokenStreamDoesNotLookComplete(boolean whole) throws Exception {
         try (FakePeer flows = new FakePeer(null);
                 GatewayFixture rig = rig("")) {
             rig.announce(flows.id());
@@ -287,7 +287,9 @@
                 in.sendData("first", false);
                 StringBuilder read = new StringBuilder();
                 while (!read.toString().contains("first")) {
-                    read.append((char) client.getInputStream().read());
+                    int next = client.getInputStream().read();
+                    assertTrue(next >= 0, () -> "closed before the first part: " + read);
+                    read.append((char) next);
                 }
                 GatewayFixture.await("told as established", () -> rig.metric("streams") == 1);
                 Thread.sleep(400); // past the deadline, which no longer runs
