--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -32,9 +32,9 @@
 import wharfhinge.gateway.front.ClientListener;
 import wharfhinge.gateway.front.StatusPage;
 import wharfhinge.gateway.grpc.GrpcFront;
-import wharfhinge.gateway.tls.Identity;
-import wharfhinge.gateway.tls.Tls;
-import wharfhinge.gateway.tls.Tokens;
+import wharfhinge.gateway.tls.BearerTokens;
+import wharfhinge.gateway.tls.CallAuthenticator;
+import wharfhinge.gateway.tls.TlsContext;
 import wharfhinge.gateway.upstream.HttpWorkerTransport;
 
 /**
@@ -59,7 +59,7 @@
     private final DispatchEngine engine;
     private final Thread engineThread;
     private final UdpPeerTransport peers; // null where none are set
-    private final Tls tls; // null where calls come in the clear
+    private final TlsContext tls; // null where calls come in the clear
     private final ClientListener clientListener;
     private final GrpcFront grpcListener; // null where none is set
     private final ReentrantLock lifecycleLock = new ReentrantLock();
@@ -147,21 +147,22 @@
                         config.settings().dispatcherNumber(), config.peers(), netty, engine::onPeerMessage);
     }
 
-    private static Tls openTls(GatewayConfig.Tls settings) {
+    private static TlsContext openTls(GatewayConfig.Tls settings) {
         try {
-            return settings == null ? null : new Tls(settings);
+            return settings == null ? null : new TlsContext(settings);
         } catch (IOException e) {
             throw new GatewayStartException(e.getMessage(), e);
         }
     }
 
-    private static Identity newIdentity(GatewayConfig.Proof proof) {
+    private static CallAuthenticator newIdentity(GatewayConfig.Proof proof) {
         if (proof == null) {
-            return new Identity(null, false);
+            return new CallAuthenticator(null, false);
         }
         try {
-            Tokens tokens = proof.tokenKey() == null ? null : new Tokens(proof.tokenKey(), System::currentTimeMillis);
-            return new Identity(tokens, proof.needed());
+            BearerTokens tokens =
+                    proof.tokenKey() == null ? null : new BearerTokens(proof.tokenKey(), System::currentTimeMillis);
+            return new CallAuthenticator(tokens, proof.needed());
         } catch (IOException e) {
             throw new GatewayStartException(e.getMessage(), e);
         }
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
@@ -19,7 +19,7 @@
 import wharfhinge.gateway.front.CallIngress;
 import wharfhinge.gateway.front.ClientListener;
 import wharfhinge.gateway.front.StatusPage;
-import wharfhinge.gateway.tls.Identity;
+import wharfhinge.gateway.tls.CallAuthenticator;
 import wharfhinge.gateway.upstream.HttpWorkerTransport;
 import wharfhinge.policy.DispatcherSettings;
 import wharfhinge.policy.EndpointUpdateMode;
@@ -88,7 +88,7 @@
         engineThread.setDaemon(true);
         engineThread.start();
         engine.onEndpointUpdate(new EndpointUpdate(EndpointUpdateMode.FULL, 1, endpoints(fleet)));
-        CallIngress intake = new CallIngress(config, engine, new Identity(null, false));
+        CallIngress intake = new CallIngress(config, engine, new CallAuthenticator(null, false));
         ClientListener listener = new ClientListener(config, intake, new StatusPage(Map::of), null);
         InetSocketAddress address = listener.listen(netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
         new WarmUpClients(config.settings().classes(), address.getPort(), progress).run();
--- a/gateway/src/main/java/wharfhinge/gateway/front/CallIngress.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/CallIngress.java
@@ -7,7 +7,7 @@
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.engine.DispatchEngine;
 import wharfhinge.engine.ResponseSink;
-import wharfhinge.gateway.tls.Identity;
+import wharfhinge.gateway.tls.CallAuthenticator;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.ClientProtocol;
@@ -19,10 +19,10 @@
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
     private final RequestClass defaultClass; // null where there are several
     private final ChainJsonCodec chains;
-    private final Identity identity;
+    private final CallAuthenticator identity;
 
     /** Resolves classes and tenants as {@code config} has them. */
-    public CallIngress(GatewayConfig config, DispatchEngine engine, Identity identity) {
+    public CallIngress(GatewayConfig config, DispatchEngine engine, CallAuthenticator identity) {
         this.engine = engine;
         this.identity = identity;
         List<RequestClass> all = config.settings().classes();
@@ -55,9 +55,9 @@
         return requestClass;
     }
 
-    /** The tenant of a call, see {@link Identity#check}. */
-    public Identity.Checked authenticate(SSLSession session, String authorization, String claimed) {
-        return identity.check(session, authorization, claimed);
+    /** The tenant of a call, see {@link CallAuthenticator#authenticate}. */
+    public CallAuthenticator.Authentication authenticate(SSLSession session, String authorization, String claimed) {
+        return identity.authenticate(session, authorization, claimed);
     }
 
     /** What a client receives for a call that the engine did not accept. */
--- a/gateway/src/main/java/wharfhinge/gateway/front/HttpCallHandler.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/HttpCallHandler.java
@@ -26,7 +26,7 @@
 import wharfhinge.engine.ClientCall;
 import wharfhinge.engine.DispatchEngine;
 import wharfhinge.engine.ResponseSink;
-import wharfhinge.gateway.tls.Identity;
+import wharfhinge.gateway.tls.CallAuthenticator;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.ClientProtocol;
@@ -114,9 +114,9 @@
             request.release();
             return;
         }
-        Identity.Checked authenticated = authenticate(ctx, request, head.tenant());
-        if (authenticated.fault() != Identity.Fault.NONE) {
-            reply(ctx, statusOf(authenticated.fault()), authenticated.why(), AfterReply.KEEP_OPEN);
+        CallAuthenticator.Authentication authenticated = authenticate(ctx, request, head.tenant());
+        if (authenticated.fault() != CallAuthenticator.Fault.NONE) {
+            reply(ctx, statusOf(authenticated.fault()), authenticated.message(), AfterReply.KEEP_OPEN);
             request.release();
             return;
         }
@@ -141,7 +141,8 @@
         }
     }
 
-    private Identity.Checked authenticate(ChannelHandlerContext ctx, FullHttpRequest request, String claimedTenant) {
+    private CallAuthenticator.Authentication authenticate(
+            ChannelHandlerContext ctx, FullHttpRequest request, String claimedTenant) {
         Channel connection = http2 ? ctx.channel().parent() : ctx.channel();
         SslHandler tls = connection.pipeline().get(SslHandler.class);
         return ingress.authenticate(
@@ -150,8 +151,10 @@
                 claimedTenant);
     }
 
-    private static HttpResponseStatus statusOf(Identity.Fault fault) {
-        return fault == Identity.Fault.OTHER_TENANT ? HttpResponseStatus.FORBIDDEN : HttpResponseStatus.UNAUTHORIZED;
+    private static HttpResponseStatus statusOf(CallAuthenticator.Fault fault) {
+        return fault == CallAuthenticator.Fault.OTHER_TENANT
+                ? HttpResponseStatus.FORBIDDEN
+                : HttpResponseStatus.UNAUTHORIZED;
     }
 
     private void onChainRequest(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -172,9 +175,9 @@
             reply(ctx, HttpResponseStatus.BAD_REQUEST, e.getMessage(), AfterReply.KEEP_OPEN);
             return;
         }
-        Identity.Checked authenticated = authenticate(ctx, request, self[0].tenant());
-        if (authenticated.fault() != Identity.Fault.NONE) {
-            reply(ctx, statusOf(authenticated.fault()), authenticated.why(), AfterReply.KEEP_OPEN);
+        CallAuthenticator.Authentication authenticated = authenticate(ctx, request, self[0].tenant());
+        if (authenticated.fault() != CallAuthenticator.Fault.NONE) {
+            reply(ctx, statusOf(authenticated.fault()), authenticated.message(), AfterReply.KEEP_OPEN);
             return;
         }
         self[0] = self[0].withTenant(authenticated.tenant());
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
@@ -23,7 +23,7 @@
 import wharfhinge.engine.WorkerTransport;
 import wharfhinge.gateway.front.CallIngress;
 import wharfhinge.gateway.front.ChainJsonCodec;
-import wharfhinge.gateway.tls.Identity;
+import wharfhinge.gateway.tls.CallAuthenticator;
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.ClientProtocol;
@@ -72,8 +72,9 @@
             to.onError(Status.INVALID_ARGUMENT.withDescription(e.getMessage()).asRuntimeException());
             return;
         }
-        Identity.Checked who = intake.authenticate(Callers.SESSION.get(), Callers.AUTHORIZATION.get(), head.tenant());
-        if (who.fault() != Identity.Fault.NONE) {
+        CallAuthenticator.Authentication who =
+                intake.authenticate(Callers.SESSION.get(), Callers.AUTHORIZATION.get(), head.tenant());
+        if (who.fault() != CallAuthenticator.Fault.NONE) {
             to.onError(status(who).asRuntimeException());
             return;
         }
@@ -124,9 +125,9 @@
         }
     }
 
-    private static Status status(Identity.Checked who) {
-        return (who.fault() == Identity.Fault.OTHER_TENANT ? Status.PERMISSION_DENIED : Status.UNAUTHENTICATED)
-                .withDescription(who.why());
+    private static Status status(CallAuthenticator.Authentication who) {
+        return (who.fault() == CallAuthenticator.Fault.OTHER_TENANT ? Status.PERMISSION_DENIED : Status.UNAUTHENTICATED)
+                .withDescription(who.message());
     }
 
     /** Refused: a repeat is harmless, which UNAVAILABLE says. Failed: it may have run, which UNKNOWN says. */
@@ -163,9 +164,9 @@
             to.onError(Status.INVALID_ARGUMENT.withDescription(e.getMessage()).asRuntimeException());
             return;
         }
-        Identity.Checked who =
+        CallAuthenticator.Authentication who =
                 intake.authenticate(Callers.SESSION.get(), Callers.AUTHORIZATION.get(), self[0].tenant());
-        if (who.fault() != Identity.Fault.NONE) {
+        if (who.fault() != CallAuthenticator.Fault.NONE) {
             to.onError(status(who).asRuntimeException());
             return;
         }
--- a/gateway/src/main/java/wharfhinge/gateway/tls/Revoked.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/RevocationList.java
@@ -23,29 +23,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Lists of revoked certificates in a file, read again when the file changes. Each must be signed by one of the authorities that clients'
- * certificates come from, else whoever writes the file could shut clients out; a file that holds another, or can't be read, is left out
- * with a warning and the former goes on to hold. Any thread may ask.
+ * Rejects clients whose certificate is in a file of certificate revocation lists (CRL), which is reloaded when it changes.
+ *
+ * <p>Each list must be signed by one of the authorities of clients' certificates, else whoever writes the file could lock
+ * clients out. On a file that can't be used the previous version is kept, with a warning. Thread-safe.
  */
-final class Revoked implements SslSocketAndEnginePeerVerifier {
-    private static final Logger LOG = LoggerFactory.getLogger(Revoked.class);
+final class RevocationList implements SslSocketAndEnginePeerVerifier {
+    private static final Logger LOG = LoggerFactory.getLogger(RevocationList.class);
 
     private final Path file; // null where there is none
     private final Path authorities;
-    private FileTime read;
+    private FileTime loadedModificationTime; // this and the lists are guarded by this
     private List<X509CRL> lists = List.of();
 
     /**
-     * The list of that file, which may be null where there is none.
+     * Loads the file.
      *
+     * @param file        null where nothing is revoked
+     * @param authorities certificates of the authorities that may sign
      * @throws IOException where the file can't be used; later faults only warn
      */
-    Revoked(Path file, Path authorities) throws IOException, GeneralSecurityException {
+    RevocationList(Path file, Path authorities) throws IOException, GeneralSecurityException {
         this.file = file;
         this.authorities = authorities;
         if (file != null) {
-            read = Files.getLastModifiedTime(file);
-            lists = read();
+            loadedModificationTime = Files.getLastModifiedTime(file);
+            lists = load();
         }
     }
 
@@ -65,7 +68,7 @@
         if (file == null) {
             return;
         }
-        renew();
+        reloadIfChanged();
         for (X509CRL list : lists) {
             X509CRLEntry entry = list.getRevokedCertificate(chain[0]);
             if (entry != null) {
@@ -75,47 +78,47 @@
         }
     }
 
-    private void renew() {
+    private void reloadIfChanged() {
         try {
             FileTime changed = Files.getLastModifiedTime(file);
-            if (changed.equals(read)) {
+            if (changed.equals(loadedModificationTime)) {
                 return;
             }
-            read = changed;
-            lists = read();
+            loadedModificationTime = changed;
+            lists = load();
         } catch (IOException | GeneralSecurityException e) {
-            LOG.warn("the list of revoked certificates can't be used, the former holds: {}: {}", file, e.getMessage());
+            LOG.warn("{}: reload of the revocation list failed, keeping previous version: {}", file, e.getMessage());
         }
     }
 
-    private List<X509CRL> read() throws IOException, GeneralSecurityException {
+    private List<X509CRL> load() throws IOException, GeneralSecurityException {
         X509Certificate[] trusted;
-        List<X509CRL> found = new ArrayList<>();
+        List<X509CRL> loaded = new ArrayList<>();
         try (InputStream in = Files.newInputStream(file);
                 InputStream from = Files.newInputStream(authorities)) {
             trusted = CertificateUtils.getX509Certificates(from);
-            CertificateFactory.getInstance("X.509").generateCRLs(in).forEach(list -> found.add((X509CRL) list));
+            CertificateFactory.getInstance("X.509").generateCRLs(in).forEach(list -> loaded.add((X509CRL) list));
         }
-        if (found.isEmpty()) {
+        if (loaded.isEmpty()) {
             throw new CRLException(file + ": found no list, allowed: one or more, PEM or DER");
         }
-        for (X509CRL list : found) {
-            if (Arrays.stream(trusted).noneMatch(authority -> signed(list, authority))) {
+        for (X509CRL list : loaded) {
+            if (Arrays.stream(trusted).noneMatch(authority -> isSignedBy(list, authority))) {
                 throw new CRLException(file + ": found a list signed by none of " + authorities
                         + ", which names as its issuer " + list.getIssuerX500Principal());
             }
             LOG.info(
-                    "list of revoked certificates of {} read, issued by {}",
+                    "revocation list of {} loaded, issued by {}",
                     list.getThisUpdate().toInstant(),
                     list.getIssuerX500Principal());
         }
-        return found;
+        return loaded;
     }
 
-    private static boolean signed(X509CRL list, X509Certificate by) {
+    private static boolean isSignedBy(X509CRL list, X509Certificate authority) {
         try {
-            list.verify(by.getPublicKey());
-            return by.getSubjectX500Principal().equals(list.getIssuerX500Principal());
+            list.verify(authority.getPublicKey());
+            return authority.getSubjectX500Principal().equals(list.getIssuerX500Principal());
         } catch (GeneralSecurityException e) {
             return false; // by another
         }
--- a/gateway/src/main/java/wharfhinge/gateway/tls/Tls.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/TlsContext.java
@@ -37,53 +37,57 @@
 import wharfhinge.config.GatewayConfig;
 
 /**
- * The gateway's certificate and whom it trusts, for both protocols. Files are looked at each second and read again when they change:
- * new connections get the new certificate, those that stand go on. One that can't be read is left out, the former goes on to hold.
+ * The gateway's certificate and the authorities it trusts, for both protocols.
+ *
+ * <p>A thread of its own checks the files each second and reloads those that changed: new connections get the new certificate,
+ * established ones go on. On a file that can't be used the previous version is kept, with a warning.
  */
-public final class Tls implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Tls.class);
-    private static final long LOOK_S = 1;
-    private static final byte[] PROBE = {1, 2, 3, 4};
+public final class TlsContext implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(TlsContext.class);
+    private static final long RELOAD_INTERVAL_SECONDS = 1;
+    private static final ApplicationProtocolConfig ALPN = new ApplicationProtocolConfig(
+            Protocol.ALPN,
+            SelectorFailureBehavior.NO_ADVERTISE,
+            SelectedListenerFailureBehavior.ACCEPT,
+            ApplicationProtocolNames.HTTP_2,
+            ApplicationProtocolNames.HTTP_1_1);
+    private static final byte[] KEY_CHECK_BYTES = {1, 2, 3, 4};
 
     private final SslContext context;
-    private final ScheduledExecutorService looks = Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread t = new Thread(r, "certificates");
-        t.setDaemon(true);
-        return t;
+    private final ScheduledExecutorService reloader = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread thread = new Thread(task, "certificate-reload");
+        thread.setDaemon(true);
+        return thread;
     });
 
     /**
-     * TLS as the settings have it, with its files loaded.
+     * Loads the files of the settings.
      *
-     * @throws IOException names the file that can't be used
+     * @throws InvalidCredentialsException where one can't be used
      */
-    public Tls(GatewayConfig.Tls settings) throws IOException {
+    public TlsContext(GatewayConfig.Tls settings) throws InvalidCredentialsException {
         try {
             AdvancedTlsX509KeyManager keys = new AdvancedTlsX509KeyManager();
-            follow(
-                    () -> identity(keys, settings.certificates(), settings.key()),
+            loadAndWatch(
+                    () -> loadIdentity(keys, settings.certificates(), settings.key()),
                     settings.certificates(),
                     settings.key());
             SslContextBuilder builder = SslContextBuilder.forServer(keys)
                     .sslProvider(SslProvider.JDK)
-                    .applicationProtocolConfig(new ApplicationProtocolConfig(
-                            Protocol.ALPN,
-                            SelectorFailureBehavior.NO_ADVERTISE,
-                            SelectedListenerFailureBehavior.ACCEPT,
-                            ApplicationProtocolNames.HTTP_2,
-                            ApplicationProtocolNames.HTTP_1_1));
+                    .applicationProtocolConfig(ALPN);
             if (settings.clients() != null) {
                 AdvancedTlsX509TrustManager trust = AdvancedTlsX509TrustManager.newBuilder()
                         .setVerification(AdvancedTlsX509TrustManager.Verification.CERTIFICATE_ONLY_VERIFICATION)
-                        .setSslSocketAndEnginePeerVerifier(new Revoked(settings.revoked(), settings.clients()))
+                        .setSslSocketAndEnginePeerVerifier(new RevocationList(settings.revoked(), settings.clients()))
                         .build();
-                follow(() -> trust.updateTrustCredentials(settings.clients().toFile()), settings.clients());
+                loadAndWatch(
+                        () -> trust.updateTrustCredentials(settings.clients().toFile()), settings.clients());
                 builder.trustManager(trust).clientAuth(settings.needed() ? ClientAuth.REQUIRE : ClientAuth.OPTIONAL);
             }
             context = builder.build();
         } catch (GeneralSecurityException | IOException | RuntimeException e) {
-            looks.shutdownNow();
-            throw new IOException(
+            reloader.shutdownNow();
+            throw new InvalidCredentialsException(
                     "tls: " + settings.certificates() + ", " + settings.key()
                             + (settings.clients() == null ? "" : ", " + settings.clients()) + ": " + e.getMessage(),
                     e);
@@ -94,53 +98,53 @@
         void run() throws GeneralSecurityException, IOException;
     }
 
-    /** Loads now, and again a look after one of the files changed; both a certificate and its key, which change one after the other. */
-    private void follow(Load load, Path... files) throws GeneralSecurityException, IOException {
-        List<FileTime> read = new ArrayList<>(times(files));
+    /** Loads now, and again after one of the files changed: a certificate and its key change one after the other. */
+    private void loadAndWatch(Load load, Path... files) throws GeneralSecurityException, IOException {
+        List<FileTime> loaded = new ArrayList<>(modificationTimes(files));
         load.run();
-        looks.scheduleWithFixedDelay(
+        reloader.scheduleWithFixedDelay(
                 () -> {
                     try {
-                        List<FileTime> now = times(files);
-                        if (!now.equals(read)) {
+                        List<FileTime> now = modificationTimes(files);
+                        if (!now.equals(loaded)) {
                             load.run();
-                            read.clear();
-                            read.addAll(now);
-                            LOG.info("read again: {}", List.of(files));
+                            loaded.clear();
+                            loaded.addAll(now);
+                            LOG.info("{}: reloaded", List.of(files));
                         }
                     } catch (GeneralSecurityException | IOException | RuntimeException e) {
-                        LOG.warn("{} can't be used, what was read before holds: {}", List.of(files), e.getMessage());
+                        LOG.warn("{}: reload failed, keeping previous version: {}", List.of(files), e.getMessage());
                     }
                 },
-                LOOK_S,
-                LOOK_S,
+                RELOAD_INTERVAL_SECONDS,
+                RELOAD_INTERVAL_SECONDS,
                 TimeUnit.SECONDS);
     }
 
-    /** Takes a certificate and its key; one that is not of the other is left out, for clients would be shown what can't be proven. */
-    private static void identity(AdvancedTlsX509KeyManager keys, Path certificates, Path key)
+    /** Loads a certificate and its key; a pair that does not match is rejected, since its handshakes would fail. */
+    private static void loadIdentity(AdvancedTlsX509KeyManager keys, Path certificates, Path key)
             throws GeneralSecurityException, IOException {
         X509Certificate[] chain;
-        PrivateKey own;
-        try (InputStream c = Files.newInputStream(certificates);
-                InputStream k = Files.newInputStream(key)) {
-            chain = CertificateUtils.getX509Certificates(c);
-            own = CertificateUtils.getPrivateKey(k);
+        PrivateKey privateKey;
+        try (InputStream certificateIn = Files.newInputStream(certificates);
+                InputStream keyIn = Files.newInputStream(key)) {
+            chain = CertificateUtils.getX509Certificates(certificateIn);
+            privateKey = CertificateUtils.getPrivateKey(keyIn);
         }
         Signature signing =
-                Signature.getInstance(own.getAlgorithm().equals("EC") ? "SHA256withECDSA" : "SHA256withRSA");
-        signing.initSign(own);
-        signing.update(PROBE);
+                Signature.getInstance(privateKey.getAlgorithm().equals("EC") ? "SHA256withECDSA" : "SHA256withRSA");
+        signing.initSign(privateKey);
+        signing.update(KEY_CHECK_BYTES);
         byte[] signed = signing.sign();
         signing.initVerify(chain[0].getPublicKey());
-        signing.update(PROBE);
+        signing.update(KEY_CHECK_BYTES);
         if (!signing.verify(signed)) {
             throw new GeneralSecurityException("the key is not that of the certificate");
         }
-        keys.updateIdentityCredentials(chain, own);
+        keys.updateIdentityCredentials(chain, privateKey);
     }
 
-    private static List<FileTime> times(Path... files) throws IOException {
+    private static List<FileTime> modificationTimes(Path... files) throws IOException {
         List<FileTime> times = new ArrayList<>();
         for (Path file : files) {
             times.add(Files.getLastModifiedTime(file));
@@ -148,16 +152,18 @@
         return times;
     }
 
-    /** For both fronts. */
+    /** For the listeners of both protocols. */
     public SslContext context() {
         return context;
     }
 
-    /** The tenant that a connection's certificate names (its CN), or null where the client showed none. */
-    public static String tenant(SSLSession session) {
+    /** The tenant that a connection's certificate names (its CN), or null where the client presented none. */
+    public static String tenantOf(SSLSession session) {
         try {
-            Certificate[] shown = session.getPeerCertificates();
-            String name = ((X509Certificate) shown[0]).getSubjectX500Principal().getName();
+            Certificate[] peerCertificates = session.getPeerCertificates();
+            String name = ((X509Certificate) peerCertificates[0])
+                    .getSubjectX500Principal()
+                    .getName();
             for (Rdn part : new LdapName(name).getRdns()) {
                 if (part.getType().equalsIgnoreCase("CN")) {
                     return part.getValue().toString();
@@ -171,6 +177,6 @@
 
     @Override
     public void close() {
-        looks.shutdownNow();
+        reloader.shutdownNow();
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/tls/package-info.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/package-info.java
@@ -1,2 +1,2 @@
-/** Who a client is: certificates and tokens, checked; and the gateway's own certificate. */
+/** Authenticates clients by certificate and token, and holds the gateway's own certificate. */
 package wharfhinge.gateway.tls;
--- a/gateway/src/test/java/wharfhinge/gateway/ClientListenerFuzzTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerFuzzTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import wharfhinge.engine.ChainCall;
 import wharfhinge.gateway.front.ChainJsonCodec;
-import wharfhinge.gateway.tls.Tokens;
+import wharfhinge.gateway.tls.BearerTokens;
 import wharfhinge.policy.DeduplicationScope;
 import wharfhinge.policy.Effect;
 import wharfhinge.policy.RequestClass;
@@ -19,14 +19,14 @@
 /** What clients send: whatever comes is taken or refused with a reason. Without JAZZER_FUZZ only seeds run. */
 class ClientListenerFuzzTest {
     private static final byte[] KEY = new byte[32];
-    private static final Tokens TOKENS = tokens();
+    private static final BearerTokens TOKENS = tokens();
     private static final ChainJsonCodec CHAINS = chains();
 
-    private static Tokens tokens() {
+    private static BearerTokens tokens() {
         try {
             Path file = Files.createTempFile("tokens", ".key");
             Files.write(file, KEY);
-            Tokens made = new Tokens(file, () -> 1_000_000_000_000L);
+            BearerTokens made = new BearerTokens(file, () -> 1_000_000_000_000L);
             Files.delete(file);
             return made;
         } catch (java.io.IOException e) {
@@ -74,11 +74,11 @@
     void token(FuzzedDataProvider data) {
         String text = data.consumeRemainingAsString();
         try {
-            String tenant = TOKENS.tenant(text);
+            String tenant = TOKENS.tenantOf(text);
             if (tenant != null && !text.startsWith("Bearer wh1." + tenant + '.')) {
                 throw new AssertionError("found another tenant than it names");
             }
-        } catch (Tokens.BadTokenException e) {
+        } catch (BearerTokens.InvalidTokenException e) {
             if (text.length() > 40 && e.getMessage().contains(text)) {
                 throw new AssertionError("a token in a message");
             }
--- a/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
@@ -37,7 +37,7 @@
 import wharfhinge.client.grpc.GrpcTransport;
 import wharfhinge.client.http.HttpTransport;
 import wharfhinge.engine.DispatcherFactory;
-import wharfhinge.gateway.tls.Tokens;
+import wharfhinge.gateway.tls.BearerTokens;
 
 /** Certificates and tokens, valid and invalid, over both protocols. */
 @Timeout(60)
@@ -198,7 +198,7 @@
         TestCertificates.Pair server =
                 keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
         Path secret = Files.write(folder.resolve("tokens.key"), TestCertificates.secret());
-        Tokens tokens = new Tokens(secret, System::currentTimeMillis);
+        BearerTokens tokens = new BearerTokens(secret, System::currentTimeMillis);
         long later = System.currentTimeMillis() / 1000 + 3600;
         String[] token = {null};
         try (FakePeer worker = worker();
@@ -210,13 +210,13 @@
                         DispatcherFactory.CACHE_AWARE);
                 WharfhingeClient client = client(way, rig, keys.authority, null, () -> token[0])) {
             rig.announce(worker.id());
-            token[0] = tokens.make("a.tenant", later);
+            token[0] = tokens.issue("a.tenant", later);
             assertTrue(call(client, null) instanceof Result.Served);
             assertEquals("a.tenant", worker.next().headers.get("wh-tenant").toString());
             assertTrue(((Result.Invalid) call(client, "b")).reason().contains("found 'b', allowed: 'a.tenant'"));
-            token[0] = tokens.make("a", later - 7200);
+            token[0] = tokens.issue("a", later - 7200);
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("expired at"));
-            token[0] = tokens.make("a", later).replace("wh1.a.", "wh1.b.");
+            token[0] = tokens.issue("a", later).replace("wh1.a.", "wh1.b.");
             String forged = ((Result.Invalid) call(client, null)).reason();
             assertTrue(forged.contains("MAC is wrong") && !forged.contains(token[0]), forged);
             token[0] = "nothing";
@@ -226,7 +226,7 @@
             assertEquals(1, rig.metric("taken"));
         }
         Files.write(secret, new byte[3]);
-        assertTrue(assertThrows(java.io.IOException.class, () -> new Tokens(secret, () -> 0))
+        assertTrue(assertThrows(java.io.IOException.class, () -> new BearerTokens(secret, () -> 0))
                 .getMessage()
                 .contains("3 bytes"));
     }
