--- a/gateway/src/test/java/wharfhinge/gateway/DoorFuzzTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerFuzzTest.java
@@ -7,8 +7,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import wharfhinge.engine.ChainCall;
-import wharfhinge.gateway.front.ChainJson;
-import wharfhinge.gateway.tls.Tokens;
+import wharfhinge.gateway.front.ChainJsonCodec;
+import wharfhinge.gateway.tls.BearerTokens;
 import wharfhinge.policy.DeduplicationScope;
 import wharfhinge.policy.Effect;
 import wharfhinge.policy.RequestClass;
@@ -17,16 +17,16 @@
 import wharfhinge.protocol.ProtocolException;
 
 /** What clients send: whatever comes is taken or refused with a reason. Without JAZZER_FUZZ only seeds run. */
-class DoorFuzzTest {
+class ClientListenerFuzzTest {
     private static final byte[] KEY = new byte[32];
-    private static final Tokens TOKENS = tokens();
-    private static final ChainJson CHAINS = chains();
+    private static final BearerTokens TOKENS = tokens();
+    private static final ChainJsonCodec CHAINS = chains();
 
-    private static Tokens tokens() {
+    private static BearerTokens tokens() {
         try {
             Path file = Files.createTempFile("tokens", ".key");
             Files.write(file, KEY);
-            Tokens made = new Tokens(file, () -> 1_000_000_000_000L);
+            BearerTokens made = new BearerTokens(file, () -> 1_000_000_000_000L);
             Files.delete(file);
             return made;
         } catch (java.io.IOException e) {
@@ -34,13 +34,15 @@
         }
     }
 
-    private static ChainJson chains() {
+    private static ChainJsonCodec chains() {
         try {
             RequestClass type =
                     new RequestClass("safe", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 2, 1, 0, false, 0);
             Path folder = Files.createTempDirectory("fuzz");
-            return new ChainJson(
-                    Map.of("safe", type), type, Rig.config(folder, "", "", 1).chains());
+            return new ChainJsonCodec(
+                    Map.of("safe", type),
+                    type,
+                    GatewayFixture.config(folder, "", "", 1).chains());
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
@@ -72,11 +74,11 @@
     void token(FuzzedDataProvider data) {
         String text = data.consumeRemainingAsString();
         try {
-            String tenant = TOKENS.tenant(text);
+            String tenant = TOKENS.tenantOf(text);
             if (tenant != null && !text.startsWith("Bearer wh1." + tenant + '.')) {
                 throw new AssertionError("found another tenant than it names");
             }
-        } catch (Tokens.BadTokenException e) {
+        } catch (BearerTokens.InvalidTokenException e) {
             if (text.length() > 40 && e.getMessage().contains(text)) {
                 throw new AssertionError("a token in a message");
             }
@@ -90,7 +92,7 @@
             if (call.plan().steps().isEmpty() || call.deadlineNanos() <= 0) {
                 throw new AssertionError("taken: " + call);
             }
-        } catch (ChainJson.BadChainException e) {
+        } catch (ChainJsonCodec.InvalidChainException e) {
             if (e.getMessage().isEmpty()) {
                 throw new AssertionError("refused without a reason");
             }
--- a/gateway/src/test/java/wharfhinge/gateway/FrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerTest.java
@@ -40,20 +40,20 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wharfhinge.engine.DispatcherFactory;
 
-/** What clients send, well and badly. */
+/** Requests of clients, valid and malformed. */
 @Timeout(60)
-class FrontTest {
+class ClientListenerTest {
     @TempDir
     private Path folder;
 
-    private ScriptedPeer worker;
-    private Rig rig;
+    private FakePeer worker;
+    private GatewayFixture rig;
 
     @BeforeEach
     void begin() throws Exception {
-        worker = new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
-        rig = new Rig(folder, "", DispatcherFactory.CACHE_AWARE);
-        rig.list(worker.id());
+        worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
+        rig = new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
+        rig.announce(worker.id());
     }
 
     @AfterEach
@@ -96,15 +96,16 @@
                 "GET /v1/call/f|wh-class: safe|405|method: found 'GET', allowed: POST",
                 "POST /v2/other|wh-class: safe|404|path: found nothing there, allowed: /v1/call/{function}"
             })
-    void badInputIsToldApartAndOthersGoOn(String line, String header, int status, String expected) throws Exception {
+    void malformedRequest_isRejectedWithItsFaultAndOthersAreServed(
+            String line, String header, int status, String expected) throws Exception {
         String answer = raw(line + " HTTP/1.1\nhost: x\n" + header + "\ncontent-length: 0\n\n");
         assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
         assertTrue(answer.contains(expected), answer);
-        assertEquals("well", Rig.get(rig.call("safe", "f", 2000)).body());
+        assertEquals("well", GatewayFixture.get(rig.call("safe", "f", 2000)).body());
     }
 
     @Test
-    void sizesOverTheLimitAndBrokenFramingAreRefused() throws Exception {
+    void oversizedOrBrokenRequest_isRejected() throws Exception {
         String body = raw("POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\ncontent-length: 900000\n\nxx");
         assertTrue(body.startsWith("HTTP/1.1 413") && body.contains("allowed: at most 65536"), body);
         String headers = raw("POST /v1/call/f HTTP/1.1\nhost: x\nlong: " + "y".repeat(5000) + "\n\n");
@@ -113,11 +114,11 @@
         assertTrue(chunks.startsWith("HTTP/1.1 400"), chunks);
         String nonsense = raw("\u0001\u0002 nonsense\n\n");
         assertTrue(nonsense.startsWith("HTTP/1.1 400"), nonsense);
-        assertEquals("well", Rig.get(rig.call("safe", "f", 2000)).body());
+        assertEquals("well", GatewayFixture.get(rig.call("safe", "f", 2000)).body());
     }
 
     @Test
-    void pipelinedCallsAreAnsweredInOrder() throws Exception {
+    void pipelinedCalls_areAnsweredInOrder() throws Exception {
         String one = "POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\nwh-id: a\ncontent-length: 0\n\n";
         String all = raw(one + one + "GET /v1/nowhere HTTP/1.1\nhost: x\n\n");
         assertEquals(2, all.split("wh-answer: served", -1).length - 1, all);
@@ -125,8 +126,8 @@
     }
 
     @Test
-    void answersTellTheWorkerTheReasonAndTheAttempts() throws Exception {
-        HttpResponse<String> response = Rig.get(rig.call("safe", "f", 2000));
+    void response_hasWorkerReasonAndAttempts() throws Exception {
+        HttpResponse<String> response = GatewayFixture.get(rig.call("safe", "f", 2000));
         assertEquals(worker.id(), response.headers().firstValue("wh-worker").orElse(""));
         assertEquals(
                 worker.id() + ":served/found",
@@ -135,7 +136,7 @@
     }
 
     @Test
-    void http2CallsAreServedAndToldToGoAwayAtTheEnd() throws Exception {
+    void http2Calls_areServedAndReceiveGoAwayOnShutdown() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         BlockingQueue<String> got = new LinkedBlockingQueue<>();
         try {
--- a/gateway/src/test/java/wharfhinge/gateway/MvStepJournalTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/MvStoreStepJournalTest.java
@@ -7,19 +7,21 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import org.h2.mvstore.MVStore;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharfhinge.decisions.chain.FinishedSteps.Answer;
 
-/** Finished steps over a crash. */
+/** The journal of finished steps over a crash. */
 @Timeout(30)
-class MvStepJournalTest {
+class MvStoreStepJournalTest {
     private static final long WINDOW = 30_000_000_000L;
 
     @TempDir
@@ -29,7 +31,7 @@
 
     private List<String> restored(Path file) {
         List<String> steps = new ArrayList<>();
-        try (MvStepJournal journal = new MvStepJournal(file, WINDOW, wall::get)) {
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get)) {
             journal.restore((age, tenant, key, digest, count, step, answer) -> steps.add(tenant
                     + key
                     + digest
@@ -43,11 +45,11 @@
     }
 
     @Test
-    void whatWasSaidToBeKeptACrashLeaves() throws Exception {
+    void acknowledgedStep_survivesCrash() throws Exception {
         Path file = folder.resolve("deep/steps");
         List<Path> crashed = new CopyOnWriteArrayList<>();
         CountDownLatch kept = new CountDownLatch(100);
-        MvStepJournal journal = new MvStepJournal(file, WINDOW, wall::get);
+        MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get);
         try (journal) {
             for (int i = 0; i < 100; i++) {
                 int step = i;
@@ -81,8 +83,24 @@
         }
     }
 
+    /** The form on disk outlives versions: a gateway restores what the one before it recorded. */
     @Test
-    void aDamagedFileIsSetAsideAndTheGatewayServes() throws Exception {
+    void recordedStep_keepsItsFormOnDisk() throws Exception {
+        Path file = folder.resolve("golden");
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get)) {
+            assertTrue(journal.recordStep("t", "k", "d", 2, 1, new Answer(new byte[] {7, 8}, "a/b"), () -> {}));
+        }
+        try (MVStore store = new MVStore.Builder().fileName(file.toString()).open()) {
+            byte[] value = store.<String, byte[]>openMap("steps").get("t\nk\n1");
+            assertEquals(
+                    "00000000000f4240" + "000174" + "00016b" + "000164" + "00000002" + "00000001" + "0003612f62"
+                            + "00000002" + "0708",
+                    HexFormat.of().formatHex(value));
+        }
+    }
+
+    @Test
+    void damagedFile_isSetAsideAndReplaced() throws Exception {
         Path file = folder.resolve("steps");
         Files.write(file, "this is no store, whatever it was before".repeat(400).getBytes());
         assertEquals(List.of(), restored(file));
--- a/gateway/src/test/java/wharfhinge/gateway/KeysTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
@@ -37,11 +37,11 @@
 import wharfhinge.client.grpc.GrpcTransport;
 import wharfhinge.client.http.HttpTransport;
 import wharfhinge.engine.DispatcherFactory;
-import wharfhinge.gateway.tls.Tokens;
+import wharfhinge.gateway.tls.BearerTokens;
 
-/** Certificates and tokens, good and bad, over both protocols. */
+/** Certificates and tokens, valid and invalid, over both protocols. */
 @Timeout(60)
-class KeysTest {
+class TlsAndTokenTest {
     private static final long MS = 1_000_000L;
     private static final ClientPolicy ONE_TRY =
             new ClientPolicy(100, 0, 0, 5 * MS, 50 * MS, 5000 * MS, 3, 500 * MS, 150 * MS);
@@ -54,7 +54,8 @@
         GRPC
     }
 
-    private static WharfhingeClient client(Way way, Rig rig, Path authority, TestKeys.Pair own, Supplier<String> token)
+    private static WharfhingeClient client(
+            Way way, GatewayFixture rig, Path authority, TestCertificates.Pair own, Supplier<String> token)
             throws Exception {
         SslContextBuilder builder =
                 SslContextBuilder.forClient().trustManager(authority.toFile()).sslProvider(SslProvider.JDK);
@@ -88,11 +89,11 @@
                 .get(10, TimeUnit.SECONDS);
     }
 
-    private static ScriptedPeer worker() {
-        return new ScriptedPeer(in -> in.answer(SERVED, FOUND, "well"));
+    private static FakePeer worker() {
+        return new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
     }
 
-    private static String tls(TestKeys.Pair server, Path clients, Path revoked, String more) {
+    private static String tls(TestCertificates.Pair server, Path clients, Path revoked, String more) {
         return "<tls certificates='" + server.chain() + "' key='" + server.key() + "'"
                 + (clients == null ? "" : " clients='" + clients + "'")
                 + (revoked == null ? "" : " revoked='" + revoked + "'") + "/>" + more;
@@ -100,19 +101,20 @@
 
     @ParameterizedTest
     @EnumSource(Way.class)
-    void theTenantIsThatOfTheCertificateAndNoOther(Way way) throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair server = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        TestKeys.Pair revoked = keys.client("gone");
-        TestKeys others = new TestKeys(folder.resolve("others"), "theirs");
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(
+    void tenant_isThatOfCertificateOnly(Way way) throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        TestCertificates.Pair revoked = keys.client("gone");
+        TestCertificates others = new TestCertificates(folder.resolve("others"), "theirs");
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
                         folder,
                         "",
                         "",
                         tls(server, keys.authority, keys.revoked(revoked.certificate()), "<proof/>"),
                         DispatcherFactory.CACHE_AWARE)) {
-            rig.list(worker.id());
+            rig.announce(worker.id());
             try (WharfhingeClient client = client(way, rig, keys.authority, keys.client("t1"), null)) {
                 assertTrue(call(client, null) instanceof Result.Served);
                 assertEquals("t1", worker.next().headers.get("wh-tenant").toString());
@@ -124,10 +126,10 @@
                         "tenant: found no proof, allowed: a client certificate or a token",
                         ((Result.Invalid) call(client, "t1")).reason());
             }
-            for (TestKeys.Pair bad : List.of(
+            for (TestCertificates.Pair bad : List.of(
                     revoked,
-                    keys.issue("old", "t1", null, -2 * TestKeys.DAY, -TestKeys.DAY),
-                    keys.issue("early", "t1", null, TestKeys.DAY, 2 * TestKeys.DAY))) {
+                    keys.issue("old", "t1", null, -2 * TestCertificates.DAY, -TestCertificates.DAY),
+                    keys.issue("early", "t1", null, TestCertificates.DAY, 2 * TestCertificates.DAY))) {
                 try (WharfhingeClient client = client(way, rig, keys.authority, bad, null)) {
                     Result r = call(client, null);
                     assertTrue(r instanceof Result.Refused, bad.certificate().getSubjectX500Principal() + ": " + r);
@@ -137,27 +139,28 @@
                     client(way, rig, keys.authority, others.client("t1"), null)) { // which Java does not even show
                 assertTrue(((Result.Invalid) call(client, null)).reason().contains("no proof"));
             }
-            assertEquals(2, rig.figure("taken"), "nothing of the others was taken");
+            assertEquals(2, rig.metric("taken"), "nothing of the others was taken");
         }
     }
 
     @Test
-    void aListOfRevokedThatAnotherSignedIsNotTaken() throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys forger = new TestKeys(folder.resolve("forger"), "ours"); // the same name, another key
-        TestKeys.Pair server = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        TestKeys.Pair t1 = keys.client("t1");
-        TestKeys.Pair gone = keys.client("gone");
+    void revocationListOfAnotherAuthority_isIgnored() throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates forger = new TestCertificates(folder.resolve("forger"), "ours"); // the same name, another key
+        TestCertificates.Pair server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        TestCertificates.Pair t1 = keys.client("t1");
+        TestCertificates.Pair gone = keys.client("gone");
         Path forged = forger.revoked(t1.certificate());
-        Exception refused = assertThrows(java.io.UncheckedIOException.class, () -> new Rig(
+        Exception refused = assertThrows(java.io.UncheckedIOException.class, () -> new GatewayFixture(
                         folder, "", "", tls(server, keys.authority, forged, "<proof/>"), DispatcherFactory.CACHE_AWARE)
                 .close());
         assertTrue(refused.getMessage().contains("signed by none of"), refused.getMessage());
         Path list = keys.revoked(gone.certificate());
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
                         folder, "", "", tls(server, keys.authority, list, "<proof/>"), DispatcherFactory.CACHE_AWARE)) {
-            rig.list(worker.id());
+            rig.announce(worker.id());
             Files.copy(forged, list, StandardCopyOption.REPLACE_EXISTING);
             Files.setLastModifiedTime(
                     list, java.nio.file.attribute.FileTime.fromMillis(System.currentTimeMillis() + 5000));
@@ -172,56 +175,58 @@
 
     @ParameterizedTest
     @EnumSource(Way.class)
-    void aServerThatIsNotWhoItShouldBeGetsNothing(Way way) throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        for (TestKeys.Pair server : List.of(
-                keys.issue("old", "gw", "127.0.0.1", -2 * TestKeys.DAY, -TestKeys.DAY),
-                keys.issue("early", "gw", "127.0.0.1", TestKeys.DAY, 2 * TestKeys.DAY),
-                keys.issue("host", "gw", "127.0.0.9", -TestKeys.DAY, TestKeys.DAY))) {
-            try (Rig rig = new Rig(folder, "", "", tls(server, null, null, ""), DispatcherFactory.CACHE_AWARE);
+    void wrongServerIdentity_getsNoRequest(Way way) throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        for (TestCertificates.Pair server : List.of(
+                keys.issue("old", "gw", "127.0.0.1", -2 * TestCertificates.DAY, -TestCertificates.DAY),
+                keys.issue("early", "gw", "127.0.0.1", TestCertificates.DAY, 2 * TestCertificates.DAY),
+                keys.issue("host", "gw", "127.0.0.9", -TestCertificates.DAY, TestCertificates.DAY))) {
+            try (GatewayFixture rig = new GatewayFixture(
+                            folder, "", "", tls(server, null, null, ""), DispatcherFactory.CACHE_AWARE);
                     WharfhingeClient client = client(way, rig, keys.authority, null, null)) {
                 Result r = call(client, null);
                 assertTrue(r instanceof Result.Refused, r.toString());
-                assertEquals(0, rig.figure("taken"));
+                assertEquals(0, rig.metric("taken"));
             }
         }
     }
 
     @ParameterizedTest
     @EnumSource(Way.class)
-    void tokensAreCheckedAndNeverNamed(Way way) throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair server = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        Path secret = Files.write(folder.resolve("tokens.key"), TestKeys.secret());
-        Tokens tokens = new Tokens(secret, System::currentTimeMillis);
+    void tokens_areCheckedAndNeverShown(Way way) throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        Path secret = Files.write(folder.resolve("tokens.key"), TestCertificates.secret());
+        BearerTokens tokens = new BearerTokens(secret, System::currentTimeMillis);
         long later = System.currentTimeMillis() / 1000 + 3600;
         String[] token = {null};
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
                         folder,
                         "",
                         "",
                         tls(server, null, null, "<proof token-key-file='" + secret + "'/>"),
                         DispatcherFactory.CACHE_AWARE);
                 WharfhingeClient client = client(way, rig, keys.authority, null, () -> token[0])) {
-            rig.list(worker.id());
-            token[0] = tokens.make("a.tenant", later);
+            rig.announce(worker.id());
+            token[0] = tokens.issue("a.tenant", later);
             assertTrue(call(client, null) instanceof Result.Served);
             assertEquals("a.tenant", worker.next().headers.get("wh-tenant").toString());
             assertTrue(((Result.Invalid) call(client, "b")).reason().contains("found 'b', allowed: 'a.tenant'"));
-            token[0] = tokens.make("a", later - 7200);
+            token[0] = tokens.issue("a", later - 7200);
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("expired at"));
-            token[0] = tokens.make("a", later).replace("wh1.a.", "wh1.b.");
+            token[0] = tokens.issue("a", later).replace("wh1.a.", "wh1.b.");
             String forged = ((Result.Invalid) call(client, null)).reason();
             assertTrue(forged.contains("MAC is wrong") && !forged.contains(token[0]), forged);
             token[0] = "nothing";
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("another form"));
             token[0] = null;
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("no proof"));
-            assertEquals(1, rig.figure("taken"));
+            assertEquals(1, rig.metric("taken"));
         }
         Files.write(secret, new byte[3]);
-        assertTrue(assertThrows(java.io.IOException.class, () -> new Tokens(secret, () -> 0))
+        assertTrue(assertThrows(java.io.IOException.class, () -> new BearerTokens(secret, () -> 0))
                 .getMessage()
                 .contains("3 bytes"));
     }
@@ -257,19 +262,22 @@
     }
 
     @Test
-    void aCertificateWhoseKeyIsNotYetThereIsNotShown() throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair first = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
-        try (Rig rig = new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE)) {
+    void certificateWithoutItsKey_isNotUsed() throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair first =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        try (GatewayFixture rig =
+                new GatewayFixture(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE)) {
             int port = rig.gateway.address().getPort();
-            TestKeys.Pair next = keys.issue("next", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
+            TestCertificates.Pair next =
+                    keys.issue("next", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
             Files.copy(next.chain(), first.chain(), StandardCopyOption.REPLACE_EXISTING);
             long until = System.nanoTime() + 2500 * MS; // two looks of a second each
             while (System.nanoTime() < until) {
                 assertEquals(first.certificate().getSerialNumber(), shown(port));
             }
             Files.copy(next.key(), first.key(), StandardCopyOption.REPLACE_EXISTING);
-            Rig.await("both are there", () -> {
+            GatewayFixture.await("both are there", () -> {
                 try {
                     return shown(port).equals(next.certificate().getSerialNumber());
                 } catch (Exception e) {
@@ -278,33 +286,35 @@
             });
         }
         Files.copy(
-                keys.issue("other", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY)
+                keys.issue("other", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY)
                         .key(),
                 first.key(),
                 StandardCopyOption.REPLACE_EXISTING);
         var wrong = assertThrows(
                 java.io.UncheckedIOException.class,
-                () -> new Rig(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE));
+                () -> new GatewayFixture(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE));
         assertTrue(wrong.getMessage().contains("the key is not that of the certificate"), wrong.getMessage());
     }
 
     @Test
-    void aNewCertificateIsShownToNewConnectionsAndThoseThatStandGoOn() throws Exception {
-        TestKeys keys = new TestKeys(folder.resolve("keys"), "ours");
-        TestKeys.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, 4000);
-        try (ScriptedPeer worker = worker();
-                Rig rig = new Rig(folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
+    void newCertificate_isUsedForNewConnectionsOnly() throws Exception {
+        TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
+        TestCertificates.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, 4000);
+        try (FakePeer worker = worker();
+                GatewayFixture rig = new GatewayFixture(
+                        folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
                 WharfhingeClient http = client(Way.HTTP, rig, keys.authority, null, null);
                 WharfhingeClient grpc = client(Way.GRPC, rig, keys.authority, null, null)) {
-            rig.list(worker.id());
+            rig.announce(worker.id());
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
-            long connections = rig.figure("connections");
-            TestKeys.Pair next = keys.issue("server", "gw", "127.0.0.1", -TestKeys.DAY, TestKeys.DAY);
+            long connections = rig.metric("connections");
+            TestCertificates.Pair next =
+                    keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
             for (int port : new int[] {
                 rig.gateway.address().getPort(), rig.gateway.grpcAddress().getPort()
             }) {
-                Rig.await("the new certificate is shown", () -> {
+                GatewayFixture.await("the new certificate is shown", () -> {
                     try {
                         return shown(port).equals(next.certificate().getSerialNumber());
                     } catch (Exception e) {
@@ -312,13 +322,13 @@
                     }
                 });
             }
-            Rig.await(
+            GatewayFixture.await(
                     "the first has expired",
                     () -> System.currentTimeMillis()
                             > soonOver.certificate().getNotAfter().getTime());
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
-            assertEquals(connections, rig.figure("connections"), "on the connection that stood");
+            assertEquals(connections, rig.metric("connections"), "on the connection that stood");
         }
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/front/BindingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/front/PortBindingTest.java
@@ -21,7 +21,7 @@
 
 /** A port that a former process holds, where ports can't be shared. */
 @Timeout(20)
-class BindingTest {
+class PortBindingTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
     @AfterEach
@@ -34,14 +34,14 @@
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInboundHandlerAdapter());
-        return Binding.within(TimeUnit.MILLISECONDS.toNanos(withinMillis), () -> {
+        return PortBinding.bindWithin(TimeUnit.MILLISECONDS.toNanos(withinMillis), () -> {
             betweenTries.run();
             return bootstrap.bind("127.0.0.1", port);
         });
     }
 
     @Test
-    void itIsTakenAsSoonAsTheFormerLetsGo() throws Exception {
+    void portInUse_isBoundOnceReleased() throws Exception {
         ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         int[] tries = {0};
         Channel bound = bind(former.getLocalPort(), 10_000, () -> {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void onThatNeverLetsGoItEndsWithTheReason() throws Exception {
+    void portNeverReleased_failsWithReason() throws Exception {
         try (ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             assertThrows(BindException.class, () -> bind(former.getLocalPort(), 200, () -> {}));
             assertThrows(BindException.class, () -> bind(former.getLocalPort(), 0, () -> {}));
