--- a/app/src/main/java/wharfhinge/app/CheckCommand.java
+++ b/app/src/main/java/wharfhinge/app/CheckCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.config.InvalidFileException;
+import wharfhinge.config.InvalidConfigurationException;
 
 /** Checks settings files. */
 @Command(
@@ -25,7 +25,7 @@
             try {
                 GatewayConfig config = GatewayConfig.load(file);
                 System.out.println(file + ": well, gateway " + config.name());
-            } catch (InvalidFileException e) {
+            } catch (InvalidConfigurationException e) {
                 System.out.println(e.getMessage());
                 code = Program.WANTING;
             }
--- a/app/src/main/java/wharfhinge/app/ReplayCommand.java
+++ b/app/src/main/java/wharfhinge/app/ReplayCommand.java
@@ -31,7 +31,7 @@
 import wharfhinge.capture.Replayer;
 import wharfhinge.capture.TraceMinimizer;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.config.InvalidFileException;
+import wharfhinge.config.InvalidConfigurationException;
 import wharfhinge.policy.CacheAwareDispatcher;
 import wharfhinge.policy.Dispatcher;
 
@@ -125,7 +125,7 @@
     private List<Path> classes = new ArrayList<>();
 
     @Override
-    public Integer call() throws IOException, InvalidFileException {
+    public Integer call() throws IOException, InvalidConfigurationException {
         if (merge) {
             return merged();
         }
@@ -217,12 +217,12 @@
     }
 
     /** Counterfactual: the events stay those that the captured decisions led to. */
-    private Integer otherSettings(List<Frame> frames, long end) throws InvalidFileException {
+    private Integer otherSettings(List<Frame> frames, long end) throws InvalidConfigurationException {
         GatewayConfig other = GatewayConfig.load(whatIf);
         long[] first = {-1};
         long[] differ = {0};
         List<String> shown = new ArrayList<>();
-        Replayer.Result result = new Replayer(CacheAwareDispatcher::new, captured -> other.settings())
+        Replayer.Result result = new Replayer(CacheAwareDispatcher::new, captured -> other.dispatcherSettings())
                 .counterfactual(frames, end, new Replayer.Watcher() {
                     @Override
                     public void before(long index, Frame frame, Dispatcher dispatcher) {}
--- a/app/src/main/java/wharfhinge/app/Serving.java
+++ b/app/src/main/java/wharfhinge/app/Serving.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.UnaryOperator;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.config.InvalidFileException;
+import wharfhinge.config.InvalidConfigurationException;
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.engine.EndpointSource;
 import wharfhinge.gateway.Gateway;
@@ -25,7 +25,7 @@
         GatewayConfig config;
         try {
             config = changed.apply(GatewayConfig.load(file));
-        } catch (InvalidFileException e) {
+        } catch (InvalidConfigurationException e) {
             System.err.println(e.getMessage());
             return Program.WANTING;
         }
--- a/app/src/main/java/wharfhinge/app/WorkerCommand.java
+++ b/app/src/main/java/wharfhinge/app/WorkerCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wharfhinge.config.InvalidFileException;
+import wharfhinge.config.InvalidConfigurationException;
 import wharfhinge.config.XmlFile;
 import wharfhinge.worker.WorkerServer;
 import wharfhinge.worker.WorkerSettings;
@@ -31,7 +31,7 @@
         WorkerSettings settings;
         try {
             settings = XmlFile.load(config, WorkerSettings.schema(), WorkerSettings.class, (read, faults) -> {});
-        } catch (InvalidFileException e) {
+        } catch (InvalidConfigurationException e) {
             System.err.println(e.getMessage());
             return Program.WANTING;
         }
--- a/app/src/main/java/wharfhinge/app/drill/Mutant.java
+++ b/app/src/main/java/wharfhinge/app/drill/Mutant.java
@@ -141,14 +141,14 @@
         @Override
         GatewayConfig change(GatewayConfig config) {
             return config.withChains(c -> new ChainSettings(
-                    ChainSettings.Clock.EACH_STEP,
+                    ChainSettings.Clock.DEADLINE_PER_STEP,
                     false,
                     0,
                     false,
-                    c.mostChains(),
-                    c.mostSteps(),
+                    c.maxChains(),
+                    c.maxSteps(),
                     c.tenantShare(),
-                    c.mostBytes(),
+                    c.maxHeldBytes(),
                     c.reserveNanos()));
         }
     },
@@ -160,11 +160,11 @@
                     c.clock(),
                     false,
                     0,
-                    c.loadAhead(),
-                    c.mostChains(),
-                    c.mostSteps(),
+                    c.prefetch(),
+                    c.maxChains(),
+                    c.maxSteps(),
                     c.tenantShare(),
-                    c.mostBytes(),
+                    c.maxHeldBytes(),
                     c.reserveNanos()));
         }
     };
--- a/app/src/main/java/wharfhinge/app/drill/Scenarios.java
+++ b/app/src/main/java/wharfhinge/app/drill/Scenarios.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import wharfhinge.config.InvalidFileException;
+import wharfhinge.config.InvalidConfigurationException;
 import wharfhinge.config.XmlFile;
 import wharfhinge.standin.Scenario;
 
@@ -18,7 +18,7 @@
     private Scenarios() {}
 
     /** The file, or where it is null the scenario of that name. */
-    public static Scenario load(Path file, String name) throws InvalidFileException, IOException {
+    public static Scenario load(Path file, String name) throws InvalidConfigurationException, IOException {
         if (file != null) {
             return read(file);
         }
@@ -34,7 +34,7 @@
         }
     }
 
-    private static Scenario read(Path file) throws InvalidFileException {
+    private static Scenario read(Path file) throws InvalidConfigurationException {
         return XmlFile.load(file, Scenario.class.getResource("scenario.xsd"), Scenario.class, (scenario, faults) -> {
             double shares = scenario.offered().classes().stream()
                     .mapToDouble(c -> c.share())
--- a/app/src/main/java/wharfhinge/app/measure/ChainCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ChainCostCommand.java
@@ -6,10 +6,10 @@
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import wharfhinge.app.Program;
-import wharfhinge.decisions.chain.ChainDecisions;
-import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
-import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.decisions.chain.ChainPlan;
+import wharfhinge.decisions.chain.ChainResult;
+import wharfhinge.decisions.chain.ChainScheduler;
+import wharfhinge.decisions.chain.ChainScheduler.StepEnd;
 import wharfhinge.decisions.chain.ChainSettings;
 import wharfhinge.policy.Effect;
 
@@ -55,28 +55,28 @@
     /** Whole chains from begin to end; each histogram value is one chain's time. */
     private static Histogram run(ChainPlan plan, int chains) {
         Histogram cost = new Histogram(10_000_000_000L, 3);
-        ChainDecisions decisions = new ChainDecisions(
-                new ChainSettings(ChainSettings.Clock.ONE, true, 50, true, 100, 100, 1, 1 << 20, 4 * MS),
-                new ChainDecisions.Actions() {
+        ChainScheduler decisions = new ChainScheduler(
+                new ChainSettings(ChainSettings.Clock.SHARED_DEADLINE, true, 50, true, 100, 100, 1, 1 << 20, 4 * MS),
+                new ChainScheduler.Actions() {
                     @Override
-                    public void start(long chain, int step, long mayTakeNanos) {}
+                    public void startStep(long chain, int step, long mayTakeNanos) {}
 
                     @Override
-                    public void cancel(long chain, int step) {}
+                    public void cancelStep(long chain, int step) {}
 
                     @Override
-                    public void expect(long chain, int step) {}
+                    public void prefetch(long chain, int step) {}
 
                     @Override
-                    public void end(long chain, ChainEnd end) {}
+                    public void completeChain(long chain, ChainResult end) {}
                 },
                 function -> (function.hashCode() & 3) != 0);
         for (long id = 0; id < chains; id++) {
             long now = id * MS;
             long began = System.nanoTime();
-            decisions.begin(now, id, plan, "t", now + 60_000 * MS, null);
+            decisions.onChain(now, id, plan, "t", now + 60_000 * MS, null);
             for (int step = 0; step < plan.size(); step++) {
-                decisions.stepEnded(
+                decisions.onStepCompleted(
                         now + (step + 1) * 20 * MS, id, step, StepEnd.SERVED, (10 + id % 40) * MS, id % 7 == 0);
             }
             cost.recordValue(System.nanoTime() - began);
--- a/config/src/main/java/wharfhinge/config/ChainConfig.java
+++ b/config/src/main/java/wharfhinge/config/ChainConfig.java
@@ -9,7 +9,7 @@
  * The configuration of chains. Times are nanoseconds, sizes bytes.
  *
  * @param settings          settings of the decisions on chains
- * @param giveUpNanos       longest deadline of a chain, and its default
+ * @param maxDeadlineNanos       longest deadline of a chain, and its default
  * @param resumeWindowNanos how long answers of finished steps are cached for a retry
  * @param resumeKeys        idempotency keys cached for each tenant at most
  * @param resumeBytes       bytes of answers cached for each tenant at most
@@ -18,7 +18,7 @@
  */
 public record ChainConfig(
         ChainSettings settings,
-        long giveUpNanos,
+        long maxDeadlineNanos,
         long resumeWindowNanos,
         int resumeKeys,
         long resumeBytes,
@@ -26,7 +26,7 @@
         Map<String, Named> named) {
 
     /** A chain that clients call by name. */
-    public record Named(long aimNanos, List<NamedStep> steps) {}
+    public record Named(long latencyObjectiveNanos, List<NamedStep> steps) {}
 
     /**
      * A step of such a chain.
@@ -38,7 +38,7 @@
      * @param memoryMb     memory of a copy, 0 where unknown
      * @param lanes        calls that one copy runs concurrently, 0 where unknown
      * @param loadMillis   usual time of a load, 0 where unknown
-     * @param costUs       expected service time in microseconds, 0 where unknown
+     * @param costMicros       expected service time in microseconds, 0 where unknown
      */
     public record NamedStep(
             String id,
@@ -48,9 +48,10 @@
             double memoryMb,
             int lanes,
             double loadMillis,
-            long costUs) {}
+            long costMicros) {}
 
     ChainConfig withSettings(ChainSettings changed) {
-        return new ChainConfig(changed, giveUpNanos, resumeWindowNanos, resumeKeys, resumeBytes, resumeFile, named);
+        return new ChainConfig(
+                changed, maxDeadlineNanos, resumeWindowNanos, resumeKeys, resumeBytes, resumeFile, named);
     }
 }
--- a/config/src/main/java/wharfhinge/config/GatewayConfig.java
+++ b/config/src/main/java/wharfhinge/config/GatewayConfig.java
@@ -12,15 +12,15 @@
  *
  * @param name     name of this gateway
  * @param seed     seed of the policy's random choices
- * @param settings settings of the policy
+ * @param dispatcherSettings settings of the policy
  * @param clients  the HTTP listener
  * @param workers  connections to workers
- * @param roster   the source of the endpoint list
+ * @param endpointSource   the source of the endpoint list
  * @param peers    addresses of other gateways by their number; empty where they exchange nothing
  * @param chains   settings of chains
  * @param capture  null where nothing is captured
  * @param grpc     null where gRPC is not served
- * @param door     admission quotas by tenant, with an entry for others; null where all are admitted
+ * @param admission     admission quotas by tenant, with an entry for others; null where all are admitted
  * @param tls      null where calls come in plain text
  * @param proof    what a call must prove of its tenant; null where its word is taken
  * @param log      log output
@@ -28,15 +28,15 @@
 public record GatewayConfig(
         String name,
         long seed,
-        DispatcherSettings settings,
+        DispatcherSettings dispatcherSettings,
         Clients clients,
         Workers workers,
-        Roster roster,
+        EndpointSourceConfig endpointSource,
         Map<Integer, String> peers,
         ChainConfig chains,
         Capture capture,
         Grpc grpc,
-        AdmissionSettings door,
+        AdmissionSettings admission,
         Tls tls,
         Proof proof,
         Log log) {
@@ -45,15 +45,15 @@
         return new GatewayConfig(
                 name,
                 seed,
-                settings,
+                dispatcherSettings,
                 clients,
                 workers,
-                roster,
+                endpointSource,
                 peers,
                 chains.withSettings(changed.apply(chains.settings())),
                 capture,
                 grpc,
-                door,
+                admission,
                 tls,
                 proof,
                 log);
@@ -64,10 +64,10 @@
         return new GatewayConfig(
                 name,
                 seed,
-                settings,
+                dispatcherSettings,
                 clients.onAnyPort(),
                 workers,
-                roster,
+                endpointSource,
                 peers,
                 chains,
                 capture,
@@ -88,10 +88,10 @@
      * @param maxBodyBytes    largest body of a request
      * @param maxHeaderBytes  largest header of a request
      * @param maxOpen         requests pending at most
-     * @param handOver        capacity of the queue from the I/O threads to the event loop
-     * @param stopWithinNanos time that a graceful shutdown may take
+     * @param submissionQueueSize        capacity of the queue from the I/O threads to the event loop
+     * @param shutdownTimeoutNanos time that a graceful shutdown may take
      * @param reusePort       whether another process may listen on the same port
-     * @param rehearseNanos   time at most for warming up the process before the port opens
+     * @param warmUpNanos   time at most for warming up the process before the port opens
      */
     public record Clients(
             String address,
@@ -101,10 +101,10 @@
             int maxBodyBytes,
             int maxHeaderBytes,
             int maxOpen,
-            int handOver,
-            long stopWithinNanos,
+            int submissionQueueSize,
+            long shutdownTimeoutNanos,
             boolean reusePort,
-            long rehearseNanos) {
+            long warmUpNanos) {
 
         private Clients onAnyPort() {
             return new Clients(
@@ -115,8 +115,8 @@
                     maxBodyBytes,
                     maxHeaderBytes,
                     maxOpen,
-                    handOver,
-                    stopWithinNanos,
+                    submissionQueueSize,
+                    shutdownTimeoutNanos,
                     false,
                     0);
         }
@@ -125,42 +125,47 @@
     /**
      * TLS of both listeners.
      *
-     * @param certificates the gateway's certificate chain, PEM
-     * @param key          its private key, PKCS 8
-     * @param clients      the authorities of clients' certificates; null where none is requested
-     * @param needed       whether a client without a certificate is rejected
-     * @param revoked      list of revoked certificates, or null
+     * @param certificateChain the gateway's certificate chain, PEM
+     * @param privateKey          its private key, PKCS 8
+     * @param clientAuthorities      the authorities of clients' certificates; null where none is requested
+     * @param clientCertificateRequired       whether a client without a certificate is rejected
+     * @param revocationList      list of revoked certificates, or null
      */
-    public record Tls(Path certificates, Path key, Path clients, boolean needed, Path revoked) {}
+    public record Tls(
+            Path certificateChain,
+            Path privateKey,
+            Path clientAuthorities,
+            boolean clientCertificateRequired,
+            Path revocationList) {}
 
     /**
      * How calls prove their tenant.
      *
-     * @param needed   whether a call without proof is rejected
+     * @param required   whether a call without proof is rejected
      * @param tokenKey the key of tokens, or null where none are accepted
      */
-    public record Proof(boolean needed, Path tokenKey) {}
+    public record Proof(boolean required, Path tokenKey) {}
 
     /** The gRPC listener. */
     public record Grpc(String address, int port, boolean reflection) {}
 
     /** Connections to workers; sizes and connections are bounds for each worker. */
     public record Workers(
-            long dialTimeoutNanos,
+            long connectTimeoutNanos,
             long idleNanos,
             long probeTimeoutNanos,
             int streamsPerConnection,
             int maxConnections,
-            int maxAnswerBytes) {}
+            int maxResponseBytes) {}
 
     /** The source of the endpoint list, the file that keeps its last state, and the range of the reconnect backoff. */
-    public record Roster(
+    public record EndpointSourceConfig(
             String host,
             int port,
-            Path remembered,
-            long silentAfterNanos,
-            long reconnectLeastNanos,
-            long reconnectMostNanos) {}
+            Path snapshotFile,
+            long silenceTimeoutNanos,
+            long minReconnectNanos,
+            long maxReconnectNanos) {}
 
     /**
      * The record of events and decisions.
@@ -168,26 +173,26 @@
      * @param folder        folder of the segments
      * @param hashKey       key that names are hashed with, or null where they are stored as they are
      * @param segmentBytes  size of a segment
-     * @param mostBytes     size of all segments at most; the oldest go first
-     * @param mostAgeMillis age of a segment at most
+     * @param maxBytes     size of all segments at most; the oldest go first
+     * @param maxAgeMillis age of a segment at most
      */
-    public record Capture(Path folder, Path hashKey, long segmentBytes, long mostBytes, long mostAgeMillis) {}
+    public record Capture(Path folder, Path hashKey, long segmentBytes, long maxBytes, long maxAgeMillis) {}
 
     /**
      * Log output.
      *
      * @param json       JSON lines in place of plain text
      * @param level      lowest level that is written
-     * @param remarksPerS diagnostic lines of the policy a second at most
+     * @param diagnosticsPerSecond diagnostic lines of the policy a second at most
      */
-    public record Log(boolean json, String level, int remarksPerS) {}
+    public record Log(boolean json, String level, int diagnosticsPerSecond) {}
 
     /**
      * Loads and validates a settings file.
      *
-     * @throws InvalidFileException with every fault of the file
+     * @throws InvalidConfigurationException with every fault of the file
      */
-    public static GatewayConfig load(Path file) throws InvalidFileException {
+    public static GatewayConfig load(Path file) throws InvalidConfigurationException {
         SettingsXml settings = XmlFile.load(
                 file, GatewayConfig.class.getResource("settings.xsd"), SettingsXml.class, SettingsValidator::validate);
         return SettingsMapper.map(settings, file);
--- a/config/src/main/java/wharfhinge/config/SettingsMapper.java
+++ b/config/src/main/java/wharfhinge/config/SettingsMapper.java
@@ -76,9 +76,9 @@
                 workers.maxResponseKb * BYTES_PER_KB);
     }
 
-    private GatewayConfig.Roster endpointSource(SettingsXml.EndpointSource source) {
+    private GatewayConfig.EndpointSourceConfig endpointSource(SettingsXml.EndpointSource source) {
         URI url = URI.create(source.url);
-        return new GatewayConfig.Roster(
+        return new GatewayConfig.EndpointSourceConfig(
                 url.getHost(),
                 url.getPort(),
                 folder.resolve(source.snapshotFile),
@@ -97,7 +97,7 @@
         Map<String, ChainConfig.Named> named = new LinkedHashMap<>();
         chains.chains.forEach(chain -> named.put(chain.name, namedChain(chain)));
         ChainSettings chainSettings = new ChainSettings(
-                ChainSettings.Clock.ONE,
+                ChainSettings.Clock.SHARED_DEADLINE,
                 chains.earlyRejection,
                 chains.rejectionsPerSample,
                 chains.prefetch,
@@ -150,7 +150,7 @@
     private static AdmissionSettings admission(AdmissionSettingsXml admission) {
         Map<String, TenantQuota> quotas = new LinkedHashMap<>();
         admission.tenants.forEach(tenant -> quotas.put(tenant.name, quota(tenant)));
-        quotas.put(AdmissionController.OTHERS, quota(admission.others));
+        quotas.put(AdmissionController.DEFAULT_TENANT, quota(admission.others));
         return new AdmissionSettings(quotas, admission.fullAtObjectiveShare);
     }
 
--- a/config/src/main/java/wharfhinge/config/XmlFile.java
+++ b/config/src/main/java/wharfhinge/config/XmlFile.java
@@ -42,9 +42,10 @@
      * @param schema the XSD
      * @param type   the annotated class of the root element
      * @param check  what the schema can't say; run only where the file is valid by the schema
-     * @throws InvalidFileException with every fault
+     * @throws InvalidConfigurationException with every fault
      */
-    public static <T> T load(Path file, URL schema, Class<T> type, Check<T> check) throws InvalidFileException {
+    public static <T> T load(Path file, URL schema, Class<T> type, Check<T> check)
+            throws InvalidConfigurationException {
         byte[] bytes = read(file);
         throwIfAny(file, SchemaValidator.validate(bytes, schema));
         Map<Object, Location> locations = new IdentityHashMap<>();
@@ -55,22 +56,22 @@
         return root;
     }
 
-    private static byte[] read(Path file) throws InvalidFileException {
+    private static byte[] read(Path file) throws InvalidConfigurationException {
         try {
             long size = Files.size(file);
             if (size > MAX_BYTES) {
-                throw new InvalidFileException(
+                throw new InvalidConfigurationException(
                         file, List.of(Fault.withoutPlace("found " + size + " bytes, allowed: " + MAX_BYTES)));
             }
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new InvalidFileException(file, List.of(Fault.withoutPlace("can't be read: " + e)), e);
+            throw new InvalidConfigurationException(file, List.of(Fault.withoutPlace("can't be read: " + e)), e);
         }
     }
 
     /** Binds a file to objects and notes where the element of each stands. */
     private static <T> T bind(Path file, byte[] bytes, Class<T> type, Map<Object, Location> locations)
-            throws InvalidFileException {
+            throws InvalidConfigurationException {
         try {
             XMLStreamReader reader = newReader(bytes);
             Unmarshaller unmarshaller = JAXBContext.newInstance(type).createUnmarshaller();
@@ -82,7 +83,7 @@
             });
             return unmarshaller.unmarshal(reader, type).getValue();
         } catch (JAXBException | XMLStreamException e) {
-            throw new InvalidFileException(file, List.of(Fault.withoutPlace("not bound: " + e)), e);
+            throw new InvalidConfigurationException(file, List.of(Fault.withoutPlace("not bound: " + e)), e);
         }
     }
 
@@ -101,9 +102,9 @@
                 : new Fault(location.getLineNumber(), location.getColumnNumber(), text);
     }
 
-    private static void throwIfAny(Path file, List<Fault> faults) throws InvalidFileException {
+    private static void throwIfAny(Path file, List<Fault> faults) throws InvalidConfigurationException {
         if (!faults.isEmpty()) {
-            throw new InvalidFileException(file, faults);
+            throw new InvalidConfigurationException(file, faults);
         }
     }
 }
--- a/config/src/test/java/wharfhinge/config/GatewayConfigGoldenTest.java
+++ b/config/src/test/java/wharfhinge/config/GatewayConfigGoldenTest.java
@@ -46,7 +46,8 @@
     @Test
     void contradictingFile_isRejectedWithRecordedFaults() throws Exception {
         Path file = resource("contradicting-settings.xml");
-        InvalidFileException rejection = assertThrows(InvalidFileException.class, () -> GatewayConfig.load(file));
+        InvalidConfigurationException rejection =
+                assertThrows(InvalidConfigurationException.class, () -> GatewayConfig.load(file));
         String faults = rejection.faults().stream().map(fault -> fault + "\n").collect(Collectors.joining());
         assertEquals(text("golden/contradicting-settings.txt"), faults);
     }
--- a/config/src/test/java/wharfhinge/config/GatewayConfigTest.java
+++ b/config/src/test/java/wharfhinge/config/GatewayConfigTest.java
@@ -23,19 +23,27 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"loads-on-call", "silent-workers", "loads-by-order"})
-    void sample_loads(String name) throws InvalidFileException {
+    void sample_loads(String name) throws InvalidConfigurationException {
         assertEquals(
-                3, GatewayConfig.load(SAMPLES.resolve(name + ".xml")).settings().groupSize());
+                3,
+                GatewayConfig.load(SAMPLES.resolve(name + ".xml"))
+                        .dispatcherSettings()
+                        .groupSize());
     }
 
     @Test
-    void load_mapsUnitsEnumsAndLists() throws InvalidFileException {
+    void load_mapsUnitsEnumsAndLists() throws InvalidConfigurationException {
         GatewayConfig config = GatewayConfig.load(SAMPLES.resolve("loads-by-order.xml"));
-        assertEquals(5_000_000_000L, config.settings().functionLoading().loadQuotaPeriodNanos());
-        assertEquals(12, config.settings().functionLoading().loadQuotaBase());
-        assertEquals(OnMissBehavior.MISS, config.settings().functionLoading().onMiss());
-        assertEquals(List.of("q", "rif", "x1"), config.settings().feedback().metricNames());
-        assertEquals("127.0.0.1", config.roster().host());
+        assertEquals(
+                5_000_000_000L, config.dispatcherSettings().functionLoading().loadQuotaPeriodNanos());
+        assertEquals(12, config.dispatcherSettings().functionLoading().loadQuotaBase());
+        assertEquals(
+                OnMissBehavior.MISS,
+                config.dispatcherSettings().functionLoading().onMiss());
+        assertEquals(
+                List.of("q", "rif", "x1"),
+                config.dispatcherSettings().feedback().metricNames());
+        assertEquals("127.0.0.1", config.endpointSource().host());
         assertTrue(config.log().json());
     }
 
@@ -60,7 +68,7 @@
             })
     void invalidValue_isRejectedWithItsPlace(String from, String to, String expected) throws IOException {
         String text = Files.readString(SAMPLES.resolve("loads-on-call.xml")).replace(from, to == null ? "" : to);
-        InvalidFileException rejection = loadRejected(text);
+        InvalidConfigurationException rejection = loadRejected(text);
         assertTrue(rejection.getMessage().contains(expected), rejection.getMessage());
         assertTrue(rejection.faults().get(0).line() > 1, rejection.getMessage());
         assertEquals(1, rejection.faults().size(), rejection.getMessage());
@@ -125,14 +133,15 @@
         loadRejected(entity);
         assertTrue(loadRejected(text.replace("</classes>", "")).getMessage().contains("not well formed"));
         loadRejected("");
-        assertTrue(assertThrows(InvalidFileException.class, () -> GatewayConfig.load(folder.resolve("none.xml")))
-                .getMessage()
-                .contains("can't be read"));
+        assertTrue(
+                assertThrows(InvalidConfigurationException.class, () -> GatewayConfig.load(folder.resolve("none.xml")))
+                        .getMessage()
+                        .contains("can't be read"));
     }
 
-    private InvalidFileException loadRejected(String text) throws IOException {
+    private InvalidConfigurationException loadRejected(String text) throws IOException {
         Path file = folder.resolve("settings.xml");
         Files.writeString(file, text);
-        return assertThrows(InvalidFileException.class, () -> GatewayConfig.load(file));
+        return assertThrows(InvalidConfigurationException.class, () -> GatewayConfig.load(file));
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
@@ -17,7 +17,7 @@
  */
 public final class AdmissionController {
     /** The entry of calls without a tenant, or of a tenant that is not named. */
-    public static final String OTHERS = "";
+    public static final String DEFAULT_TENANT = "";
 
     /** The decision on a call. */
     public enum Decision {
@@ -36,9 +36,9 @@
         /** A worker answered. */
         ANSWERED,
         /** The policy rejected it. */
-        REFUSED,
+        REJECTED,
         /** Neither: it failed, or its client cancelled it. */
-        OTHERWISE
+        OTHER
     }
 
     /** A decision with the advice when to retry, nanoseconds from now; 0 where the call was admitted. */
@@ -68,12 +68,12 @@
     /**
      * A controller without any pending call.
      *
-     * @throws InvalidAdmissionSettingsException where the settings have no entry for {@link #OTHERS}
+     * @throws InvalidAdmissionSettingsException where the settings have no entry for {@link #DEFAULT_TENANT}
      */
     public AdmissionController(AdmissionSettings settings) {
         fleetLimit = new FleetConcurrencyLimit(settings.fullAtObjectiveShare());
         settings.tenants().forEach((name, quota) -> tenants.put(name, new TenantAdmission(name, quota)));
-        if (!tenants.containsKey(OTHERS)) {
+        if (!tenants.containsKey(DEFAULT_TENANT)) {
             throw new InvalidAdmissionSettingsException("no entry for tenants that are not named");
         }
     }
@@ -81,7 +81,7 @@
     /** The entry that a tenant goes by; null counts as none. */
     private TenantAdmission entryOf(String tenant) {
         TenantAdmission known = tenant == null ? null : tenants.get(tenant);
-        return known == null ? tenants.get(OTHERS) : known;
+        return known == null ? tenants.get(DEFAULT_TENANT) : known;
     }
 
     /** A call arrived; where it is admitted, {@link #onCallEnded} has to follow. */
--- a/decisions/src/main/java/wharfhinge/decisions/admission/FleetConcurrencyLimit.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/FleetConcurrencyLimit.java
@@ -40,7 +40,7 @@
     /** A call ended; {@code pending} counts it still. */
     void onCallEnded(long nowNanos, int pending, CallEnd end, long tookNanos, long objectiveNanos) {
         boolean isAnswered = end == CallEnd.ANSWERED;
-        if (end == CallEnd.REFUSED || isAnswered && tookNanos > fullAtObjectiveShare * objectiveNanos) {
+        if (end == CallEnd.REJECTED || isAnswered && tookNanos > fullAtObjectiveShare * objectiveNanos) {
             onOverload(nowNanos, pending);
         } else if (isAnswered && tookNanos < QUICK_PART * fullAtObjectiveShare * objectiveNanos) {
             onQuickAnswer(pending);
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ActiveChain.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ActiveChain.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 import java.util.List;
-import wharfhinge.decisions.chain.ChainEnd.StepState;
 import wharfhinge.decisions.chain.ChainPlan.Step;
+import wharfhinge.decisions.chain.ChainResult.StepState;
 import wharfhinge.policy.Effect;
 
 /** A chain that has no final answer yet: how far each of its steps is. */
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainCounters.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainCounters.java
@@ -1,16 +1,16 @@
 package wharfhinge.decisions.chain;
 
-import wharfhinge.decisions.chain.ChainDecisions.Count;
+import wharfhinge.decisions.chain.ChainScheduler.Counter;
 
 /** Counters since the start of the process. */
 final class ChainCounters {
-    private final long[] values = new long[Count.values().length];
+    private final long[] values = new long[Counter.values().length];
 
-    void increment(Count counter) {
+    void increment(Counter counter) {
         values[counter.ordinal()]++;
     }
 
-    long get(Count counter) {
+    long get(Counter counter) {
         return values[counter.ordinal()];
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainFeasibility.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainFeasibility.java
@@ -1,7 +1,7 @@
 package wharfhinge.decisions.chain;
 
 import java.util.Optional;
-import wharfhinge.decisions.chain.ChainDecisions.Count;
+import wharfhinge.decisions.chain.ChainScheduler.Counter;
 import wharfhinge.decisions.chain.ChainSettings.Clock;
 
 /**
@@ -53,7 +53,7 @@
 
     /** Why a chain is to be rejected now; empty where it may go on, or is let through as a sample. */
     Optional<String> rejectionReason(long nowNanos, ActiveChain chain, int openChains, Stage stage) {
-        if (!settings.earlyRefusal() || settings.clock() == Clock.EACH_STEP || chain.isRejectionSample()) {
+        if (!settings.earlyRejection() || settings.clock() == Clock.DEADLINE_PER_STEP || chain.isRejectionSample()) {
             return Optional.empty();
         }
         String reason;
@@ -66,7 +66,7 @@
         }
         if (isSample()) {
             chain.markRejectionSample();
-            counters.increment(Count.LET_THROUGH);
+            counters.increment(Counter.LET_THROUGH);
             return Optional.empty();
         }
         return Optional.of(reason);
@@ -77,6 +77,6 @@
     }
 
     private boolean isSample() {
-        return settings.letThrough() > 0 && ++rejections % settings.letThrough() == 0;
+        return settings.rejectionsPerSample() > 0 && ++rejections % settings.rejectionsPerSample() == 0;
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
@@ -9,9 +9,9 @@
 /** The steps of a chain and what each needs: a directed acyclic graph, validated when it is made. Steps go by their index. */
 public final class ChainPlan {
     /** Most steps of a chain. */
-    public static final int MOST_STEPS = 64;
+    public static final int MAX_STEPS = 64;
     /** Most steps that wait for each other in a row. */
-    public static final int MOST_DEPTH = 16;
+    public static final int MAX_DEPTH = 16;
 
     /**
      * One step.
@@ -56,8 +56,8 @@
 
     /** Validates steps and sorts them topologically. */
     public static ChainPlan of(List<Step> steps) throws InvalidPlanException {
-        if (steps.isEmpty() || steps.size() > MOST_STEPS) {
-            throw new InvalidPlanException("steps", Integer.toString(steps.size()), "1 to " + MOST_STEPS);
+        if (steps.isEmpty() || steps.size() > MAX_STEPS) {
+            throw new InvalidPlanException("steps", Integer.toString(steps.size()), "1 to " + MAX_STEPS);
         }
         int[][] needs = resolveNeeds(steps, indexById(steps));
         int[][] dependents = invert(needs);
@@ -125,7 +125,7 @@
             int step = order[position];
             for (int dependent : dependents[step]) {
                 depth[dependent] = Math.max(depth[dependent], depth[step] + 1);
-                if (depth[dependent] > MOST_DEPTH) {
+                if (depth[dependent] > MAX_DEPTH) {
                     throw tooDeep(dependent);
                 }
                 if (--pendingNeeds[dependent] == 0) {
@@ -141,7 +141,7 @@
 
     private static InvalidPlanException tooDeep(int step) {
         return new InvalidPlanException(
-                "steps[" + step + "]", "over " + MOST_DEPTH + " steps in a row", "at most " + MOST_DEPTH);
+                "steps[" + step + "]", "over " + MAX_DEPTH + " steps in a row", "at most " + MAX_DEPTH);
     }
 
     private static InvalidPlanException cycle(List<Step> steps, int[] pendingNeeds) {
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainEnd.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainResult.java
@@ -8,7 +8,7 @@
  * @param reason why it was not served, as the client is told; empty where it was
  * @param steps  what became of each step, in the plan's order
  */
-public record ChainEnd(Kind kind, String reason, List<StepState> steps) {
+public record ChainResult(Kind kind, String reason, List<StepState> steps) {
     /** How a chain ended. */
     public enum Kind {
         /** All steps were served. */
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainDecisions.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainScheduler.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import wharfhinge.decisions.chain.ChainEnd.Kind;
-import wharfhinge.decisions.chain.ChainEnd.StepState;
 import wharfhinge.decisions.chain.ChainFeasibility.Stage;
+import wharfhinge.decisions.chain.ChainResult.Kind;
+import wharfhinge.decisions.chain.ChainResult.StepState;
 import wharfhinge.decisions.chain.StepLimiter.WaitingStep;
 
 /**
@@ -23,7 +23,7 @@
  * in. One thread. Bounded are chains and steps open, and a tenant's share of the steps. A ready step beyond them waits within its
  * chain, which is bounded by the chain's deadline; chains beyond them are rejected.
  */
-public final class ChainDecisions {
+public final class ChainScheduler {
     private static final String TOO_MANY_CHAINS = "too-many-chains";
     private static final String FINISHED_BEFORE = "all-steps-finished-before";
     private static final String OUT_OF_TIME = "out-of-time";
@@ -35,24 +35,24 @@
 
     /** What the gateway has to do. Called in the order of the decisions; must not call back in. */
     public interface Actions {
-        /** Starts a step as a call that may take so long; {@link ChainDecisions#stepEnded} follows. */
-        void start(long chain, int step, long mayTakeNanos);
+        /** Starts a step as a call that may take so long; {@link ChainScheduler#onStepCompleted} follows. */
+        void startStep(long chain, int step, long mayTakeNanos);
 
         /** Cancels the call of a step that runs. */
-        void cancel(long chain, int step);
+        void cancelStep(long chain, int step);
 
         /** Tells the policy that a step's function will be wanted, so that it may load it. */
-        void expect(long chain, int step);
+        void prefetch(long chain, int step);
 
         /** Gives the chain's final answer. */
-        void end(long chain, ChainEnd end);
+        void completeChain(long chain, ChainResult end);
     }
 
     /** What the policy believes of the fleet. */
     @FunctionalInterface
-    public interface Fleet {
+    public interface FleetView {
         /** Whether some worker is believed to have the function loaded. */
-        boolean believedWarm(String function);
+        boolean isBelievedWarm(String function);
     }
 
     /** How a step's call ended. */
@@ -60,13 +60,13 @@
         /** With an answer. */
         SERVED,
         /** It was rejected and did not run. */
-        REFUSED,
+        REJECTED,
         /** It may have run. */
         FAILED
     }
 
     /** Counters since the start of the process. */
-    public enum Count {
+    public enum Counter {
         /** Chains that arrived. */
         CHAINS,
         /** Chains whose steps were all served. */
@@ -114,27 +114,27 @@
     private final Map<Long, ActiveChain> chains = new HashMap<>();
 
     /** A scheduler that has learned nothing yet. */
-    public ChainDecisions(ChainSettings settings, Actions actions, Fleet fleet) {
+    public ChainScheduler(ChainSettings settings, Actions actions, FleetView fleet) {
         this.settings = settings;
         this.actions = actions;
         this.estimator = new ChainTimeEstimator(settings, fleet);
         this.feasibility = new ChainFeasibility(settings, estimator, concurrencyLimit, counters);
-        this.prefetcher = new FunctionPrefetcher(settings.loadAhead(), estimator, actions, counters);
+        this.prefetcher = new FunctionPrefetcher(settings.prefetch(), estimator, actions, counters);
         this.stepLimiter = new StepLimiter(settings);
     }
 
     /** The value of a counter. */
-    public long count(Count count) {
+    public long counter(Counter count) {
         return counters.get(count);
     }
 
     /** Chains open. */
-    public int open() {
+    public int openChains() {
         return chains.size();
     }
 
     /** Steps that run. */
-    public int stepsOpen() {
+    public int runningSteps() {
         return stepLimiter.running();
     }
 
@@ -147,14 +147,15 @@
      * @param done   by step, whether an earlier attempt of the same chain left its answer, so that it does not run again; null
      *               where there was no earlier attempt
      */
-    public void begin(long nowNanos, long chainId, ChainPlan plan, String tenant, long deadlineNanos, boolean[] done) {
-        counters.increment(Count.CHAINS);
+    public void onChain(
+            long nowNanos, long chainId, ChainPlan plan, String tenant, long deadlineNanos, boolean[] done) {
+        counters.increment(Counter.CHAINS);
         ActiveChain chain =
                 new ActiveChain(chainId, plan, tenant == null ? NO_TENANT : tenant, deadlineNanos, nowNanos);
-        if (chains.size() >= settings.mostChains()) {
-            counters.increment(Count.REFUSED_FULL);
-            counters.increment(Count.REFUSED);
-            actions.end(chainId, new ChainEnd(Kind.REFUSED, TOO_MANY_CHAINS, chain.finalStates()));
+        if (chains.size() >= settings.maxChains()) {
+            counters.increment(Counter.REFUSED_FULL);
+            counters.increment(Counter.REFUSED);
+            actions.completeChain(chainId, new ChainResult(Kind.REFUSED, TOO_MANY_CHAINS, chain.finalStates()));
             return;
         }
         chains.put(chainId, chain);
@@ -181,7 +182,7 @@
     }
 
     /** A step's call ended; {@code loaded} tells whether it had to wait for a load. */
-    public void stepEnded(long nowNanos, long chainId, int step, StepEnd end, long tookNanos, boolean loaded) {
+    public void onStepCompleted(long nowNanos, long chainId, int step, StepEnd end, long tookNanos, boolean loaded) {
         ActiveChain chain = chains.get(chainId);
         if (chain == null || chain.state(step) != StepState.RUNNING) {
             return;
@@ -196,7 +197,7 @@
                 chain.markServed(step);
                 continueAfter(nowNanos, chain, step);
             }
-            case REFUSED -> {
+            case REJECTED -> {
                 chain.markNotServed(step, StepState.REFUSED);
                 endEarly(chain, STEP_REJECTED_PREFIX + stepId);
             }
@@ -209,22 +210,22 @@
     }
 
     /** The client went away: its chain is dropped without an answer, and steps that run are cancelled. */
-    public void clientLeft(long nowNanos, long chainId) {
+    public void onClientCancelled(long nowNanos, long chainId) {
         ActiveChain chain = chains.get(chainId);
         if (chain != null) {
-            counters.increment(Count.LEFT);
+            counters.increment(Counter.LEFT);
             close(chain);
             startWaitingSteps(nowNanos);
         }
     }
 
     /** The deadline came, less what the answer needs to reach the client. */
-    public void due(long nowNanos, long chainId) {
+    public void onDeadline(long nowNanos, long chainId) {
         endOpenChain(nowNanos, chainId, OUT_OF_TIME);
     }
 
     /** The gateway can't hold the chain's answers between steps. */
-    public void outOfBytes(long nowNanos, long chainId) {
+    public void onResponseBytesExhausted(long nowNanos, long chainId) {
         endOpenChain(nowNanos, chainId, TOO_MANY_BYTES);
     }
 
@@ -285,8 +286,8 @@
         }
         chain.markRunning(step, nowNanos, estimator.isBelievedWarm(chain.step(step)));
         stepLimiter.onStepStarted(chain.tenant());
-        counters.increment(Count.STEPS);
-        actions.start(chain.id(), step, budgetNanos);
+        counters.increment(Counter.STEPS);
+        actions.startStep(chain.id(), step, budgetNanos);
         prefetcher.onStepStarted(nowNanos, chain, step);
     }
 
@@ -298,7 +299,7 @@
         if (reason.isEmpty()) {
             return false;
         }
-        counters.increment(stage == Stage.AT_START ? Count.REFUSED_AT_START : Count.REFUSED_LATER);
+        counters.increment(stage == Stage.AT_START ? Counter.REFUSED_AT_START : Counter.REFUSED_LATER);
         prefetcher.onChainRejected(chain);
         endEarly(chain, reason.get());
         return true;
@@ -312,9 +313,9 @@
     private void end(ActiveChain chain, Kind kind, String reason) {
         counters.increment(
                 switch (kind) {
-                    case SERVED -> Count.SERVED;
-                    case REFUSED -> Count.REFUSED;
-                    case FAILED -> Count.FAILED;
+                    case SERVED -> Counter.SERVED;
+                    case REFUSED -> Counter.REFUSED;
+                    case FAILED -> Counter.FAILED;
                 });
         if (kind == Kind.SERVED) {
             concurrencyLimit.onServed(chains.size());
@@ -322,10 +323,10 @@
             concurrencyLimit.onLost(chain.workSpent());
         }
         if (kind == Kind.SERVED && chain.isRejectionSample()) {
-            counters.increment(Count.LET_THROUGH_SERVED);
+            counters.increment(Counter.LET_THROUGH_SERVED);
         }
         close(chain);
-        actions.end(chain.id(), new ChainEnd(kind, reason, chain.finalStates()));
+        actions.completeChain(chain.id(), new ChainResult(kind, reason, chain.finalStates()));
     }
 
     private void close(ActiveChain chain) {
@@ -334,8 +335,8 @@
         for (int step = 0; step < chain.plan().size(); step++) {
             if (chain.state(step) == StepState.RUNNING) {
                 stepLimiter.onStepEnded(chain.tenant());
-                counters.increment(Count.STEPS_CANCELLED);
-                actions.cancel(chain.id(), step);
+                counters.increment(Counter.STEPS_CANCELLED);
+                actions.cancelStep(chain.id(), step);
             }
         }
     }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainTimeEstimator.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainTimeEstimator.java
@@ -1,8 +1,8 @@
 package wharfhinge.decisions.chain;
 
-import wharfhinge.decisions.chain.ChainDecisions.Fleet;
-import wharfhinge.decisions.chain.ChainEnd.StepState;
 import wharfhinge.decisions.chain.ChainPlan.Step;
+import wharfhinge.decisions.chain.ChainResult.StepState;
+import wharfhinge.decisions.chain.ChainScheduler.FleetView;
 import wharfhinge.decisions.chain.ChainSettings.Clock;
 
 /** Estimates what the rest of a chain takes, from learned service times and from which functions are believed to be loaded. */
@@ -12,10 +12,10 @@
     private static final double LIKELY_IN_TIME = 0.9;
 
     private final ChainSettings settings;
-    private final Fleet fleet;
+    private final FleetView fleet;
     private final ServiceTimeEstimates serviceTimes = new ServiceTimeEstimates(MAX_FUNCTIONS);
 
-    ChainTimeEstimator(ChainSettings settings, Fleet fleet) {
+    ChainTimeEstimator(ChainSettings settings, FleetView fleet) {
         this.settings = settings;
         this.fleet = fleet;
     }
@@ -26,12 +26,12 @@
     }
 
     boolean isBelievedWarm(Step step) {
-        return fleet.believedWarm(step.function());
+        return fleet.isBelievedWarm(step.function());
     }
 
     /** Time that a step may take: what is left, less the least that the steps after it need. */
     long stepBudgetNanos(long nowNanos, ActiveChain chain, int step) {
-        if (settings.clock() == Clock.EACH_STEP) {
+        if (settings.clock() == Clock.DEADLINE_PER_STEP) {
             return chain.totalTimeNanos() - settings.reserveNanos();
         }
         return chain.deadlineNanos() - nowNanos - settings.reserveNanos() - leastNanosAfter(chain, step);
--- a/decisions/src/main/java/wharfhinge/decisions/chain/FunctionPrefetcher.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/FunctionPrefetcher.java
@@ -1,8 +1,8 @@
 package wharfhinge.decisions.chain;
 
-import wharfhinge.decisions.chain.ChainDecisions.Actions;
-import wharfhinge.decisions.chain.ChainDecisions.Count;
-import wharfhinge.decisions.chain.ChainEnd.StepState;
+import wharfhinge.decisions.chain.ChainResult.StepState;
+import wharfhinge.decisions.chain.ChainScheduler.Actions;
+import wharfhinge.decisions.chain.ChainScheduler.Counter;
 
 /** Tells the policy which functions later steps will want, so that they are loaded while earlier steps run. */
 final class FunctionPrefetcher {
@@ -26,8 +26,8 @@
         for (int dependent : chain.plan().dependents(step)) {
             if (mayPrefetch(chain, dependent) && estimator.isPrefetchWorthwhile(nowNanos, chain, dependent)) {
                 chain.setPrefetched(dependent, true);
-                counters.increment(Count.AHEAD_ORDERED);
-                actions.expect(chain.id(), dependent);
+                counters.increment(Counter.AHEAD_ORDERED);
+                actions.prefetch(chain.id(), dependent);
             }
         }
     }
@@ -43,8 +43,8 @@
         }
         for (int step = 0; step < chain.plan().size(); step++) {
             if (mayPrefetch(chain, step)) {
-                counters.increment(Count.AHEAD_FOR_NEXT);
-                actions.expect(chain.id(), step);
+                counters.increment(Counter.AHEAD_FOR_NEXT);
+                actions.prefetch(chain.id(), step);
             }
         }
     }
@@ -58,7 +58,7 @@
     /** Counts whether a prefetch was in time; {@code isColdStart} tells that the step had to wait for the load. */
     void onStepServed(ActiveChain chain, int step, boolean isColdStart) {
         if (chain.isPrefetched(step)) {
-            counters.increment(isColdStart ? Count.AHEAD_LATE : Count.AHEAD_USED);
+            counters.increment(isColdStart ? Counter.AHEAD_LATE : Counter.AHEAD_USED);
             chain.setPrefetched(step, false);
         }
     }
@@ -67,7 +67,7 @@
     void onChainClosed(ActiveChain chain) {
         for (int step = 0; step < chain.plan().size(); step++) {
             if (chain.isPrefetched(step)) {
-                counters.increment(Count.AHEAD_UNUSED);
+                counters.increment(Counter.AHEAD_UNUSED);
             }
         }
     }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/FinishedSteps.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/StepAnswerCache.java
@@ -10,7 +10,7 @@
  * again. Bounded by keys and bytes for each tenant: a tenant beyond its bound loses its own oldest keys, nobody else's. Only this
  * gateway knows them; another one runs the steps again.
  */
-public final class FinishedSteps {
+public final class StepAnswerCache {
     /** The answer of a step. */
     public record Answer(byte[] body, String contentType) {}
 
@@ -42,7 +42,7 @@
     private final Map<String, LinkedHashMap<String, CachedChain>> chainsByTenant = new HashMap<>();
 
     /** Caches answers for {@code windowNanos}, and for each tenant so many keys and bytes at most. */
-    public FinishedSteps(long windowNanos, int maxKeysPerTenant, long maxBytesPerTenant) {
+    public StepAnswerCache(long windowNanos, int maxKeysPerTenant, long maxBytesPerTenant) {
         this.windowNanos = windowNanos;
         this.maxKeysPerTenant = maxKeysPerTenant;
         this.maxBytesPerTenant = maxBytesPerTenant;
@@ -55,8 +55,7 @@
      * @param steps  number of steps of the chain
      * @return false where the answer is too large to be cached, and the chain's earlier answers are dropped with it
      */
-    public boolean finished(
-            long nowNanos, String tenant, String key, String digest, int steps, int step, Answer answer) {
+    public boolean put(long nowNanos, String tenant, String key, String digest, int steps, int step, Answer answer) {
         LinkedHashMap<String, CachedChain> chains =
                 chainsByTenant.computeIfAbsent(tenant, absent -> new LinkedHashMap<>());
         removeExpired(nowNanos, chains);
@@ -74,7 +73,7 @@
     }
 
     /** The answers that a retry of this chain may start from; empty where there are none or the chain is another. */
-    public Optional<Answer[]> resume(long nowNanos, String tenant, String key, String digest, int steps) {
+    public Optional<Answer[]> get(long nowNanos, String tenant, String key, String digest, int steps) {
         LinkedHashMap<String, CachedChain> chains = chainsByTenant.get(tenant);
         if (chains == null) {
             return Optional.empty();
--- a/decisions/src/main/java/wharfhinge/decisions/chain/StepLimiter.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/StepLimiter.java
@@ -23,8 +23,8 @@
     private int running;
 
     StepLimiter(ChainSettings settings) {
-        this.maxSteps = settings.mostSteps();
-        this.maxStepsOfTenant = Math.max(1, settings.tenantShare() * settings.mostSteps());
+        this.maxSteps = settings.maxSteps();
+        this.maxStepsOfTenant = Math.max(1, settings.tenantShare() * settings.maxSteps());
     }
 
     int running() {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CallTable.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CallTable.java
@@ -52,7 +52,7 @@
         copy.function().onCallStarted();
         running++;
         pool.markWorking(copy);
-        actions.run(call.id(), copy.id());
+        actions.startCall(call.id(), copy.id());
     }
 
     /** Takes a running call out; its copy is settled by the caller. */
@@ -81,14 +81,14 @@
     /** Answers a call that ran. */
     void answer(ScheduledCall call, CallEnd end) {
         if (end == CallEnd.SERVED) {
-            actions.answer(call.id(), Answer.SERVED, call.met(), call.concurrentOnArrival());
+            actions.completeCall(call.id(), Answer.SERVED, call.met(), call.concurrentOnArrival());
         } else {
-            actions.answer(call.id(), Answer.ERROR, null, call.concurrentOnArrival());
+            actions.completeCall(call.id(), Answer.ERROR, null, call.concurrentOnArrival());
         }
     }
 
     void reject(ScheduledCall call, Answer answer) {
-        actions.answer(call.id(), answer, null, call.concurrentOnArrival());
+        actions.completeCall(call.id(), answer, null, call.concurrentOnArrival());
     }
 
     void rejectWaiting(FunctionState function, Answer answer) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/Copy.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/Copy.java
@@ -130,7 +130,7 @@
         if (end == CallEnd.OVER_LIMIT) {
             overdueThreads++;
         }
-        if (end == CallEnd.OVER_LIMIT || end == CallEnd.BROKE) {
+        if (end == CallEnd.OVER_LIMIT || end == CallEnd.COPY_BROKEN) {
             retire();
         }
     }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyPool.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyPool.java
@@ -139,7 +139,7 @@
     private void startUnloading(Copy copy) {
         copy.setState(State.UNLOADING);
         memory.move(copy.id(), Part.LEAVING);
-        actions.stop(copy.id());
+        actions.unloadCopy(copy.id());
     }
 
     void unloadIdleCopies(FunctionState function) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
@@ -29,13 +29,13 @@
     }
 
     /** Which copy a call ran on. */
-    public enum Met {
+    public enum CopyUse {
         /** One that was loaded when the call arrived. */
-        FOUND,
+        ALREADY_LOADED,
         /** One that was loaded for the call: a cold start. */
-        BEGAN,
+        COLD_START,
         /** One whose load had been admitted before the call arrived. */
-        WAITED
+        AWAITED_LOAD
     }
 
     /** How an order is answered. */
@@ -55,7 +55,7 @@
         /** With an error that leaves the copy usable. */
         ERROR,
         /** With an error after which the copy must not run another call. */
-        BROKE,
+        COPY_BROKEN,
         /** Not at all: it exceeded its time limit, and its thread is still in the copy. */
         OVER_LIMIT
     }
@@ -68,46 +68,46 @@
         FAILED,
         /** It failed and its memory can't be given back: something in it does not end. */
         FAILED_STUCK,
-        /** The package needs more memory than was booked; {@link CopyScheduler#measured} has said how much. */
-        MISJUDGED
+        /** The package needs more memory than was booked; {@link CopyScheduler#onMemoryMeasured} has said how much. */
+        NEEDS_MORE_MEMORY
     }
 
     /** What the worker has to do. Called in the order of the decisions; must not call the scheduler. */
     public interface Actions {
-        /** Starts a load for which {@code bookedKb} KiB are booked; {@link CopyScheduler#loadEnded} follows. */
-        void load(long copy, String function, long bookedKb);
+        /** Starts a load for which {@code bookedKb} KiB are booked; {@link CopyScheduler#onLoadCompleted} follows. */
+        void startLoad(long copy, String function, long bookedKb);
 
-        /** Runs a call; {@link CopyScheduler#callEnded} follows. */
-        void run(long call, long copy);
+        /** Runs a call; {@link CopyScheduler#onCallCompleted} follows. */
+        void startCall(long call, long copy);
 
         /** Asks the code that runs a cancelled call to end. */
-        void interrupt(long call);
+        void interruptCall(long call);
 
         /**
          * Answers a call.
          *
          * @param met     which copy ran it; null where none did, or it failed
-         * @param company other calls of the function that ran or waited on this worker when the call arrived
+         * @param concurrentCalls other calls of the function that ran or waited on this worker when the call arrived
          */
-        void answer(long call, Answer answer, Met met, int company);
+        void completeCall(long call, Answer answer, CopyUse met, int concurrentCalls);
 
         /** Answers an order with the number of copies that are ready. */
-        void answerOrder(long order, OrderAnswer answer, int ready);
+        void completeOrder(long order, OrderAnswer answer, int ready);
 
-        /** Gives an idle copy's memory back; {@link CopyScheduler#stopped} or {@link CopyScheduler#hung} follows. */
-        void stop(long copy);
+        /** Gives an idle copy's memory back; {@link CopyScheduler#onCopyUnloaded} or {@link CopyScheduler#onCopyStuck} follows. */
+        void unloadCopy(long copy);
 
         /** The graceful shutdown is complete: no call is in flight any more. */
-        void drained();
+        void onDrained();
     }
 
     private final CopySettings settings;
     private final Actions actions;
     private final CopyPool pool;
-    private final LoadQueue loads;
+    private final LoadQueue pendingLoads;
     private final CallTable calls;
     private final LoadOrders orders;
-    private boolean draining;
+    private boolean isDraining;
     private boolean drained;
 
     /** A scheduler of a worker that holds no copy. */
@@ -115,39 +115,39 @@
         this.settings = settings;
         this.actions = actions;
         this.pool = new CopyPool(settings.totalKb(), actions);
-        this.loads = new LoadQueue(settings, pool, actions);
+        this.pendingLoads = new LoadQueue(settings, pool, actions);
         this.calls = new CallTable(pool, actions);
         this.orders = new LoadOrders(actions);
     }
 
     /** The accounting of memory; read only. */
-    public MemoryAccounting ledger() {
+    public MemoryAccounting memory() {
         return pool.memory();
     }
 
     /** Calls in flight, running and waiting. */
-    public int held() {
+    public int callsInFlight() {
         return calls.inFlight();
     }
 
     /** Calls that wait for a copy. */
-    public int waiting() {
+    public int queuedCalls() {
         return calls.waiting();
     }
 
     /** Loads under way or waiting. */
-    public int loads() {
-        return loads.size();
+    public int pendingLoads() {
+        return pendingLoads.size();
     }
 
     /** Copies in any state, those whose load waits included. */
-    public int copies() {
+    public int copyCount() {
         return pool.size();
     }
 
     /** Whether it accepts nothing new. */
-    public boolean draining() {
-        return draining;
+    public boolean isDraining() {
+        return isDraining;
     }
 
     /**
@@ -156,22 +156,22 @@
      * @param hint           what the caller says of the function's needs; used until its package reports them
      * @param expiresAtNanos when its caller stops waiting; a call that still waits then is rejected
      */
-    public void call(long nowNanos, long callId, String functionName, MemoryEstimate hint, long expiresAtNanos) {
-        if (draining) {
-            actions.answer(callId, Answer.FULL, null, 0);
+    public void onCall(long nowNanos, long callId, String functionName, MemoryEstimate hint, long expiresAtNanos) {
+        if (isDraining) {
+            actions.completeCall(callId, Answer.FULL, null, 0);
             return;
         }
         FunctionState function = pool.functionOf(functionName);
         ScheduledCall call = new ScheduledCall(callId, function, expiresAtNanos);
         Optional<Copy> free = function.copyWithFreeLane();
         if (free.isPresent()) {
-            call.setMet(Met.FOUND);
+            call.setMet(CopyUse.ALREADY_LOADED);
             calls.start(call, free.get());
             return;
         }
         if (!function.hasLiveCopy() && !settings.loadsOnCall()) {
             calls.reject(call, Answer.MISS);
-        } else if (calls.waiting() >= settings.queue()) {
+        } else if (calls.waiting() >= settings.maxQueuedCalls()) {
             calls.reject(call, Answer.FULL);
         } else {
             enqueueWithLoad(call, hint);
@@ -185,10 +185,10 @@
         FunctionState function = call.function();
         boolean isCold = !function.hasLiveCopy();
         boolean isCopyComing = function.hasCopyComing();
-        Met otherwise = isCopyComing ? Met.WAITED : Met.FOUND;
-        call.setMet(isCold ? Met.BEGAN : otherwise);
-        boolean mayAddCopy = settings.loadsOnCall() && settings.ownFurther() && !isCopyComing;
-        boolean isLoadAdmitted = (isCold || mayAddCopy) && loads.admit(function, hint, Copy.Cause.CALL);
+        CopyUse otherwise = isCopyComing ? CopyUse.AWAITED_LOAD : CopyUse.ALREADY_LOADED;
+        call.setMet(isCold ? CopyUse.COLD_START : otherwise);
+        boolean mayAddCopy = settings.loadsOnCall() && settings.addsCopiesOnCall() && !isCopyComing;
+        boolean isLoadAdmitted = (isCold || mayAddCopy) && pendingLoads.admit(function, hint, Copy.Cause.CALL);
         if (isCold && !isLoadAdmitted) {
             calls.reject(call, Answer.FULL);
         } else {
@@ -197,7 +197,7 @@
     }
 
     /** The caller went away: a waiting call is dropped, a running one is asked to end. */
-    public void cancelled(long nowNanos, long callId) {
+    public void onCallCancelled(long nowNanos, long callId) {
         ScheduledCall call = calls.find(callId).orElse(null);
         if (call == null || call.isCancelled()) {
             return;
@@ -205,15 +205,15 @@
         call.markCancelled();
         if (call.isWaiting()) {
             calls.dequeue(call);
-            loads.cancelUnwanted(call.function());
+            pendingLoads.cancelUnwanted(call.function());
             settle();
         } else {
-            actions.interrupt(callId);
+            actions.interruptCall(callId);
         }
     }
 
     /** A call's run ended, or is given up on. */
-    public void callEnded(long nowNanos, long callId, CallEnd end) {
+    public void onCallCompleted(long nowNanos, long callId, CallEnd end) {
         ScheduledCall call = calls.find(callId).orElse(null);
         if (call == null) {
             return;
@@ -226,14 +226,14 @@
         }
         pool.onLaneFreed(copy, nowNanos);
         calls.startWaiting(nowNanos, copy.function());
-        if (copy.isRetired() && !draining) {
+        if (copy.isRetired() && !isDraining) {
             replaceLostCopy(copy.function());
         }
         settle();
     }
 
     /** A thread of a call that was given up on left its copy. */
-    public void threadBack(long nowNanos, long copyId) {
+    public void onOverdueThreadReturned(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             copy.onOverdueThreadReturned();
             pool.onLaneFreed(copy, nowNanos);
@@ -247,22 +247,22 @@
         if (function.hasLiveCopy() && !hasWaitingCalls) {
             return;
         }
-        boolean fitsWithoutEviction = loads.fitsWithoutEviction(function);
+        boolean fitsWithoutEviction = pendingLoads.fitsWithoutEviction(function);
         boolean isAdmitted = !function.hasCopyComing()
                 && (hasWaitingCalls || fitsWithoutEviction)
-                && loads.admit(function, MemoryEstimate.UNKNOWN, Copy.Cause.CALL);
+                && pendingLoads.admit(function, MemoryEstimate.UNKNOWN, Copy.Cause.CALL);
         if (!isAdmitted && !function.hasLiveCopy()) {
             calls.rejectWaiting(function, Answer.FULL);
         }
     }
 
     /** An order to hold so many copies; 0 only asks. The idle time of the function's idle copies starts again. */
-    public void hold(long nowNanos, long orderId, String functionName, int count, MemoryEstimate hint) {
+    public void onLoadOrder(long nowNanos, long orderId, String functionName, int count, MemoryEstimate hint) {
         FunctionState function = pool.functionOf(functionName);
         function.restartIdleTimes(nowNanos);
         int wanted = 0;
-        if (!draining) {
-            loads.admitUpTo(count, function, hint);
+        if (!isDraining) {
+            pendingLoads.admitUpTo(count, function, hint);
             wanted = Math.min(count, function.liveCopies());
         }
         orders.answerOrAwait(function, new LoadOrder(orderId, wanted, count > wanted));
@@ -271,15 +271,15 @@
     }
 
     /** Nobody waits for an order any more: its loads that have not started are left out, unless calls want them. */
-    public void orderCancelled(long nowNanos, long orderId) {
+    public void onLoadOrderCancelled(long nowNanos, long orderId) {
         orders.cancel(orderId).ifPresent(function -> {
-            loads.cancelUnwanted(function);
+            pendingLoads.cancelUnwanted(function);
             settle();
         });
     }
 
     /** Unloads a function's idle copies. One that runs a call, or has calls waiting for it, is not idle. */
-    public void unload(long nowNanos, String functionName) {
+    public void onUnloadOrder(long nowNanos, String functionName) {
         pool.findFunction(functionName).ifPresent(function -> {
             pool.unloadIdleCopies(function);
             settle();
@@ -290,10 +290,10 @@
      * A package reported what its copies need.
      *
      * @return false where the booked memory does not suffice and no more is free: the load has then to end as
-     *     {@link LoadEnd#MISJUDGED}
+     *     {@link LoadEnd#NEEDS_MORE_MEMORY}
      */
-    public boolean measured(long nowNanos, long copyId, MemoryEstimate measured) {
-        boolean isCovered = loads.onMeasured(pool.get(copyId), measured);
+    public boolean onMemoryMeasured(long nowNanos, long copyId, MemoryEstimate measured) {
+        boolean isCovered = pendingLoads.onMeasured(pool.get(copyId), measured);
         if (isCovered) {
             settle();
         }
@@ -301,9 +301,9 @@
     }
 
     /** A load ended. */
-    public void loadEnded(long nowNanos, long copyId, LoadEnd end) {
+    public void onLoadCompleted(long nowNanos, long copyId, LoadEnd end) {
         Copy copy = pool.get(copyId);
-        loads.onLoadEnded();
+        pendingLoads.onLoadEnded();
         if (end == LoadEnd.READY) {
             pool.markReady(copy, nowNanos);
             calls.startWaiting(nowNanos, copy.function());
@@ -321,11 +321,12 @@
             pool.release(copy);
         }
         FunctionState function = copy.function();
-        boolean isWanted = !draining && (!function.waitingCalls().isEmpty() || copy.cause() == Copy.Cause.ORDER);
-        boolean isRetried =
-                end == LoadEnd.MISJUDGED && isWanted && loads.admit(function, MemoryEstimate.UNKNOWN, copy.cause());
+        boolean isWanted = !isDraining && (!function.waitingCalls().isEmpty() || copy.cause() == Copy.Cause.ORDER);
+        boolean isRetried = end == LoadEnd.NEEDS_MORE_MEMORY
+                && isWanted
+                && pendingLoads.admit(function, MemoryEstimate.UNKNOWN, copy.cause());
         if (!isRetried) {
-            answerWithoutCopy(function, end == LoadEnd.MISJUDGED ? Answer.FULL : Answer.MISS_LOAD_FAILED);
+            answerWithoutCopy(function, end == LoadEnd.NEEDS_MORE_MEMORY ? Answer.FULL : Answer.MISS_LOAD_FAILED);
         }
     }
 
@@ -338,15 +339,15 @@
     }
 
     /** A copy that was asked to stop is gone and its memory is free. */
-    public void stopped(long nowNanos, long copyId) {
+    public void onCopyUnloaded(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             pool.release(copy);
             settle();
         });
     }
 
-    /** A copy that was asked to stop does not: its memory stays booked until {@link #stopped} follows after all. */
-    public void hung(long nowNanos, long copyId) {
+    /** A copy that was asked to stop does not: its memory stays booked until {@link #onCopyUnloaded} follows after all. */
+    public void onCopyStuck(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             pool.markStuck(copy);
             settle();
@@ -354,38 +355,38 @@
     }
 
     /** The process holds so much more memory than is booked. */
-    public void leaked(long nowNanos, long leakedKb) {
+    public void onLeakMeasured(long nowNanos, long leakedKb) {
         pool.memory().setLeakedKb(leakedKb);
         settle();
     }
 
     /** Called at a steady pace: unloads copies idle for too long, rejects calls whose callers have stopped waiting. */
-    public void tick(long nowNanos) {
-        pool.unloadExpiredCopies(nowNanos, settings.keepNanos());
-        calls.rejectExpired(nowNanos, loads::cancelUnwanted);
+    public void onTick(long nowNanos) {
+        pool.unloadExpiredCopies(nowNanos, settings.idleRetentionNanos());
+        calls.rejectExpired(nowNanos, pendingLoads::cancelUnwanted);
         settle();
     }
 
     /** Starts a graceful shutdown: calls in flight finish, orders and loads that only they wanted are left out. */
-    public void drain(long nowNanos) {
-        draining = true;
+    public void onDrain(long nowNanos) {
+        isDraining = true;
         for (FunctionState function : pool.functions()) {
             orders.rejectAll(function);
-            loads.cancelUnwanted(function);
+            pendingLoads.cancelUnwanted(function);
         }
         settle();
     }
 
     private void settle() {
         startLoads();
-        if (draining && !drained && calls.inFlight() == 0) {
+        if (isDraining && !drained && calls.inFlight() == 0) {
             drained = true;
-            actions.drained();
+            actions.onDrained();
         }
     }
 
     private void startLoads() {
-        loads.startNext(this::onLoadGivenUp);
+        pendingLoads.startNext(this::onLoadGivenUp);
     }
 
     private void onLoadGivenUp(FunctionState function) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/LoadOrders.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/LoadOrders.java
@@ -48,7 +48,7 @@
     void onLoadFailed(FunctionState function) {
         for (LoadOrder order : function.orders()) {
             if (!answerIfSatisfied(function, order)) {
-                actions.answerOrder(order.id(), OrderAnswer.ERROR, function.readyCopies());
+                actions.completeOrder(order.id(), OrderAnswer.ERROR, function.readyCopies());
             }
             functionByOrder.remove(order.id());
         }
@@ -58,7 +58,7 @@
     /** Rejects all orders of a function since the worker takes nothing new. */
     void rejectAll(FunctionState function) {
         for (LoadOrder order : List.copyOf(function.orders())) {
-            actions.answerOrder(order.id(), OrderAnswer.FULL, function.readyCopies());
+            actions.completeOrder(order.id(), OrderAnswer.FULL, function.readyCopies());
             functionByOrder.remove(order.id());
         }
         function.orders().clear();
@@ -69,7 +69,7 @@
         if (ready < order.wantedCopies()) {
             return false;
         }
-        actions.answerOrder(order.id(), order.isPartial() ? OrderAnswer.FULL : OrderAnswer.SERVED, ready);
+        actions.completeOrder(order.id(), order.isPartial() ? OrderAnswer.FULL : OrderAnswer.SERVED, ready);
         return true;
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
@@ -24,7 +24,7 @@
         this.settings = settings;
         this.pool = pool;
         this.actions = actions;
-        this.estimates = new MemoryEstimates(settings.usualKb());
+        this.estimates = new MemoryEstimates(settings.defaultCopyKb());
     }
 
     /** Loads under way or waiting. */
@@ -35,11 +35,11 @@
     /** Admits a load and starts the evictions that it needs; false, and nothing done, where it can't be had. */
     boolean admit(FunctionState function, MemoryEstimate hint, Copy.Cause cause) {
         long memoryKb = estimates.memoryKb(function.name(), hint);
-        if (queue.size() >= settings.loadLine()) {
+        if (queue.size() >= settings.maxQueuedLoads()) {
             return false;
         }
         MemoryAccounting memory = pool.memory();
-        long missingKb = memoryKb + queuedKb - memory.free() - memory.in(Part.LEAVING);
+        long missingKb = memoryKb + queuedKb - memory.freeKb() - memory.bookedKb(Part.LEAVING);
         if (pool.evict(missingKb).isEmpty()) {
             return false;
         }
@@ -61,7 +61,7 @@
     /** Whether a further copy of a function fits beside all loads that wait, without any eviction. */
     boolean fitsWithoutEviction(FunctionState function) {
         MemoryAccounting memory = pool.memory();
-        long availableKb = memory.free() + memory.in(Part.LEAVING) - queuedKb;
+        long availableKb = memory.freeKb() + memory.bookedKb(Part.LEAVING) - queuedKb;
         return availableKb >= estimates.memoryKb(function.name(), MemoryEstimate.UNKNOWN);
     }
 
@@ -73,11 +73,11 @@
     void startNext(Consumer<FunctionState> onGivenUp) {
         while (!queue.isEmpty()) {
             Copy next = queue.peek();
-            boolean hasMemory = pool.memory().free() >= next.memoryKb();
-            if (hasMemory && running < settings.loadsAtOnce()) {
+            boolean hasMemory = pool.memory().freeKb() >= next.memoryKb();
+            if (hasMemory && running < settings.maxConcurrentLoads()) {
                 dequeue(next);
                 start(next);
-            } else if (!hasMemory && pool.memory().in(Part.LEAVING) == 0 && !evictFor(next)) {
+            } else if (!hasMemory && pool.memory().bookedKb(Part.LEAVING) == 0 && !evictFor(next)) {
                 dequeue(next);
                 pool.remove(next);
                 onGivenUp.accept(next.function());
@@ -90,11 +90,11 @@
     private void start(Copy copy) {
         running++;
         pool.markLoading(copy);
-        actions.load(copy.id(), copy.function().name(), copy.memoryKb());
+        actions.startLoad(copy.id(), copy.function().name(), copy.memoryKb());
     }
 
     private boolean evictFor(Copy copy) {
-        return pool.evict(copy.memoryKb() - pool.memory().free()).orElse(0) > 0;
+        return pool.evict(copy.memoryKb() - pool.memory().freeKb()).orElse(0) > 0;
     }
 
     private void dequeue(Copy copy) {
@@ -119,11 +119,11 @@
     boolean onMeasured(Copy copy, MemoryEstimate measured) {
         estimates.learn(copy.function().name(), measured);
         copy.setLanes(measured.lanes());
-        long additionalKb = measured.kb() - copy.memoryKb();
-        if (additionalKb > 0 && pool.memory().free() - queuedKb < additionalKb) {
+        long additionalKb = measured.memoryKb() - copy.memoryKb();
+        if (additionalKb > 0 && pool.memory().freeKb() - queuedKb < additionalKb) {
             return false;
         }
-        return pool.resize(copy, measured.kb());
+        return pool.resize(copy, measured.memoryKb());
     }
 
     void onLoadEnded() {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
@@ -51,8 +51,8 @@
      * @throws IllegalStateException where it is booked already or needs more than is free
      */
     void book(long copy, long memoryKb, Part part) {
-        if (memoryKb < 0 || memoryKb > free() || bookings.containsKey(copy)) {
-            throw new IllegalStateException("copy " + copy + " of " + memoryKb + " KiB with " + free() + " free");
+        if (memoryKb < 0 || memoryKb > freeKb() || bookings.containsKey(copy)) {
+            throw new IllegalStateException("copy " + copy + " of " + memoryKb + " KiB with " + freeKb() + " free");
         }
         put(copy, new Booking(memoryKb, part));
     }
@@ -66,7 +66,7 @@
     /** Changes what is booked for a copy; false, and nothing changed, where the difference is more than is free. */
     boolean resize(long copy, long memoryKb) {
         Booking booking = bookings.get(copy);
-        if (memoryKb - booking.memoryKb > free()) {
+        if (memoryKb - booking.memoryKb > freeKb()) {
             return false;
         }
         take(copy);
@@ -99,27 +99,27 @@
     }
 
     /** What is booked under a part, KiB. */
-    public long in(Part part) {
+    public long bookedKb(Part part) {
         return bookedKbByPart.get(part);
     }
 
     /** What the process holds beyond what is booked, as last measured, KiB. */
-    public long leaked() {
+    public long leakedKb() {
         return leakedKb;
     }
 
     /** What is booked for all copies, KiB. */
-    public long held() {
+    public long totalBookedKb() {
         return bookedKbByPart.values().stream().mapToLong(Long::longValue).sum();
     }
 
     /** What is neither booked nor leaked, KiB; never below 0, though a leak may exceed it. */
-    public long free() {
-        return Math.max(0, totalKb - held() - leakedKb);
+    public long freeKb() {
+        return Math.max(0, totalKb - totalBookedKb() - leakedKb);
     }
 
     /** Memory for copies in all, KiB. */
-    public long total() {
+    public long totalKb() {
         return totalKb;
     }
 
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
@@ -3,10 +3,10 @@
 /**
  * What one copy of a function needs.
  *
- * @param kb    memory in KiB; 0 where it is not known
+ * @param memoryKb    memory in KiB; 0 where it is not known
  * @param lanes calls that one copy runs concurrently; 0 where it is not known
  */
-public record MemoryEstimate(long kb, int lanes) {
+public record MemoryEstimate(long memoryKb, int lanes) {
     /** Nothing is known. */
     public static final MemoryEstimate UNKNOWN = new MemoryEstimate(0, 0);
 }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimates.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimates.java
@@ -34,7 +34,7 @@
     /** Memory for one copy in KiB: as its package reported, else as the caller's hint says, else the default. */
     long memoryKb(String function, MemoryEstimate hint) {
         MemoryEstimate known = byFunction.get(function);
-        long estimatedKb = known != null ? known.kb() : hint.kb();
+        long estimatedKb = known != null ? known.memoryKb() : hint.memoryKb();
         return estimatedKb > 0 ? estimatedKb : defaultKb;
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/ScheduledCall.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/ScheduledCall.java
@@ -1,7 +1,7 @@
 package wharfhinge.decisions.copies;
 
 import java.util.Optional;
-import wharfhinge.decisions.copies.CopyScheduler.Met;
+import wharfhinge.decisions.copies.CopyScheduler.CopyUse;
 
 /** A call that waits for a copy or runs in one. */
 final class ScheduledCall {
@@ -9,7 +9,7 @@
     private final FunctionState function;
     private final long expiresAtNanos;
     private final int concurrentOnArrival;
-    private Met met;
+    private CopyUse met;
     private Copy copy;
     private boolean cancelled;
 
@@ -42,11 +42,11 @@
         return concurrentOnArrival;
     }
 
-    Met met() {
+    CopyUse met() {
         return met;
     }
 
-    void setMet(Met met) {
+    void setMet(CopyUse met) {
         this.met = met;
     }
 
--- a/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
+++ b/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
@@ -33,12 +33,12 @@
     /**
      * A watch ended, or could not be opened.
      *
-     * @param brought     whether any data came on it
+     * @param hasReceivedData     whether any data came on it
      * @param lastedNanos time since the attempt to open it
      * @return the pause before the next attempt, nanoseconds
      */
-    public long ended(boolean brought, long lastedNanos) {
-        if (brought && lastedNanos >= LASTED_NANOS) {
+    public long nextPauseNanos(boolean hasReceivedData, long lastedNanos) {
+        if (hasReceivedData && lastedNanos >= LASTED_NANOS) {
             pauseNanos = 0;
             return 0;
         }
--- a/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerGoldenTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerGoldenTest.java
@@ -42,9 +42,9 @@
         quotas.put("a", new TenantQuota(2, 50, 5, 0));
         quotas.put("b", new TenantQuota(1, 0, 0, 1 + random.nextInt(12)));
         quotas.put("c", new TenantQuota(0.5, 0, 0, 0));
-        quotas.put(AdmissionController.OTHERS, new TenantQuota(1, 0, 0, 0));
-        AdmissionController controller =
-                new AdmissionController(new AdmissionSettings(quotas, AdmissionSettings.USUAL_FULL_AT));
+        quotas.put(AdmissionController.DEFAULT_TENANT, new TenantQuota(1, 0, 0, 0));
+        AdmissionController controller = new AdmissionController(
+                new AdmissionSettings(quotas, AdmissionSettings.DEFAULT_FULL_AT_OBJECTIVE_SHARE));
         ArrayDeque<OpenCall> open = new ArrayDeque<>();
         long now = 0;
         int arrivalsInTen = 4 + random.nextInt(3);
@@ -60,7 +60,7 @@
             } else if (!open.isEmpty()) {
                 OpenCall call = random.nextBoolean() ? open.pollFirst() : open.pollLast();
                 int kind = random.nextInt(20);
-                CallEnd end = kind == 0 ? CallEnd.REFUSED : kind == 1 ? CallEnd.OTHERWISE : CallEnd.ANSWERED;
+                CallEnd end = kind == 0 ? CallEnd.REJECTED : kind == 1 ? CallEnd.OTHER : CallEnd.ANSWERED;
                 controller.onCallEnded(
                         now, call.tenant, end, now - call.arrivedAt, (100 + random.nextInt(1000)) * MILLIS);
             }
--- a/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerTest.java
@@ -24,8 +24,9 @@
         for (int i = 0; i < namesAndQuotas.length; i += 2) {
             quotas.put((String) namesAndQuotas[i], (TenantQuota) namesAndQuotas[i + 1]);
         }
-        quotas.putIfAbsent(AdmissionController.OTHERS, new TenantQuota(1, 0, 0, 0));
-        return new AdmissionController(new AdmissionSettings(quotas, AdmissionSettings.USUAL_FULL_AT));
+        quotas.putIfAbsent(AdmissionController.DEFAULT_TENANT, new TenantQuota(1, 0, 0, 0));
+        return new AdmissionController(
+                new AdmissionSettings(quotas, AdmissionSettings.DEFAULT_FULL_AT_OBJECTIVE_SHARE));
     }
 
     @Test
@@ -45,7 +46,7 @@
         AdmissionController controller = newController("a", new TenantQuota(1, 0, 0, 1));
         assertEquals(Decision.ADMITTED, controller.onArrival(0, "a").decision());
         assertEquals(Decision.TOO_MANY_PENDING, controller.onArrival(0, "a").decision());
-        controller.onCallEnded(MILLIS, "a", CallEnd.OTHERWISE, MILLIS, MILLIS);
+        controller.onCallEnded(MILLIS, "a", CallEnd.OTHER, MILLIS, MILLIS);
         assertEquals(Decision.ADMITTED, controller.onArrival(MILLIS, "a").decision());
     }
 
@@ -77,9 +78,9 @@
     /** An answer after four tenths of its objective cuts the limit where three tenths count as full, and not by default. */
     @Test
     void fullAtObjectiveShare_decidesWhatCutsTheLimit() {
-        for (double fullAt : new double[] {0.3, AdmissionSettings.USUAL_FULL_AT}) {
-            AdmissionController controller = new AdmissionController(
-                    new AdmissionSettings(Map.of(AdmissionController.OTHERS, new TenantQuota(1, 0, 0, 0)), fullAt));
+        for (double fullAt : new double[] {0.3, AdmissionSettings.DEFAULT_FULL_AT_OBJECTIVE_SHARE}) {
+            AdmissionController controller = new AdmissionController(new AdmissionSettings(
+                    Map.of(AdmissionController.DEFAULT_TENANT, new TenantQuota(1, 0, 0, 0)), fullAt));
             double before = controller.limit();
             for (int i = 0; i < before; i++) {
                 controller.onArrival(0, null);
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainDecisionsGoldenTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainDecisionsGoldenTest.java
@@ -13,9 +13,9 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import wharfhinge.decisions.chain.ChainDecisions.Count;
-import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
 import wharfhinge.decisions.chain.ChainPlan.Step;
+import wharfhinge.decisions.chain.ChainScheduler.Counter;
+import wharfhinge.decisions.chain.ChainScheduler.StepEnd;
 import wharfhinge.policy.Effect;
 
 /**
@@ -32,7 +32,7 @@
     private record RunningStep(long chain, int step, long startedAt) {}
 
     /** Records each action as text and remembers which steps run. */
-    private static final class FakeGateway implements ChainDecisions.Actions {
+    private static final class FakeGateway implements ChainScheduler.Actions {
         private final MessageDigest digest;
         private final Set<RunningStep> running = new LinkedHashSet<>();
         private final Map<Long, Integer> openSteps = new HashMap<>();
@@ -48,24 +48,24 @@
         }
 
         @Override
-        public void start(long chain, int step, long mayTakeNanos) {
+        public void startStep(long chain, int step, long mayTakeNanos) {
             running.add(new RunningStep(chain, step, now));
             record("start " + chain + "/" + step + " " + mayTakeNanos);
         }
 
         @Override
-        public void cancel(long chain, int step) {
+        public void cancelStep(long chain, int step) {
             running.removeIf(r -> r.chain == chain && r.step == step);
             record("cancel " + chain + "/" + step);
         }
 
         @Override
-        public void expect(long chain, int step) {
+        public void prefetch(long chain, int step) {
             record("expect " + chain + "/" + step);
         }
 
         @Override
-        public void end(long chain, ChainEnd end) {
+        public void completeChain(long chain, ChainResult end) {
             open.remove(chain);
             record("end " + chain + " " + end.kind().ordinal() + " " + end.reason() + " "
                     + end.steps().stream().map(Enum::ordinal).toList());
@@ -83,7 +83,7 @@
 
     private static void play(Random random, FakeGateway gateway) throws Exception {
         ChainSettings settings = new ChainSettings(
-                random.nextInt(8) == 0 ? ChainSettings.Clock.EACH_STEP : ChainSettings.Clock.ONE,
+                random.nextInt(8) == 0 ? ChainSettings.Clock.DEADLINE_PER_STEP : ChainSettings.Clock.SHARED_DEADLINE,
                 random.nextInt(4) > 0,
                 random.nextInt(3) * 3,
                 random.nextInt(4) > 0,
@@ -93,7 +93,7 @@
                 1 << 20,
                 4 * MILLIS);
         Set<String> warm = new LinkedHashSet<>();
-        ChainDecisions decisions = new ChainDecisions(settings, gateway, warm::contains);
+        ChainScheduler decisions = new ChainScheduler(settings, gateway, warm::contains);
         for (int step = 0; step < STEPS; step++) {
             gateway.now += random.nextInt(40) * MILLIS;
             String function = "f" + random.nextInt(6);
@@ -101,20 +101,20 @@
                 warm.add(function);
             }
             playEvent(random, decisions, gateway, step);
-            gateway.record(decisions.open() + " " + decisions.stepsOpen());
+            gateway.record(decisions.openChains() + " " + decisions.runningSteps());
         }
-        for (Count count : Count.values()) {
-            gateway.record(count.ordinal() + " " + decisions.count(count));
+        for (Counter count : Counter.values()) {
+            gateway.record(count.ordinal() + " " + decisions.counter(count));
         }
     }
 
-    private static void playEvent(Random random, ChainDecisions decisions, FakeGateway gateway, int id)
+    private static void playEvent(Random random, ChainScheduler decisions, FakeGateway gateway, int id)
             throws Exception {
         long now = gateway.now;
         switch (random.nextInt(24)) {
-            case 0 -> decisions.clientLeft(now, random.nextInt(id + 1));
-            case 1 -> decisions.due(now, random.nextInt(id + 1));
-            case 2 -> decisions.outOfBytes(now, random.nextInt(id + 1));
+            case 0 -> decisions.onClientCancelled(now, random.nextInt(id + 1));
+            case 1 -> decisions.onDeadline(now, random.nextInt(id + 1));
+            case 2 -> decisions.onResponseBytesExhausted(now, random.nextInt(id + 1));
             case 3, 4, 5, 6, 7, 8, 9 -> {
                 ChainPlan plan = plan(random);
                 boolean[] done = new boolean[plan.size()];
@@ -124,7 +124,7 @@
                     }
                 }
                 String tenant = random.nextInt(5) == 0 ? null : "t" + random.nextInt(3);
-                decisions.begin(
+                decisions.onChain(
                         now, id, plan, tenant, now + random.nextInt(3000) * MILLIS, random.nextBoolean() ? done : null);
             }
             default -> {
@@ -135,8 +135,8 @@
                             .orElseThrow();
                     gateway.running.remove(ended);
                     int kind = random.nextInt(16);
-                    StepEnd end = kind == 0 ? StepEnd.FAILED : kind == 1 ? StepEnd.REFUSED : StepEnd.SERVED;
-                    decisions.stepEnded(
+                    StepEnd end = kind == 0 ? StepEnd.FAILED : kind == 1 ? StepEnd.REJECTED : StepEnd.SERVED;
+                    decisions.onStepCompleted(
                             now, ended.chain, ended.step, end, now - ended.startedAt, random.nextInt(4) == 0);
                 }
             }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainDecisionsTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainDecisionsTest.java
@@ -6,11 +6,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import wharfhinge.decisions.chain.ChainDecisions.Count;
-import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
-import wharfhinge.decisions.chain.ChainEnd.Kind;
 import wharfhinge.decisions.chain.ChainPlan.InvalidPlanException;
 import wharfhinge.decisions.chain.ChainPlan.Step;
+import wharfhinge.decisions.chain.ChainResult.Kind;
+import wharfhinge.decisions.chain.ChainScheduler.Counter;
+import wharfhinge.decisions.chain.ChainScheduler.StepEnd;
 import wharfhinge.policy.Effect;
 
 /** Hard cases of the scheduling of chains, one event at a time. */
@@ -18,31 +18,31 @@
     private static final long MILLIS = 1_000_000L;
     private final List<String> recorded = new ArrayList<>();
     private boolean warm = true;
-    private final ChainDecisions decisions =
-            decisions(new ChainSettings(ChainSettings.Clock.ONE, true, 0, true, 10, 8, 0.5, 1 << 20, 4 * MILLIS));
-    private ChainEnd lastEnd;
+    private final ChainScheduler decisions = decisions(
+            new ChainSettings(ChainSettings.Clock.SHARED_DEADLINE, true, 0, true, 10, 8, 0.5, 1 << 20, 4 * MILLIS));
+    private ChainResult lastEnd;
 
-    private ChainDecisions decisions(ChainSettings settings) {
-        return new ChainDecisions(
+    private ChainScheduler decisions(ChainSettings settings) {
+        return new ChainScheduler(
                 settings,
-                new ChainDecisions.Actions() {
+                new ChainScheduler.Actions() {
                     @Override
-                    public void start(long chain, int step, long mayTakeNanos) {
+                    public void startStep(long chain, int step, long mayTakeNanos) {
                         recorded.add("start " + chain + "/" + step);
                     }
 
                     @Override
-                    public void cancel(long chain, int step) {
+                    public void cancelStep(long chain, int step) {
                         recorded.add("cancel " + chain + "/" + step);
                     }
 
                     @Override
-                    public void expect(long chain, int step) {
+                    public void prefetch(long chain, int step) {
                         recorded.add("expect " + chain + "/" + step);
                     }
 
                     @Override
-                    public void end(long chain, ChainEnd end) {
+                    public void completeChain(long chain, ChainResult end) {
                         recorded.add("end " + chain + " " + end.kind() + " " + end.reason());
                         lastEnd = end;
                     }
@@ -61,7 +61,7 @@
 
     @Test
     void chain_whoseColdStartDoesNotFit_isRejectedAtStart() throws Exception {
-        decisions.begin(
+        decisions.onChain(
                 0,
                 1,
                 plan(step("a", Effect.IDEMPOTENT), step("cold", Effect.IDEMPOTENT, "a")),
@@ -72,31 +72,31 @@
                 List.of("expect 1/1", "end 1 REFUSED too-little-time"),
                 recorded,
                 "0.4 s for a load of 0.8 s; what it lacks is loaded for the next");
-        assertEquals(1, decisions.count(Count.REFUSED_AT_START));
+        assertEquals(1, decisions.counter(Counter.REFUSED_AT_START));
     }
 
     @Test
     void rejectedStep_afterNonIdempotentStep_failsChain() throws Exception {
-        decisions.begin(
+        decisions.onChain(
                 0, 1, plan(step("a", Effect.AT_MOST_ONCE), step("b", Effect.IDEMPOTENT, "a")), "t", 600 * MILLIS, null);
-        decisions.stepEnded(60 * MILLIS, 1, 0, StepEnd.SERVED, 60 * MILLIS, false);
-        decisions.stepEnded(70 * MILLIS, 1, 1, StepEnd.REFUSED, 10 * MILLIS, false);
+        decisions.onStepCompleted(60 * MILLIS, 1, 0, StepEnd.SERVED, 60 * MILLIS, false);
+        decisions.onStepCompleted(70 * MILLIS, 1, 1, StepEnd.REJECTED, 10 * MILLIS, false);
         assertEquals(Kind.FAILED, lastEnd.kind());
-        assertEquals(List.of(ChainEnd.StepState.SERVED, ChainEnd.StepState.REFUSED), lastEnd.steps());
+        assertEquals(List.of(ChainResult.StepState.SERVED, ChainResult.StepState.REFUSED), lastEnd.steps());
     }
 
     @Test
     void stepServedTooLate_rejectsChainBeforeNextStep() throws Exception {
-        decisions.begin(
+        decisions.onChain(
                 0, 1, plan(step("a", Effect.IDEMPOTENT), step("b", Effect.IDEMPOTENT, "a")), "t", 200 * MILLIS, null);
-        decisions.stepEnded(190 * MILLIS, 1, 0, StepEnd.SERVED, 190 * MILLIS, false);
+        decisions.onStepCompleted(190 * MILLIS, 1, 0, StepEnd.SERVED, 190 * MILLIS, false);
         assertEquals(List.of("start 1/0", "end 1 REFUSED too-little-time"), recorded);
-        assertEquals(1, decisions.count(Count.REFUSED_LATER));
+        assertEquals(1, decisions.counter(Counter.REFUSED_LATER));
     }
 
     @Test
     void failedStep_cancelsParallelStep() throws Exception {
-        decisions.begin(
+        decisions.onChain(
                 0,
                 1,
                 plan(
@@ -106,13 +106,13 @@
                 "t",
                 600 * MILLIS,
                 null);
-        decisions.stepEnded(10 * MILLIS, 1, 0, StepEnd.FAILED, 10 * MILLIS, false);
+        decisions.onStepCompleted(10 * MILLIS, 1, 0, StepEnd.FAILED, 10 * MILLIS, false);
         assertEquals(List.of("start 1/0", "start 1/1", "cancel 1/1", "end 1 REFUSED step-failed:a"), recorded);
     }
 
     @Test
     void functionOfLaterStep_isPrefetchedAndCounted() throws Exception {
-        decisions.begin(
+        decisions.onChain(
                 0,
                 1,
                 plan(step("a", Effect.IDEMPOTENT), step("cold", Effect.IDEMPOTENT, "a")),
@@ -120,20 +120,20 @@
                 1000 * MILLIS,
                 null);
         assertEquals(List.of("start 1/0", "expect 1/1"), recorded);
-        decisions.stepEnded(50 * MILLIS, 1, 0, StepEnd.SERVED, 50 * MILLIS, false);
-        decisions.stepEnded(700 * MILLIS, 1, 1, StepEnd.SERVED, 650 * MILLIS, true);
-        assertEquals(1, decisions.count(Count.AHEAD_LATE));
+        decisions.onStepCompleted(50 * MILLIS, 1, 0, StepEnd.SERVED, 50 * MILLIS, false);
+        decisions.onStepCompleted(700 * MILLIS, 1, 1, StepEnd.SERVED, 650 * MILLIS, true);
+        assertEquals(1, decisions.counter(Counter.AHEAD_LATE));
         assertEquals(Kind.SERVED, lastEnd.kind());
     }
 
     @Test
     void coldStartsSlowerThanTold_areLearned() throws Exception {
         for (int i = 0; i < 8; i++) {
-            decisions.begin(i, i, plan(step("cold", Effect.IDEMPOTENT)), "t", 10_000 * MILLIS, null);
-            decisions.stepEnded(3000 * MILLIS, i, 0, StepEnd.SERVED, 3000 * MILLIS, true);
+            decisions.onChain(i, i, plan(step("cold", Effect.IDEMPOTENT)), "t", 10_000 * MILLIS, null);
+            decisions.onStepCompleted(3000 * MILLIS, i, 0, StepEnd.SERVED, 3000 * MILLIS, true);
         }
         recorded.clear();
-        decisions.begin(0, 99, plan(step("cold", Effect.IDEMPOTENT)), "t", 1500 * MILLIS, null);
+        decisions.onChain(0, 99, plan(step("cold", Effect.IDEMPOTENT)), "t", 1500 * MILLIS, null);
         assertEquals(List.of("expect 99/0", "end 99 REFUSED too-little-time"), recorded, "told 0.8 s, takes 3 s now");
     }
 
@@ -143,68 +143,69 @@
         for (int i = 0; i < wide.length; i++) {
             wide[i] = step("w" + i, Effect.IDEMPOTENT);
         }
-        decisions.begin(0, 1, plan(wide), "greedy", 900 * MILLIS, null);
+        decisions.onChain(0, 1, plan(wide), "greedy", 900 * MILLIS, null);
         assertEquals(4, recorded.size(), "half of eight steps");
-        decisions.begin(0, 2, plan(step("a", Effect.IDEMPOTENT)), "modest", 600 * MILLIS, null);
+        decisions.onChain(0, 2, plan(step("a", Effect.IDEMPOTENT)), "modest", 600 * MILLIS, null);
         assertTrue(recorded.contains("start 2/0"));
-        decisions.stepEnded(10 * MILLIS, 1, 0, StepEnd.SERVED, 10 * MILLIS, false);
+        decisions.onStepCompleted(10 * MILLIS, 1, 0, StepEnd.SERVED, 10 * MILLIS, false);
         assertEquals(6, recorded.size(), "one over, the next begins");
     }
 
     @Test
     void stepsFinishedInEarlierAttempt_doNotRunAgain() throws Exception {
         ChainPlan plan = plan(step("a", Effect.AT_MOST_ONCE), step("b", Effect.IDEMPOTENT, "a"));
-        decisions.begin(0, 1, plan, "t", 600 * MILLIS, new boolean[] {true, false});
+        decisions.onChain(0, 1, plan, "t", 600 * MILLIS, new boolean[] {true, false});
         assertEquals(List.of("start 1/1"), recorded);
-        decisions.begin(0, 2, plan, "t", 600 * MILLIS, new boolean[] {true, true});
+        decisions.onChain(0, 2, plan, "t", 600 * MILLIS, new boolean[] {true, true});
         assertTrue(recorded.contains("end 2 SERVED all-steps-finished-before"));
     }
 
     @Test
     void concurrencyLimit_fallsWithLostChainsAndRisesWithServedOnes() throws Exception {
-        ChainDecisions many = decisions(
-                new ChainSettings(ChainSettings.Clock.ONE, true, 0, false, 1000, 1000, 1, 1 << 20, 4 * MILLIS));
+        ChainScheduler many = decisions(new ChainSettings(
+                ChainSettings.Clock.SHARED_DEADLINE, true, 0, false, 1000, 1000, 1, 1 << 20, 4 * MILLIS));
         ChainPlan plan = plan(step("a", Effect.IDEMPOTENT), step("b", Effect.IDEMPOTENT, "a"));
         for (int i = 0; i < 60; i++) {
-            many.begin(0, i, plan, "t", 600 * MILLIS, null);
+            many.onChain(0, i, plan, "t", 600 * MILLIS, null);
         }
-        long refused = many.count(Count.REFUSED_AT_START);
+        long refused = many.counter(Counter.REFUSED_AT_START);
         assertTrue(refused > 0 && refused < 60, "bounded before anything is known");
         for (int i = 0; i < 60; i++) {
-            many.stepEnded(10 * MILLIS, i, 0, StepEnd.SERVED, 10 * MILLIS, false);
-            many.stepEnded(20 * MILLIS, i, 1, StepEnd.REFUSED, 10 * MILLIS, false); // half of the work was for nothing
+            many.onStepCompleted(10 * MILLIS, i, 0, StepEnd.SERVED, 10 * MILLIS, false);
+            many.onStepCompleted(
+                    20 * MILLIS, i, 1, StepEnd.REJECTED, 10 * MILLIS, false); // half of the work was for nothing
         }
         for (int i = 100; i < 160; i++) {
-            many.begin(1000 * MILLIS, i, plan, "t", 1600 * MILLIS, null);
+            many.onChain(1000 * MILLIS, i, plan, "t", 1600 * MILLIS, null);
         }
-        long afterLosses = many.count(Count.REFUSED_AT_START) - refused;
+        long afterLosses = many.counter(Counter.REFUSED_AT_START) - refused;
         assertTrue(afterLosses > refused, "fewer may be open after losses");
         for (int round = 0; round < 300; round++) {
             for (int i = 100; i < 160; i++) {
-                many.stepEnded(1010 * MILLIS, i + 1000L * round, 0, StepEnd.SERVED, 10 * MILLIS, false);
-                many.stepEnded(1020 * MILLIS, i + 1000L * round, 1, StepEnd.SERVED, 10 * MILLIS, false);
+                many.onStepCompleted(1010 * MILLIS, i + 1000L * round, 0, StepEnd.SERVED, 10 * MILLIS, false);
+                many.onStepCompleted(1020 * MILLIS, i + 1000L * round, 1, StepEnd.SERVED, 10 * MILLIS, false);
             }
             for (int i = 100; i < 160; i++) {
-                many.begin(2000 * MILLIS, i + 1000L * (round + 1), plan, "t", 2600 * MILLIS, null);
+                many.onChain(2000 * MILLIS, i + 1000L * (round + 1), plan, "t", 2600 * MILLIS, null);
             }
         }
-        assertTrue(many.open() > 32, "it grows back as chains are served");
+        assertTrue(many.openChains() > 32, "it grows back as chains are served");
     }
 
     @Test
     void chainRejectedAtItsFirstStep_doesNotCutConcurrencyLimit() throws Exception {
-        ChainDecisions many = decisions(
-                new ChainSettings(ChainSettings.Clock.ONE, true, 0, false, 1000, 1000, 1, 1 << 20, 4 * MILLIS));
+        ChainScheduler many = decisions(new ChainSettings(
+                ChainSettings.Clock.SHARED_DEADLINE, true, 0, false, 1000, 1000, 1, 1 << 20, 4 * MILLIS));
         ChainPlan plan = plan(step("a", Effect.IDEMPOTENT), step("b", Effect.IDEMPOTENT, "a"));
         for (int i = 0; i < 30; i++) {
-            many.begin(0, i, plan, "t", 600 * MILLIS, null);
+            many.onChain(0, i, plan, "t", 600 * MILLIS, null);
         }
         for (int i = 0; i < 30; i++) {
-            many.stepEnded(10 * MILLIS, i, 0, StepEnd.REFUSED, 10 * MILLIS, false);
+            many.onStepCompleted(10 * MILLIS, i, 0, StepEnd.REJECTED, 10 * MILLIS, false);
         }
         for (int i = 100; i < 130; i++) {
-            many.begin(1000 * MILLIS, i, plan, "t", 1600 * MILLIS, null);
+            many.onChain(1000 * MILLIS, i, plan, "t", 1600 * MILLIS, null);
         }
-        assertEquals(0, many.count(Count.REFUSED_AT_START));
+        assertEquals(0, many.counter(Counter.REFUSED_AT_START));
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainPlanTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainPlanTest.java
@@ -26,7 +26,7 @@
             assertTrue(text.matches("steps.*: found .*, allowed: .*"), text);
         }
         List<Step> row = new ArrayList<>();
-        for (int i = 0; i <= ChainPlan.MOST_DEPTH; i++) {
+        for (int i = 0; i <= ChainPlan.MAX_DEPTH; i++) {
             row.add(i == 0 ? step("s0", Effect.IDEMPOTENT) : step("s" + i, Effect.IDEMPOTENT, "s" + (i - 1)));
         }
         assertThrows(InvalidPlanException.class, () -> ChainPlan.of(row));
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
@@ -14,10 +14,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.IntRange;
-import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
-import wharfhinge.decisions.chain.ChainEnd.Kind;
-import wharfhinge.decisions.chain.ChainEnd.StepState;
 import wharfhinge.decisions.chain.ChainPlan.Step;
+import wharfhinge.decisions.chain.ChainResult.Kind;
+import wharfhinge.decisions.chain.ChainResult.StepState;
+import wharfhinge.decisions.chain.ChainScheduler.StepEnd;
 import wharfhinge.policy.Effect;
 
 /** Random graphs, times and failures over a simulated clock. */
@@ -33,15 +33,15 @@
     }
 
     /** Steps that take random times, with the rules checked at every action. */
-    private static final class FakeFleet implements ChainDecisions.Actions {
+    private static final class FakeFleet implements ChainScheduler.Actions {
         private final Random random;
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final Map<Long, ChainPlan> plans = new HashMap<>();
         private final Map<Long, Long> deadlines = new HashMap<>();
-        private final Map<Long, ChainEnd> ends = new HashMap<>();
+        private final Map<Long, ChainResult> ends = new HashMap<>();
         private final Map<String, String> steps = new HashMap<>();
         private final Map<String, Long> unsafeRuns = new HashMap<>();
-        private final ChainDecisions decisions;
+        private final ChainScheduler decisions;
         private final int mostSteps;
         private long now;
         private long number;
@@ -49,8 +49,8 @@
 
         FakeFleet(long seed, ChainSettings settings) {
             random = new Random(seed);
-            mostSteps = settings.mostSteps();
-            decisions = new ChainDecisions(settings, this, f -> f.hashCode() % 2 == 0);
+            mostSteps = settings.maxSteps();
+            decisions = new ChainScheduler(settings, this, f -> f.hashCode() % 2 == 0);
         }
 
         void at(long time, Runnable what) {
@@ -58,7 +58,7 @@
         }
 
         @Override
-        public void start(long chain, int step, long mayTakeNanos) {
+        public void startStep(long chain, int step, long mayTakeNanos) {
             assertNull(ends.get(chain), "a step starts after the answer");
             assertNull(steps.put(chain + "/" + step, "out"), "a step starts twice");
             assertTrue(
@@ -76,11 +76,11 @@
                     out--;
                     boolean late = took > mayTakeNanos;
                     steps.put(chain + "/" + step, late || fails ? "failed" : refused ? "refused" : "served");
-                    decisions.stepEnded(
+                    decisions.onStepCompleted(
                             now,
                             chain,
                             step,
-                            late || fails ? StepEnd.FAILED : refused ? StepEnd.REFUSED : StepEnd.SERVED,
+                            late || fails ? StepEnd.FAILED : refused ? StepEnd.REJECTED : StepEnd.SERVED,
                             took,
                             took > 400 * MILLIS);
                 }
@@ -88,18 +88,18 @@
         }
 
         @Override
-        public void cancel(long chain, int step) {
+        public void cancelStep(long chain, int step) {
             assertEquals("out", steps.put(chain + "/" + step, "cancelled"), "cancelled what is not out");
             out--;
         }
 
         @Override
-        public void expect(long chain, int step) {
+        public void prefetch(long chain, int step) {
             assertNull(steps.get(chain + "/" + step), "loaded ahead for a step that has begun");
         }
 
         @Override
-        public void end(long chain, ChainEnd end) {
+        public void completeChain(long chain, ChainResult end) {
             assertNull(ends.put(chain, end), "two answers");
             assertTrue(now <= deadlines.get(chain), "an answer after the deadline");
             ChainPlan plan = plans.get(chain);
@@ -145,16 +145,16 @@
             }
             long deadline = now + (50 + random.nextInt(2000)) * MILLIS;
             deadlines.put(id, deadline);
-            at(deadline - RESERVE_NANOS / 2, () -> decisions.due(now, id));
+            at(deadline - RESERVE_NANOS / 2, () -> decisions.onDeadline(now, id));
             if (random.nextInt(10) == 0) {
                 at(now + random.nextInt(500) * MILLIS, () -> {
                     if (!ends.containsKey(id)) {
-                        ends.put(id, new ChainEnd(Kind.FAILED, "left", List.of()));
-                        decisions.clientLeft(now, id);
+                        ends.put(id, new ChainResult(Kind.FAILED, "left", List.of()));
+                        decisions.onClientCancelled(now, id);
                     }
                 });
             }
-            decisions.begin(now, id, plans.get(id), random.nextBoolean() ? "a" : "b", deadline, null);
+            decisions.onChain(now, id, plans.get(id), random.nextBoolean() ? "a" : "b", deadline, null);
         }
 
         void run() {
@@ -170,15 +170,24 @@
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int mostSteps, @ForAll boolean early) {
         FakeFleet fleet = new FakeFleet(
                 seed,
-                new ChainSettings(ChainSettings.Clock.ONE, early, 5, true, 30, mostSteps, 0.5, 1 << 20, RESERVE_NANOS));
+                new ChainSettings(
+                        ChainSettings.Clock.SHARED_DEADLINE,
+                        early,
+                        5,
+                        true,
+                        30,
+                        mostSteps,
+                        0.5,
+                        1 << 20,
+                        RESERVE_NANOS));
         for (long id = 0; id < 60; id++) {
             long chain = id;
             fleet.at(id * 20 * MILLIS, () -> fleet.begin(chain));
         }
         fleet.run();
         assertEquals(60, fleet.ends.size(), "a chain without an answer");
-        assertEquals(0, fleet.decisions.open());
-        assertEquals(0, fleet.decisions.stepsOpen());
+        assertEquals(0, fleet.decisions.openChains());
+        assertEquals(0, fleet.decisions.runningSteps());
         assertEquals(0, fleet.out);
     }
 
--- a/decisions/src/test/java/wharfhinge/decisions/chain/FinishedStepsTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/FinishedStepsTest.java
@@ -9,21 +9,21 @@
 class FinishedStepsTest {
     @Test
     void answers_areCachedForTheirWindowWithinTenantBounds() {
-        FinishedSteps cache = new FinishedSteps(1000, 2, 100);
-        FinishedSteps.Answer answer = new FinishedSteps.Answer(new byte[30], null);
-        assertTrue(cache.finished(0, "t", "k", "d", 2, 1, answer));
+        StepAnswerCache cache = new StepAnswerCache(1000, 2, 100);
+        StepAnswerCache.Answer answer = new StepAnswerCache.Answer(new byte[30], null);
+        assertTrue(cache.put(0, "t", "k", "d", 2, 1, answer));
         assertArrayEquals(
-                new FinishedSteps.Answer[] {null, answer},
-                cache.resume(500, "t", "k", "d", 2).orElseThrow());
-        assertFalse(cache.resume(500, "t", "k", "other", 2).isPresent(), "another chain under the same key");
-        assertFalse(cache.resume(500, "u", "k", "d", 2).isPresent(), "another tenant");
-        assertFalse(cache.resume(1000, "t", "k", "d", 2).isPresent(), "past its window");
-        cache.finished(0, "t", "k1", "d", 1, 0, answer);
-        cache.finished(0, "u", "k1", "d", 1, 0, answer);
-        cache.finished(0, "t", "k2", "d", 1, 0, answer);
-        cache.finished(0, "t", "k3", "d", 1, 0, answer);
-        assertFalse(cache.resume(1, "t", "k1", "d", 1).isPresent(), "the oldest gives way");
-        assertTrue(cache.resume(1, "u", "k1", "d", 1).isPresent(), "never another tenant's");
-        assertFalse(cache.finished(0, "t", "k4", "d", 1, 0, new FinishedSteps.Answer(new byte[101], null)));
+                new StepAnswerCache.Answer[] {null, answer},
+                cache.get(500, "t", "k", "d", 2).orElseThrow());
+        assertFalse(cache.get(500, "t", "k", "other", 2).isPresent(), "another chain under the same key");
+        assertFalse(cache.get(500, "u", "k", "d", 2).isPresent(), "another tenant");
+        assertFalse(cache.get(1000, "t", "k", "d", 2).isPresent(), "past its window");
+        cache.put(0, "t", "k1", "d", 1, 0, answer);
+        cache.put(0, "u", "k1", "d", 1, 0, answer);
+        cache.put(0, "t", "k2", "d", 1, 0, answer);
+        cache.put(0, "t", "k3", "d", 1, 0, answer);
+        assertFalse(cache.get(1, "t", "k1", "d", 1).isPresent(), "the oldest gives way");
+        assertTrue(cache.get(1, "u", "k1", "d", 1).isPresent(), "never another tenant's");
+        assertFalse(cache.put(0, "t", "k4", "d", 1, 0, new StepAnswerCache.Answer(new byte[101], null)));
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerGoldenTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerGoldenTest.java
@@ -44,41 +44,41 @@
         }
 
         @Override
-        public void load(long copy, String function, long bookedKb) {
+        public void startLoad(long copy, String function, long bookedKb) {
             loading.add(copy);
             record("load " + copy + " " + function + " " + bookedKb);
         }
 
         @Override
-        public void run(long call, long copy) {
+        public void startCall(long call, long copy) {
             copyByRunningCall.put(call, copy);
             record("run " + call + " " + copy);
         }
 
         @Override
-        public void interrupt(long call) {
+        public void interruptCall(long call) {
             record("interrupt " + call);
         }
 
         @Override
-        public void answer(long call, CopyScheduler.Answer answer, CopyScheduler.Met met, int company) {
+        public void completeCall(long call, CopyScheduler.Answer answer, CopyScheduler.CopyUse met, int company) {
             record("answer " + call + " " + answer.ordinal() + " " + (met == null ? "-" : met.ordinal()) + " "
                     + company);
         }
 
         @Override
-        public void answerOrder(long order, OrderAnswer answer, int ready) {
+        public void completeOrder(long order, OrderAnswer answer, int ready) {
             record("order " + order + " " + answer.ordinal() + " " + ready);
         }
 
         @Override
-        public void stop(long copy) {
+        public void unloadCopy(long copy) {
             stopping.add(copy);
             record("stop " + copy);
         }
 
         @Override
-        public void drained() {
+        public void onDrained() {
             record("drained");
         }
     }
@@ -111,43 +111,44 @@
             } else {
                 workerEvent(random, scheduler, worker, now);
             }
-            worker.record("books " + scheduler.ledger().held() + " "
-                    + scheduler.ledger().free() + " "
-                    + scheduler.ledger().busyShare() + " " + scheduler.held() + " " + scheduler.waiting() + " "
-                    + scheduler.loads() + " " + scheduler.copies());
-        }
-        scheduler.drain(now);
-        scheduler.tick(now + 1000);
+            worker.record("books " + scheduler.memory().totalBookedKb() + " "
+                    + scheduler.memory().freeKb() + " "
+                    + scheduler.memory().busyShare() + " " + scheduler.callsInFlight() + " " + scheduler.queuedCalls()
+                    + " "
+                    + scheduler.pendingLoads() + " " + scheduler.copyCount());
+        }
+        scheduler.onDrain(now);
+        scheduler.onTick(now + 1000);
     }
 
     private static void requestEvent(Random random, CopyScheduler scheduler, long now, int step) {
         String function = "f" + random.nextInt(4);
         MemoryEstimate hint = new MemoryEstimate(random.nextInt(3) * 15, 0);
         switch (random.nextInt(9)) {
-            case 0, 1, 2, 3, 4 -> scheduler.call(now, step, function, hint, now + 5 + random.nextInt(60));
-            case 5 -> scheduler.hold(now, step, function, random.nextInt(5), hint);
-            case 6 -> scheduler.cancelled(now, random.nextInt(step + 1));
-            case 7 -> scheduler.orderCancelled(now, random.nextInt(step + 1));
-            default -> scheduler.unload(now, function);
+            case 0, 1, 2, 3, 4 -> scheduler.onCall(now, step, function, hint, now + 5 + random.nextInt(60));
+            case 5 -> scheduler.onLoadOrder(now, step, function, random.nextInt(5), hint);
+            case 6 -> scheduler.onCallCancelled(now, random.nextInt(step + 1));
+            case 7 -> scheduler.onLoadOrderCancelled(now, random.nextInt(step + 1));
+            default -> scheduler.onUnloadOrder(now, function);
         }
     }
 
     private static void workerEvent(Random random, CopyScheduler scheduler, FakeWorker worker, long now) {
         switch (random.nextInt(10)) {
-            case 0 -> scheduler.tick(now);
-            case 1 -> scheduler.leaked(now, Math.max(0, random.nextInt(60) - 40));
+            case 0 -> scheduler.onTick(now);
+            case 1 -> scheduler.onLeakMeasured(now, Math.max(0, random.nextInt(60) - 40));
             case 2 -> {
                 if (!worker.copiesOfOverdueThreads.isEmpty()) {
-                    scheduler.threadBack(now, worker.copiesOfOverdueThreads.remove(0));
+                    scheduler.onOverdueThreadReturned(now, worker.copiesOfOverdueThreads.remove(0));
                 }
             }
             case 3, 4 -> {
                 long copy = anyOf(worker.stopping, random);
                 if (copy > 0 && random.nextInt(4) == 0) {
-                    scheduler.hung(now, copy);
+                    scheduler.onCopyStuck(now, copy);
                 } else if (copy > 0) {
                     worker.stopping.remove(copy);
-                    scheduler.stopped(now, copy);
+                    scheduler.onCopyUnloaded(now, copy);
                 }
             }
             case 5, 6, 7 -> endCall(random, scheduler, worker, now);
@@ -166,7 +167,7 @@
         if (end == CallEnd.OVER_LIMIT) {
             worker.copiesOfOverdueThreads.add(copy);
         }
-        scheduler.callEnded(now, call, end);
+        scheduler.onCallCompleted(now, call, end);
     }
 
     private static void endLoad(Random random, CopyScheduler scheduler, FakeWorker worker, long now) {
@@ -176,12 +177,13 @@
         long copy = anyOf(worker.loading, random);
         worker.loading.remove(copy);
         MemoryEstimate measured = new MemoryEstimate(10 + 5L * random.nextInt(6), 1 + random.nextInt(2));
-        if (!scheduler.measured(now, copy, measured)) {
-            scheduler.loadEnded(now, copy, LoadEnd.MISJUDGED);
+        if (!scheduler.onMemoryMeasured(now, copy, measured)) {
+            scheduler.onLoadCompleted(now, copy, LoadEnd.NEEDS_MORE_MEMORY);
             return;
         }
         int kind = random.nextInt(8);
-        scheduler.loadEnded(now, copy, kind == 0 ? LoadEnd.FAILED : kind == 1 ? LoadEnd.FAILED_STUCK : LoadEnd.READY);
+        scheduler.onLoadCompleted(
+                now, copy, kind == 0 ? LoadEnd.FAILED : kind == 1 ? LoadEnd.FAILED_STUCK : LoadEnd.READY);
     }
 
     private static long anyOf(Set<Long> ids, Random random) {
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerPropertiesTest.java
@@ -15,8 +15,8 @@
 import net.jqwik.api.Property;
 import wharfhinge.decisions.copies.CopyScheduler.Answer;
 import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
+import wharfhinge.decisions.copies.CopyScheduler.CopyUse;
 import wharfhinge.decisions.copies.CopyScheduler.LoadEnd;
-import wharfhinge.decisions.copies.CopyScheduler.Met;
 import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
 import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public void load(long copy, String function, long kb) {
+        public void startLoad(long copy, String function, long kb) {
             memory.put(copy, kb);
             loading.put(copy, function);
             assertTrue(loading.size() <= maxLoads, "more loads at once than allowed");
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void run(long call, long copy) {
+        public void startCall(long call, long copy) {
             assertTrue(
                     lanes.containsKey(copy) && !stopping.contains(copy) && !stuck.contains(copy),
                     "ran on what is no copy");
@@ -65,29 +65,29 @@
         }
 
         @Override
-        public void interrupt(long call) {
+        public void interruptCall(long call) {
             assertTrue(runs.containsKey(call));
         }
 
         @Override
-        public void answer(long call, Answer answer, Met met, int company) {
+        public void completeCall(long call, Answer answer, CopyUse met, int company) {
             assertTrue(answers.put(call, answer) == null, "a second answer");
             assertEquals(answer == Answer.SERVED, met != null);
         }
 
         @Override
-        public void answerOrder(long order, OrderAnswer answer, int ready) {
+        public void completeOrder(long order, OrderAnswer answer, int ready) {
             assertTrue(orders.remove(order), "an answer nobody waits for");
         }
 
         @Override
-        public void stop(long copy) {
+        public void unloadCopy(long copy) {
             assertEquals(0, running.getOrDefault(copy, 0), "stopped while at work");
             assertTrue(stopping.add(copy), "stopped twice");
         }
 
         @Override
-        public void drained() {
+        public void onDrained() {
             assertTrue(!drained && runs.isEmpty());
             drained = true;
         }
@@ -130,7 +130,7 @@
             switch (random.nextInt(14)) {
                 case 0, 1, 2, 3 -> {
                     waiting.add(next);
-                    scheduler.call(
+                    scheduler.onCall(
                             now,
                             next++,
                             function,
@@ -139,43 +139,43 @@
                 }
                 case 4 -> {
                     process.orders.add(next);
-                    scheduler.hold(now, next++, function, random.nextInt(6), MemoryEstimate.UNKNOWN);
+                    scheduler.onLoadOrder(now, next++, function, random.nextInt(6), MemoryEstimate.UNKNOWN);
                 }
-                case 5 -> scheduler.unload(now, function);
+                case 5 -> scheduler.onUnloadOrder(now, function);
                 case 6 -> {
                     if (!waiting.isEmpty()) {
                         long call = waiting.iterator().next();
                         cancelled.add(call);
-                        scheduler.cancelled(now, call);
+                        scheduler.onCallCancelled(now, call);
                     }
                 }
-                case 7 -> scheduler.tick(now);
+                case 7 -> scheduler.onTick(now);
                 case 8 -> {
                     if (!process.orders.isEmpty()) {
                         long order = process.orders.iterator().next();
-                        scheduler.orderCancelled(now, order);
+                        scheduler.onLoadOrderCancelled(now, order);
                         process.orders.remove(order);
                     }
                 }
                 case 9 -> {
                     if (step > 45) {
-                        scheduler.drain(now);
+                        scheduler.onDrain(now);
                     }
                 }
                 default -> advance(now, scheduler, process, random, false);
             }
             assertAccounting(scheduler, process);
         }
-        scheduler.drain(now);
+        scheduler.onDrain(now);
         for (int round = 0;
-                round < 400 && !(process.runs.isEmpty() && process.loading.isEmpty() && scheduler.waiting() == 0);
+                round < 400 && !(process.runs.isEmpty() && process.loading.isEmpty() && scheduler.queuedCalls() == 0);
                 round++) {
             now += 5;
-            scheduler.tick(now);
+            scheduler.onTick(now);
             advance(now, scheduler, process, random, true);
             assertAccounting(scheduler, process);
         }
-        assertEquals(0, scheduler.held());
+        assertEquals(0, scheduler.callsInFlight());
         assertTrue(process.drained, "it never said that it had drained");
         waiting.removeAll(cancelled);
         for (long call : waiting) {
@@ -183,33 +183,33 @@
         }
         assertTrue(process.orders.isEmpty(), "orders without an answer: " + process.orders);
         for (long copy : List.copyOf(process.overdue)) { // at last all threads come back
-            scheduler.threadBack(now, copy);
+            scheduler.onOverdueThreadReturned(now, copy);
         }
         for (long copy : List.copyOf(process.stuck)) {
             process.release(copy);
-            scheduler.stopped(now, copy);
+            scheduler.onCopyUnloaded(now, copy);
         }
         for (long copy : List.copyOf(process.stopping)) {
             process.release(copy);
-            scheduler.stopped(now, copy);
+            scheduler.onCopyUnloaded(now, copy);
         }
-        assertEquals(process.heldKb(), scheduler.ledger().held());
+        assertEquals(process.heldKb(), scheduler.memory().totalBookedKb());
     }
 
     private static void assertAccounting(CopyScheduler scheduler, FakeProcess process) {
-        assertEquals(process.heldKb(), scheduler.ledger().held(), "the accounting differs from the process");
-        assertEquals(TOTAL_KB - process.heldKb(), scheduler.ledger().free());
+        assertEquals(process.heldKb(), scheduler.memory().totalBookedKb(), "the accounting differs from the process");
+        assertEquals(TOTAL_KB - process.heldKb(), scheduler.memory().freeKb());
         long working = process.running.entrySet().stream()
                 .filter(e -> e.getValue() > 0)
                 .mapToLong(e -> process.memory.get(e.getKey()))
                 .sum();
-        assertEquals(working, scheduler.ledger().in(Part.WORKING));
+        assertEquals(working, scheduler.memory().bookedKb(Part.WORKING));
         assertEquals(
                 process.stuck.stream().mapToLong(process.memory::get).sum(),
-                scheduler.ledger().in(Part.STUCK));
+                scheduler.memory().bookedKb(Part.STUCK));
         assertEquals(
                 process.loading.keySet().stream().mapToLong(process.memory::get).sum(),
-                scheduler.ledger().in(Part.LOADING));
+                scheduler.memory().bookedKb(Part.LOADING));
     }
 
     /** Something that is under way ends, successfully or not. */
@@ -232,16 +232,16 @@
             if (hung && last) {
                 process.stuck.add(copy);
             }
-            scheduler.callEnded(now, run.getKey(), how);
+            scheduler.onCallCompleted(now, run.getKey(), how);
         } else if (!process.stopping.isEmpty()) {
             long copy = process.stopping.iterator().next();
             if (!succeeds && random.nextInt(4) == 0) {
                 process.stopping.remove(copy);
                 process.stuck.add(copy);
-                scheduler.hung(now, copy);
+                scheduler.onCopyStuck(now, copy);
             } else {
                 process.release(copy);
-                scheduler.stopped(now, copy);
+                scheduler.onCopyUnloaded(now, copy);
             }
         }
     }
@@ -253,10 +253,10 @@
         int lanes = 1 + random.nextInt(2);
         long booked = process.memory.get(copy);
         process.memory.put(copy, Math.min(kb, booked)); // nothing is mapped yet; what is spared may be used at once
-        if (!scheduler.measured(now, copy, new MemoryEstimate(kb, lanes))) {
+        if (!scheduler.onMemoryMeasured(now, copy, new MemoryEstimate(kb, lanes))) {
             process.loading.remove(copy);
             process.release(copy);
-            scheduler.loadEnded(now, copy, LoadEnd.MISJUDGED);
+            scheduler.onLoadCompleted(now, copy, LoadEnd.NEEDS_MORE_MEMORY);
             return;
         }
         process.memory.put(copy, kb);
@@ -265,13 +265,13 @@
         int how = succeeds ? 0 : random.nextInt(5);
         if (how == 1) {
             process.release(copy);
-            scheduler.loadEnded(now, copy, LoadEnd.FAILED);
+            scheduler.onLoadCompleted(now, copy, LoadEnd.FAILED);
         } else if (how == 2) {
             process.stuck.add(copy);
-            scheduler.loadEnded(now, copy, LoadEnd.FAILED_STUCK);
+            scheduler.onLoadCompleted(now, copy, LoadEnd.FAILED_STUCK);
         } else {
             process.lanes.put(copy, lanes);
-            scheduler.loadEnded(now, copy, LoadEnd.READY);
+            scheduler.onLoadCompleted(now, copy, LoadEnd.READY);
         }
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerTest.java
@@ -21,37 +21,38 @@
         return new CopyScheduler(
                 new CopySettings(50, 10, 8, 2, 16, 1000, loadsOnCall, ownFurther), new CopyScheduler.Actions() {
                     @Override
-                    public void load(long copy, String function, long bookedKb) {
+                    public void startLoad(long copy, String function, long bookedKb) {
                         actions.add("load " + copy + " " + function);
                     }
 
                     @Override
-                    public void run(long call, long copy) {
+                    public void startCall(long call, long copy) {
                         actions.add("run " + call + " on " + copy);
                     }
 
                     @Override
-                    public void interrupt(long call) {
+                    public void interruptCall(long call) {
                         actions.add("interrupt " + call);
                     }
 
                     @Override
-                    public void answer(long call, CopyScheduler.Answer answer, CopyScheduler.Met met, int company) {
+                    public void completeCall(
+                            long call, CopyScheduler.Answer answer, CopyScheduler.CopyUse met, int company) {
                         actions.add("answer " + call + " " + answer + " " + met);
                     }
 
                     @Override
-                    public void answerOrder(long order, CopyScheduler.OrderAnswer answer, int ready) {
+                    public void completeOrder(long order, CopyScheduler.OrderAnswer answer, int ready) {
                         actions.add("order " + order + " " + answer + " " + ready);
                     }
 
                     @Override
-                    public void stop(long copy) {
+                    public void unloadCopy(long copy) {
                         actions.add("stop " + copy);
                     }
 
                     @Override
-                    public void drained() {
+                    public void onDrained() {
                         actions.add("drained");
                     }
                 });
@@ -65,33 +66,33 @@
     }
 
     private void completeLoad(long copy, int kb, int lanes) {
-        assertTrue(scheduler.measured(0, copy, new MemoryEstimate(kb, lanes)));
-        scheduler.loadEnded(0, copy, LoadEnd.READY);
+        assertTrue(scheduler.onMemoryMeasured(0, copy, new MemoryEstimate(kb, lanes)));
+        scheduler.onLoadCompleted(0, copy, LoadEnd.READY);
     }
 
     @Test
     void call_ofUnloadedFunction_startsLoadWaitsAndRuns() {
-        scheduler.call(0, 100, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 100, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("load 1 f", takeActions());
-        scheduler.call(0, 101, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 101, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("", takeActions(), "a load is coming: no second one");
         completeLoad(1, 10, 2);
         assertEquals("run 100 on 1, run 101 on 1", takeActions());
-        scheduler.callEnded(1, 100, CallEnd.SERVED);
-        scheduler.callEnded(1, 101, CallEnd.ERROR);
+        scheduler.onCallCompleted(1, 100, CallEnd.SERVED);
+        scheduler.onCallCompleted(1, 101, CallEnd.ERROR);
         assertEquals("answer 100 SERVED BEGAN, answer 101 ERROR null", takeActions());
-        scheduler.call(2, 102, "f", TEN_KB, NEVER_EXPIRES);
-        scheduler.callEnded(3, 102, CallEnd.SERVED);
+        scheduler.onCall(2, 102, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCallCompleted(3, 102, CallEnd.SERVED);
         assertEquals("run 102 on 1, answer 102 SERVED FOUND", takeActions());
     }
 
     @Test
     void call_whereOnlyOrdersLoad_isMiss() {
         scheduler = newScheduler(false, false);
-        scheduler.call(0, 1, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 1, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("answer 1 MISS null", takeActions());
-        scheduler.hold(0, 2, "f", 1, TEN_KB);
-        scheduler.call(0, 3, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onLoadOrder(0, 2, "f", 1, TEN_KB);
+        scheduler.onCall(0, 3, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("load 1 f", takeActions(), "one that is coming is waited for");
         completeLoad(1, 10, 1);
         assertEquals("run 3 on 1, order 2 SERVED 1", takeActions());
@@ -99,21 +100,21 @@
 
     @Test
     void memoryForOneOfTwoLoads_goesToTheFirst() {
-        scheduler.call(0, 1, "f", new MemoryEstimate(30, 1), NEVER_EXPIRES);
-        scheduler.call(0, 2, "g", new MemoryEstimate(30, 1), NEVER_EXPIRES);
+        scheduler.onCall(0, 1, "f", new MemoryEstimate(30, 1), NEVER_EXPIRES);
+        scheduler.onCall(0, 2, "g", new MemoryEstimate(30, 1), NEVER_EXPIRES);
         assertEquals("load 1 f, answer 2 FULL null", takeActions());
         completeLoad(1, 30, 1);
-        scheduler.callEnded(0, 1, CallEnd.SERVED);
+        scheduler.onCallCompleted(0, 1, CallEnd.SERVED);
         takeActions();
-        scheduler.call(1, 3, "g", new MemoryEstimate(30, 1), NEVER_EXPIRES);
+        scheduler.onCall(1, 3, "g", new MemoryEstimate(30, 1), NEVER_EXPIRES);
         assertEquals("stop 1", takeActions(), "the idle one goes, and the load waits until its memory is free");
-        scheduler.stopped(2, 1);
+        scheduler.onCopyUnloaded(2, 1);
         assertEquals("load 2 g", takeActions());
     }
 
     @Test
     void orderForSixteenCopies_whereFiveFit_isFullWithFive() {
-        scheduler.hold(0, 1, "f", 16, TEN_KB);
+        scheduler.onLoadOrder(0, 1, "f", 16, TEN_KB);
         for (int copy = 1; copy <= 5; copy++) {
             completeLoad(copy, 10, 1);
         }
@@ -122,46 +123,46 @@
 
     @Test
     void unload_leavesCopyThatRunsACall() {
-        scheduler.hold(0, 1, "f", 2, TEN_KB);
+        scheduler.onLoadOrder(0, 1, "f", 2, TEN_KB);
         completeLoad(1, 10, 1);
         completeLoad(2, 10, 1);
-        scheduler.call(0, 5, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 5, "f", TEN_KB, NEVER_EXPIRES);
         takeActions();
-        scheduler.unload(0, "f");
+        scheduler.onUnloadOrder(0, "f");
         assertEquals("stop 2", takeActions());
-        scheduler.call(0, 6, "f", TEN_KB, NEVER_EXPIRES);
-        scheduler.callEnded(1, 5, CallEnd.SERVED);
+        scheduler.onCall(0, 6, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCallCompleted(1, 5, CallEnd.SERVED);
         assertEquals("load 3 f, answer 5 SERVED FOUND, run 6 on 1", takeActions());
-        scheduler.unload(1, "f");
+        scheduler.onUnloadOrder(1, "f");
         assertEquals("", takeActions(), "the copy was picked again before it could be called idle");
     }
 
     @Test
     void queuedLoad_whoseCallIsCancelled_isNotStarted() {
-        scheduler.call(0, 1, "a", TEN_KB, NEVER_EXPIRES);
-        scheduler.call(0, 2, "b", TEN_KB, NEVER_EXPIRES);
-        scheduler.call(0, 3, "c", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 1, "a", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 2, "b", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 3, "c", TEN_KB, NEVER_EXPIRES);
         assertEquals("load 1 a, load 2 b", takeActions(), "two at once");
-        scheduler.cancelled(0, 3);
-        scheduler.cancelled(0, 1);
-        scheduler.loadEnded(0, 1, LoadEnd.READY);
-        scheduler.loadEnded(0, 2, LoadEnd.READY);
+        scheduler.onCallCancelled(0, 3);
+        scheduler.onCallCancelled(0, 1);
+        scheduler.onLoadCompleted(0, 1, LoadEnd.READY);
+        scheduler.onLoadCompleted(0, 2, LoadEnd.READY);
         assertEquals("run 2 on 2", takeActions());
-        assertEquals(0, scheduler.loads());
+        assertEquals(0, scheduler.pendingLoads());
     }
 
     @Test
     void loadOfPackageThatNeedsMore_isRetriedWithMeasuredMemory() {
-        scheduler.hold(0, 9, "g", 2, TEN_KB);
+        scheduler.onLoadOrder(0, 9, "g", 2, TEN_KB);
         completeLoad(1, 10, 1);
         completeLoad(2, 10, 1);
         takeActions();
-        scheduler.call(0, 1, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 1, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("load 3 f", takeActions());
-        assertTrue(!scheduler.measured(0, 3, new MemoryEstimate(40, 1)), "30 are free");
-        scheduler.loadEnded(0, 3, LoadEnd.MISJUDGED);
+        assertTrue(!scheduler.onMemoryMeasured(0, 3, new MemoryEstimate(40, 1)), "30 are free");
+        scheduler.onLoadCompleted(0, 3, LoadEnd.NEEDS_MORE_MEMORY);
         assertEquals("stop 1", takeActions(), "one idle copy makes room");
-        scheduler.stopped(0, 1);
+        scheduler.onCopyUnloaded(0, 1);
         assertEquals("load 4 f", takeActions());
         completeLoad(4, 40, 1);
         assertEquals("run 1 on 4", takeActions());
@@ -169,66 +170,66 @@
 
     @Test
     void callOverItsLimit_isAnsweredAndItsMemoryStaysBooked() {
-        scheduler.call(0, 1, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 1, "f", TEN_KB, NEVER_EXPIRES);
         completeLoad(1, 10, 1);
         takeActions();
-        scheduler.callEnded(5, 1, CallEnd.OVER_LIMIT);
+        scheduler.onCallCompleted(5, 1, CallEnd.OVER_LIMIT);
         assertEquals("answer 1 ERROR null, load 2 f", takeActions(), "its copy is replaced");
-        assertEquals(10, scheduler.ledger().in(Part.STUCK));
-        scheduler.threadBack(9, 1);
+        assertEquals(10, scheduler.memory().bookedKb(Part.STUCK));
+        scheduler.onOverdueThreadReturned(9, 1);
         assertEquals("stop 1", takeActions());
-        scheduler.stopped(9, 1);
-        assertEquals(0, scheduler.ledger().in(Part.STUCK));
+        scheduler.onCopyUnloaded(9, 1);
+        assertEquals(0, scheduler.memory().bookedKb(Part.STUCK));
     }
 
     @Test
     void failedLoad_answersItsCallsAndOrders() {
-        scheduler.call(0, 1, "f", TEN_KB, NEVER_EXPIRES);
-        scheduler.hold(0, 2, "f", 1, TEN_KB);
+        scheduler.onCall(0, 1, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onLoadOrder(0, 2, "f", 1, TEN_KB);
         takeActions();
-        scheduler.loadEnded(0, 1, LoadEnd.FAILED_STUCK);
+        scheduler.onLoadCompleted(0, 1, LoadEnd.FAILED_STUCK);
         assertEquals("answer 1 MISS_LOAD_FAILED null, order 2 ERROR 0", takeActions());
-        assertEquals(10, scheduler.ledger().in(Part.STUCK));
-        assertEquals(0.2, scheduler.ledger().busyShare(), 1e-9, "it shows in the report");
+        assertEquals(10, scheduler.memory().bookedKb(Part.STUCK));
+        assertEquals(0.2, scheduler.memory().busyShare(), 1e-9, "it shows in the report");
     }
 
     @Test
     void leakedMemory_isNotFree() {
-        scheduler.leaked(0, 45);
-        scheduler.call(0, 1, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onLeakMeasured(0, 45);
+        scheduler.onCall(0, 1, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("answer 1 FULL null", takeActions());
-        assertEquals(0.9, scheduler.ledger().busyShare(), 1e-9);
+        assertEquals(0.9, scheduler.memory().busyShare(), 1e-9);
     }
 
     @Test
     void drain_finishesQueuedCallsAndRejectsNewOnes() {
-        scheduler.call(0, 1, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 1, "f", TEN_KB, NEVER_EXPIRES);
         completeLoad(1, 10, 1);
         for (int call = 2; call < 10; call++) {
-            scheduler.call(0, call, "f", TEN_KB, NEVER_EXPIRES);
+            scheduler.onCall(0, call, "f", TEN_KB, NEVER_EXPIRES);
         }
-        scheduler.call(0, 10, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onCall(0, 10, "f", TEN_KB, NEVER_EXPIRES);
         assertTrue(takeActions().endsWith("answer 10 FULL null"), "the queue is full");
-        scheduler.hold(0, 50, "g", 1, TEN_KB);
-        scheduler.drain(0);
-        scheduler.call(0, 11, "f", TEN_KB, NEVER_EXPIRES);
-        scheduler.hold(0, 51, "f", 1, TEN_KB);
+        scheduler.onLoadOrder(0, 50, "g", 1, TEN_KB);
+        scheduler.onDrain(0);
+        scheduler.onCall(0, 11, "f", TEN_KB, NEVER_EXPIRES);
+        scheduler.onLoadOrder(0, 51, "f", 1, TEN_KB);
         assertTrue(takeActions().contains("answer 11 FULL null, order 51 FULL 1"));
         for (int call = 1; call < 10; call++) {
-            scheduler.callEnded(0, call, CallEnd.SERVED);
+            scheduler.onCallCompleted(0, call, CallEnd.SERVED);
         }
         assertTrue(takeActions().endsWith("answer 9 SERVED WAITED, drained"));
     }
 
     @Test
     void idleCopy_isUnloadedAfterItsTime_whichAnOrderRestarts() {
-        scheduler.hold(0, 1, "f", 1, TEN_KB);
+        scheduler.onLoadOrder(0, 1, "f", 1, TEN_KB);
         completeLoad(1, 10, 1);
-        scheduler.hold(900, 2, "f", 1, TEN_KB);
+        scheduler.onLoadOrder(900, 2, "f", 1, TEN_KB);
         takeActions();
-        scheduler.tick(1500);
+        scheduler.onTick(1500);
         assertEquals("", takeActions());
-        scheduler.tick(2000);
+        scheduler.onTick(2000);
         assertEquals("stop 1", takeActions());
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/watch/WatchBackoffTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/watch/WatchBackoffTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void watchThatLasted_isReopenedAtOnce() {
-        assertEquals(0, new WatchBackoff(1).ended(true, 1000 * MILLIS));
+        assertEquals(0, new WatchBackoff(1).nextPauseNanos(true, 1000 * MILLIS));
     }
 
     /** A source that is down, one that ends each watch after a byte, one that says nothing for seconds. */
@@ -24,10 +24,10 @@
             long nowNanos = 0;
             int attempts = 0;
             for (; nowNanos < 10_000 * MILLIS; attempts++) {
-                nowNanos += end[1] + backoff.ended(end[0] == 1, end[1]);
+                nowNanos += end[1] + backoff.nextPauseNanos(end[0] == 1, end[1]);
             }
             assertTrue(attempts <= 45, attempts + " attempts in 10 s");
-            assertTrue(backoff.ended(false, 0) <= 500 * MILLIS, "a source that is back is found soon");
+            assertTrue(backoff.nextPauseNanos(false, 0) <= 500 * MILLIS, "a source that is back is found soon");
         }
     }
 
@@ -36,7 +36,7 @@
         WatchBackoff first = new WatchBackoff(1);
         WatchBackoff second = new WatchBackoff(2);
         for (int i = 0; i < 8; i++) {
-            assertNotEquals(first.ended(false, 0), second.ended(false, 0));
+            assertNotEquals(first.nextPauseNanos(false, 0), second.nextPauseNanos(false, 0));
         }
     }
 
@@ -44,12 +44,12 @@
     void lastingWatchOrReset_restartsAtShortestPause() {
         WatchBackoff backoff = new WatchBackoff(3);
         for (int i = 0; i < 8; i++) {
-            backoff.ended(false, 0);
+            backoff.nextPauseNanos(false, 0);
         }
-        assertEquals(0, backoff.ended(true, 5000 * MILLIS));
-        assertTrue(backoff.ended(false, 0) <= 20 * MILLIS);
-        backoff.ended(false, 0);
+        assertEquals(0, backoff.nextPauseNanos(true, 5000 * MILLIS));
+        assertTrue(backoff.nextPauseNanos(false, 0) <= 20 * MILLIS);
+        backoff.nextPauseNanos(false, 0);
         backoff.reset();
-        assertTrue(backoff.ended(false, 0) <= 20 * MILLIS);
+        assertTrue(backoff.nextPauseNanos(false, 0) <= 20 * MILLIS);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/AdmissionGate.java
+++ b/engine/src/main/java/wharfhinge/engine/AdmissionGate.java
@@ -43,7 +43,7 @@
             synchronized (this) {
                 put(metrics, "limit", (long) controller.limit());
                 for (AdmissionController.TenantMetrics tenant : controller.metrics()) {
-                    String of = tenant.tenant().equals(AdmissionController.OTHERS) ? "others" : tenant.tenant();
+                    String of = tenant.tenant().equals(AdmissionController.DEFAULT_TENANT) ? "others" : tenant.tenant();
                     put(metrics, of + "_open", (long) tenant.pending());
                     put(metrics, of + "_admitted", tenant.admitted());
                     put(metrics, of + "_refused_rate", tenant.rejectedByRate());
--- a/engine/src/main/java/wharfhinge/engine/ChainCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainCall.java
@@ -1,8 +1,8 @@
 package wharfhinge.engine;
 
 import java.util.List;
-import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.decisions.chain.ChainPlan;
+import wharfhinge.decisions.chain.ChainResult;
 import wharfhinge.protocol.CallHead;
 
 /**
@@ -52,6 +52,6 @@
     @FunctionalInterface
     public interface Listener {
         /** {@code answers} has null where a step was not served in this attempt or an earlier one. */
-        void onCompleted(ChainEnd end, List<StepAnswer> answers);
+        void onCompleted(ChainResult end, List<StepAnswer> answers);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
@@ -11,22 +11,22 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import wharfhinge.decisions.chain.ChainDecisions;
-import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
-import wharfhinge.decisions.chain.ChainEnd;
+import wharfhinge.decisions.chain.ChainResult;
+import wharfhinge.decisions.chain.ChainScheduler;
+import wharfhinge.decisions.chain.ChainScheduler.StepEnd;
 import wharfhinge.decisions.chain.ChainSettings;
-import wharfhinge.decisions.chain.FinishedSteps;
+import wharfhinge.decisions.chain.StepAnswerCache;
 import wharfhinge.engine.ChainCall.StepAnswer;
 import wharfhinge.policy.Request;
 import wharfhinge.protocol.CallHead;
 import wharfhinge.protocol.FinalAnswer;
 
 /**
- * Executes chains: reports events to {@link ChainDecisions} and carries out its actions, each step as a call of the engine. The
+ * Executes chains: reports events to {@link ChainScheduler} and carries out its actions, each step as a call of the engine. The
  * answer of a step is queued as an event of its own, so that neither the decisions on chains nor the dispatcher are re-entered.
  * Confined to the engine's thread.
  */
-final class ChainExecutor implements ChainDecisions.Actions {
+final class ChainExecutor implements ChainScheduler.Actions {
     /** What the executor needs of its engine. */
     interface StepTransport {
         long now();
@@ -69,8 +69,8 @@
     private final EngineSettings.Chains settings;
     private final Set<String> tenants;
     private final StepJournal journal;
-    private final ChainDecisions decisions;
-    private final FinishedSteps finishedSteps;
+    private final ChainScheduler decisions;
+    private final StepAnswerCache finishedSteps;
     private final Map<Long, ChainRun> runs = new HashMap<>();
     private final Map<String, ChainRun> runsByKey = new HashMap<>();
     private long nextRunId;
@@ -84,16 +84,16 @@
         this.settings = settings;
         this.tenants = tenants;
         this.journal = journal;
-        this.decisions = new ChainDecisions(settings.settings(), this, calls::isCached);
+        this.decisions = new ChainScheduler(settings.settings(), this, calls::isCached);
         this.finishedSteps =
-                new FinishedSteps(settings.resumeWindowNanos(), settings.resumeKeys(), settings.resumeBytes());
+                new StepAnswerCache(settings.resumeWindowNanos(), settings.resumeKeys(), settings.resumeBytes());
     }
 
     /** Restores the finished steps that an earlier process recorded. */
     void restore() {
         journal.restore((age, tenant, key, digest, steps, step, answer) -> {
             if (age < settings.resumeWindowNanos()) {
-                finishedSteps.finished(calls.now() - age, tenant, key, digest, steps, step, answer);
+                finishedSteps.put(calls.now() - age, tenant, key, digest, steps, step, answer);
             }
         });
     }
@@ -119,18 +119,21 @@
             runsByKey.put(tenantAndKey, run);
             finishedBefore = resume(run, chainCall);
         }
-        if (settings.settings().clock() == ChainSettings.Clock.ONE) {
+        if (settings.settings().clock() == ChainSettings.Clock.SHARED_DEADLINE) {
             calls.schedule(
                     deadline - calls.now() - settings.settings().reserveNanos() / 2,
-                    () -> decisions.due(calls.now(), run.id));
+                    () -> decisions.onDeadline(calls.now(), run.id));
         }
-        decisions.begin(calls.now(), run.id, chainCall.plan(), tenantOf(chainCall), deadline, finishedBefore);
+        decisions.onChain(calls.now(), run.id, chainCall.plan(), tenantOf(chainCall), deadline, finishedBefore);
     }
 
     /** A retry under the key of a running chain gets that chain's answer, within its own deadline. */
     private void join(ChainRun run, ChainCall chainCall) {
         if (!run.chainCall.digest().equals(chainCall.digest())) {
-            respond(chainCall, new ChainEnd(ChainEnd.Kind.REFUSED, "key-in-use-for-another-chain", List.of()), run);
+            respond(
+                    chainCall,
+                    new ChainResult(ChainResult.Kind.REFUSED, "key-in-use-for-another-chain", List.of()),
+                    run);
             return;
         }
         joined++;
@@ -140,14 +143,17 @@
                 - settings.settings().reserveNanos() / 2;
         calls.schedule(remainingNanos, () -> {
             if (run.listeners.remove(chainCall)) {
-                respond(chainCall, new ChainEnd(ChainEnd.Kind.FAILED, "an-earlier-try-still-runs", List.of()), run);
+                respond(
+                        chainCall,
+                        new ChainResult(ChainResult.Kind.FAILED, "an-earlier-try-still-runs", List.of()),
+                        run);
             }
         });
     }
 
     private boolean[] resume(ChainRun run, ChainCall chainCall) {
         return finishedSteps
-                .resume(
+                .get(
                         calls.now(),
                         tenantOf(chainCall),
                         chainCall.key(),
@@ -175,7 +181,7 @@
             if (run.listeners.remove(chainCall)) {
                 calls.onChainCompleted(chainCall);
                 if (run.listeners.isEmpty()) {
-                    decisions.clientLeft(calls.now(), run.id);
+                    decisions.onClientCancelled(calls.now(), run.id);
                     remove(run);
                 }
                 return;
@@ -186,14 +192,14 @@
     /** The engine stops: ends every chain with its final answer. */
     void endAll() {
         for (ChainRun run : List.copyOf(runs.values())) {
-            decisions.due(calls.now(), run.id);
+            decisions.onDeadline(calls.now(), run.id);
         }
     }
 
     // ---- Actions of the decisions -----------------------------------------------------------
 
     @Override
-    public void start(long chain, int step, long budgetNanos) {
+    public void startStep(long chain, int step, long budgetNanos) {
         ChainRun run = runs.get(chain);
         CallHead head = run.chainCall.heads().get(step);
         List<String> names = run.chainCall.inputs().get(step);
@@ -224,7 +230,7 @@
     }
 
     @Override
-    public void cancel(long chain, int step) {
+    public void cancelStep(long chain, int step) {
         ChainRun run = runs.get(chain);
         if (run.stepsInFlight[step] != null) {
             ClientCall call = run.stepsInFlight[step];
@@ -234,7 +240,7 @@
     }
 
     @Override
-    public void expect(long chain, int step) {
+    public void prefetch(long chain, int step) {
         CallHead head = runs.get(chain).chainCall.heads().get(step);
         calls.expectRequest(new Request(
                 head.id(),
@@ -251,14 +257,14 @@
     }
 
     @Override
-    public void end(long chain, ChainEnd end) {
+    public void completeChain(long chain, ChainResult end) {
         ChainRun run = runs.get(chain);
         remove(run);
         run.listeners.forEach(chainCall -> respond(chainCall, end, run));
         run.listeners.clear();
     }
 
-    private void respond(ChainCall chainCall, ChainEnd end, ChainRun run) {
+    private void respond(ChainCall chainCall, ChainResult end, ChainRun run) {
         chainCall.listener().onCompleted(end, Arrays.asList(run.answers));
         calls.onChainCompleted(chainCall);
     }
@@ -287,8 +293,8 @@
         retainBytes(run, answer.body().length);
         ChainCall chainCall = run.chainCall;
         if (chainCall.key() != null) {
-            FinishedSteps.Answer retained = new FinishedSteps.Answer(answer.body(), answer.contentType());
-            if (finishedSteps.finished(
+            StepAnswerCache.Answer retained = new StepAnswerCache.Answer(answer.body(), answer.contentType());
+            if (finishedSteps.put(
                     calls.now(),
                     tenantOf(chainCall),
                     chainCall.key(),
@@ -316,20 +322,20 @@
         if (!runs.containsKey(run.id)) {
             return;
         }
-        decisions.stepEnded(calls.now(), run.id, step, StepEnd.SERVED, answer.tookNanos(), answer.loaded());
-        if (retainedBytes > settings.settings().mostBytes()) {
-            decisions.outOfBytes(calls.now(), run.id);
+        decisions.onStepCompleted(calls.now(), run.id, step, StepEnd.SERVED, answer.tookNanos(), answer.loaded());
+        if (retainedBytes > settings.settings().maxHeldBytes()) {
+            decisions.onResponseBytesExhausted(calls.now(), run.id);
         }
     }
 
     private void onStepEnded(ChainRun run, int step, FinalAnswer answer, long tookNanos) {
         if (runs.containsKey(run.id)) {
             run.stepsInFlight[step] = null;
-            decisions.stepEnded(
+            decisions.onStepCompleted(
                     calls.now(),
                     run.id,
                     step,
-                    answer == FinalAnswer.REFUSED ? StepEnd.REFUSED : StepEnd.FAILED,
+                    answer == FinalAnswer.REFUSED ? StepEnd.REJECTED : StepEnd.FAILED,
                     tookNanos,
                     false);
         }
@@ -377,16 +383,16 @@
 
     /** Metrics for the status page; read by other threads, so they may be slightly stale. */
     Map<String, Long> metrics() {
-        Map<String, Long> metrics = Arrays.stream(ChainDecisions.Count.values())
+        Map<String, Long> metrics = Arrays.stream(ChainScheduler.Counter.values())
                 .collect(Collectors.toMap(
-                        chainCall -> (chainCall == ChainDecisions.Count.CHAINS
+                        chainCall -> (chainCall == ChainScheduler.Counter.CHAINS
                                 ? "chains"
                                 : "chain_" + chainCall.name().toLowerCase(java.util.Locale.ROOT)),
-                        decisions::count,
+                        decisions::counter,
                         (a, b) -> a,
                         java.util.LinkedHashMap::new));
-        metrics.put("chains_open", (long) decisions.open());
-        metrics.put("chain_steps_open", (long) decisions.stepsOpen());
+        metrics.put("chains_open", (long) decisions.openChains());
+        metrics.put("chain_steps_open", (long) decisions.runningSteps());
         metrics.put("chain_bytes_held", retainedBytes);
         metrics.put("chain_keys_kept", retainedKeys);
         metrics.put("chains_resumed", resumed);
--- a/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
@@ -363,7 +363,7 @@
         @Override
         public void onChainCompleted(ChainCall chain) {
             submissionQueue.onCompleted();
-            submissionQueue.release(chain.tenant(), AdmissionController.CallEnd.OTHERWISE, 0, 0);
+            submissionQueue.release(chain.tenant(), AdmissionController.CallEnd.OTHER, 0, 0);
             stopIfIdle();
         }
     }
--- a/engine/src/main/java/wharfhinge/engine/EngineSettings.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineSettings.java
@@ -29,7 +29,7 @@
      */
     public record Chains(ChainSettings settings, long resumeWindowNanos, int resumeKeys, long resumeBytes) {
         /** For a program that takes no chains. */
-        public static final Chains NONE =
-                new Chains(new ChainSettings(ChainSettings.Clock.ONE, false, 0, false, 1, 1, 1, 1, 0), 1, 1, 1);
+        public static final Chains NONE = new Chains(
+                new ChainSettings(ChainSettings.Clock.SHARED_DEADLINE, false, 0, false, 1, 1, 1, 1, 0), 1, 1, 1);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/PendingCalls.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCalls.java
@@ -275,8 +275,8 @@
     private static AdmissionController.CallEnd admissionEnd(Counter counter) {
         return switch (counter) {
             case SERVED -> AdmissionController.CallEnd.ANSWERED;
-            case REJECTED -> AdmissionController.CallEnd.REFUSED;
-            default -> AdmissionController.CallEnd.OTHERWISE;
+            case REJECTED -> AdmissionController.CallEnd.REJECTED;
+            default -> AdmissionController.CallEnd.OTHER;
         };
     }
 
--- a/engine/src/main/java/wharfhinge/engine/StepJournal.java
+++ b/engine/src/main/java/wharfhinge/engine/StepJournal.java
@@ -1,6 +1,6 @@
 package wharfhinge.engine;
 
-import wharfhinge.decisions.chain.FinishedSteps;
+import wharfhinge.decisions.chain.StepAnswerCache;
 
 /** Records finished steps of chains across restarts. Called on the engine's thread; never blocks. */
 public interface StepJournal extends AutoCloseable {
@@ -13,7 +13,7 @@
                 String digest,
                 int steps,
                 int step,
-                FinishedSteps.Answer answer,
+                StepAnswerCache.Answer answer,
                 Runnable kept) {
             return false;
         }
@@ -36,7 +36,7 @@
                 String digest,
                 int steps,
                 int step,
-                FinishedSteps.Answer answer);
+                StepAnswerCache.Answer answer);
     }
 
     /**
@@ -46,7 +46,13 @@
      * @return false where it is not recorded; {@code kept} is then never run
      */
     boolean recordStep(
-            String tenant, String key, String digest, int steps, int step, FinishedSteps.Answer answer, Runnable kept);
+            String tenant,
+            String key,
+            String digest,
+            int steps,
+            int step,
+            StepAnswerCache.Answer answer,
+            Runnable kept);
 
     /** Restores all records, before the first chain. */
     void restore(RestoredStepListener to);
--- a/engine/src/main/java/wharfhinge/engine/SubmissionQueue.java
+++ b/engine/src/main/java/wharfhinge/engine/SubmissionQueue.java
@@ -42,7 +42,7 @@
         }
         SubmissionStatus status = enqueue(name, start);
         if (status != SubmissionStatus.ACCEPTED) {
-            release(tenant, AdmissionController.CallEnd.OTHERWISE, 0, 0);
+            release(tenant, AdmissionController.CallEnd.OTHER, 0, 0);
         }
         return new SubmissionResult(status, 0);
     }
--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -90,8 +90,8 @@
         endpointSource = sourceFactory == null
                 ? new HttpEndpointSource(config, netty.ioGroup(), netty.channelType())
                 : sourceFactory.apply(netty.ioGroup(), netty.channelType());
-        endpointSnapshot = new EndpointSnapshotFile(config.roster().remembered(), System::currentTimeMillis);
-        accessLog = new Slf4jAccessLog(config.log().remarksPerS());
+        endpointSnapshot = new EndpointSnapshotFile(config.endpointSource().snapshotFile(), System::currentTimeMillis);
+        accessLog = new Slf4jAccessLog(config.log().diagnosticsPerSecond());
         journal = openJournal(config.chains());
         recording = config.capture() == null
                 ? null
@@ -126,10 +126,10 @@
         ChainConfig chains = config.chains();
         return new EngineSettings(
                 config.seed(),
-                config.settings(),
+                config.dispatcherSettings(),
                 config.clients().maxOpen(),
-                config.clients().handOver(),
-                config.door(),
+                config.clients().submissionQueueSize(),
+                config.admission(),
                 new EngineSettings.Chains(
                         chains.settings(), chains.resumeWindowNanos(), chains.resumeKeys(), chains.resumeBytes()));
     }
@@ -144,7 +144,7 @@
         return config.peers().isEmpty()
                 ? null
                 : new UdpPeerTransport(
-                        config.settings().dispatcherNumber(), config.peers(), netty, engine::onPeerMessage);
+                        config.dispatcherSettings().dispatcherNumber(), config.peers(), netty, engine::onPeerMessage);
     }
 
     private static TlsContext openTls(GatewayConfig.Tls settings) {
@@ -162,7 +162,7 @@
         try {
             BearerTokens tokens =
                     proof.tokenKey() == null ? null : new BearerTokens(proof.tokenKey(), System::currentTimeMillis);
-            return new CallAuthenticator(tokens, proof.needed());
+            return new CallAuthenticator(tokens, proof.required());
         } catch (IOException e) {
             throw new GatewayStartException(e.getMessage(), e);
         }
@@ -175,7 +175,7 @@
             if (stopping.get()) {
                 return;
             }
-            warmUpResult = WarmUp.run(config, config.clients().rehearseNanos(), netty, stopping::get);
+            warmUpResult = WarmUp.run(config, config.clients().warmUpNanos(), netty, stopping::get);
         } finally {
             lifecycleLock.unlock();
         }
@@ -313,7 +313,7 @@
     }
 
     private int shutDownEngine() throws InterruptedException {
-        long graceNanos = config.clients().stopWithinNanos();
+        long graceNanos = config.clients().shutdownTimeoutNanos();
         CompletableFuture<Integer> aborted = engine.shutdown(graceNanos);
         try {
             return aborted.get(graceNanos + ENGINE_SHUTDOWN_MARGIN_NANOS, TimeUnit.NANOSECONDS);
--- a/gateway/src/main/java/wharfhinge/gateway/JournaledStep.java
+++ b/gateway/src/main/java/wharfhinge/gateway/JournaledStep.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
-import wharfhinge.decisions.chain.FinishedSteps;
+import wharfhinge.decisions.chain.StepAnswerCache;
 
 /**
  * A finished step as the journal stores it: the fields in this order, numbers big-endian, texts as modified UTF-8.
@@ -23,7 +23,7 @@
         String digest,
         int stepCount,
         int step,
-        FinishedSteps.Answer answer) {
+        StepAnswerCache.Answer answer) {
     private static final int EXPECTED_HEADER_BYTES = 128;
 
     /** The journal's key; a later record of the same step replaces the former. */
@@ -60,7 +60,8 @@
             String contentType = in.readUTF();
             byte[] body = new byte[in.readInt()];
             in.readFully(body);
-            FinishedSteps.Answer answer = new FinishedSteps.Answer(body, contentType.isEmpty() ? null : contentType);
+            StepAnswerCache.Answer answer =
+                    new StepAnswerCache.Answer(body, contentType.isEmpty() ? null : contentType);
             return new JournaledStep(recordedAtMillis, tenant, key, digest, stepCount, step, answer);
         }
     }
--- a/gateway/src/main/java/wharfhinge/gateway/MvStoreStepJournal.java
+++ b/gateway/src/main/java/wharfhinge/gateway/MvStoreStepJournal.java
@@ -15,7 +15,7 @@
 import org.h2.mvstore.MVStoreException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import wharfhinge.decisions.chain.FinishedSteps;
+import wharfhinge.decisions.chain.StepAnswerCache;
 import wharfhinge.engine.StepJournal;
 
 /**
@@ -88,7 +88,7 @@
             String digest,
             int stepCount,
             int step,
-            FinishedSteps.Answer answer,
+            StepAnswerCache.Answer answer,
             Runnable onRecorded) {
         if (writerEnded) {
             return false;
--- a/gateway/src/main/java/wharfhinge/gateway/RecordingDispatcherFactory.java
+++ b/gateway/src/main/java/wharfhinge/gateway/RecordingDispatcherFactory.java
@@ -36,8 +36,8 @@
                     settings.folder(),
                     gateway,
                     settings.segmentBytes(),
-                    settings.mostBytes(),
-                    settings.mostAgeMillis(),
+                    settings.maxBytes(),
+                    settings.maxAgeMillis(),
                     hashKey.isPresent());
         } catch (IOException e) {
             throw new GatewayStartException("capture into " + settings.folder() + ": " + e.getMessage(), e);
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
@@ -91,7 +91,7 @@
         CallIngress intake = new CallIngress(config, engine, new CallAuthenticator(null, false));
         ClientListener listener = new ClientListener(config, intake, new StatusPage(Map::of), null);
         InetSocketAddress address = listener.listen(netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
-        new WarmUpClients(config.settings().classes(), address.getPort(), progress).run();
+        new WarmUpClients(config.dispatcherSettings().classes(), address.getPort(), progress).run();
         listener.startDraining();
         try {
             engine.shutdown(0).get(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -116,7 +116,7 @@
     }
 
     private List<RosterEntry> endpoints(List<WarmUpWorker> fleet) {
-        DispatcherSettings settings = config.settings();
+        DispatcherSettings settings = config.dispatcherSettings();
         return fleet.stream()
                 .map(worker -> new RosterEntry(
                         worker.endpoint(),
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/HttpEndpointSource.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/HttpEndpointSource.java
@@ -75,14 +75,15 @@
                 .group(eventLoop)
                 .channel(type)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-                .remoteAddress(config.roster().host(), config.roster().port());
+                .remoteAddress(
+                        config.endpointSource().host(), config.endpointSource().port());
     }
 
     @Override
     public void start(Consumer<EndpointUpdate> updates) {
         eventLoop.execute(() -> {
             listener = updates;
-            if (config.settings().discovery() == Discovery.PUSHED) {
+            if (config.dispatcherSettings().discovery() == Discovery.PUSHED) {
                 watching = true;
                 connect(StreamStart.FULL_LIST);
             }
@@ -158,22 +159,23 @@
     }
 
     private void initPipeline(Channel connecting) {
-        ReadTimeoutHandler silence = new ReadTimeoutHandler(config.roster().silentAfterNanos(), TimeUnit.NANOSECONDS);
+        ReadTimeoutHandler silence =
+                new ReadTimeoutHandler(config.endpointSource().silenceTimeoutNanos(), TimeUnit.NANOSECONDS);
         connecting.pipeline().addLast(new HttpClientCodec(), silence, new StreamHandler());
     }
 
     /** Doubles with each failure up to the limit set; jitter takes up to half of it away. */
     private long nextBackoffNanos() {
         int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, Math.max(0, consecutiveFailures - 1));
-        long exponentialNanos = config.roster().reconnectLeastNanos() << doublings;
-        long boundedNanos = Math.min(config.roster().reconnectMostNanos(), exponentialNanos);
+        long exponentialNanos = config.endpointSource().minReconnectNanos() << doublings;
+        long boundedNanos = Math.min(config.endpointSource().maxReconnectNanos(), exponentialNanos);
         return (long) (boundedNanos * (0.5 + random.nextDouble() / 2));
     }
 
     private void onStreamEnded() {
         channel = null;
         consecutiveFailures++;
-        if (responseOwed && config.settings().discovery() == Discovery.ON_REQUEST) {
+        if (responseOwed && config.dispatcherSettings().discovery() == Discovery.ON_REQUEST) {
             responseOwed = false;
             watching = false;
             listener.accept(new EndpointUpdate(EndpointUpdateMode.REJECTED, Math.max(0, view.revision()), List.of()));
@@ -196,8 +198,8 @@
 
     @Override
     public String toString() {
-        return "endpoint service " + config.roster().host() + ':'
-                + config.roster().port();
+        return "endpoint service " + config.endpointSource().host() + ':'
+                + config.endpointSource().port();
     }
 
     /** One stream: sends the request once connected, decodes frames, and reports the stream's end. */
@@ -210,7 +212,7 @@
             FullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, RosterProtocol.WATCH_PATH + query);
             request.headers()
-                    .set(HttpHeaderNames.HOST, config.roster().host())
+                    .set(HttpHeaderNames.HOST, config.endpointSource().host())
                     .set(RosterProtocol.GATEWAY, config.name());
             ctx.writeAndFlush(request);
         }
--- a/gateway/src/main/java/wharfhinge/gateway/front/CallIngress.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/CallIngress.java
@@ -25,7 +25,7 @@
     public CallIngress(GatewayConfig config, DispatchEngine engine, CallAuthenticator identity) {
         this.engine = engine;
         this.identity = identity;
-        List<RequestClass> all = config.settings().classes();
+        List<RequestClass> all = config.dispatcherSettings().classes();
         all.forEach(c -> classes.put(c.name(), c));
         defaultClass = all.size() == 1 ? all.get(0) : null;
         chains = new ChainJsonCodec(classes, defaultClass, config.chains());
--- a/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
@@ -25,9 +25,9 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import wharfhinge.config.ChainConfig;
-import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.decisions.chain.ChainPlan;
 import wharfhinge.decisions.chain.ChainPlan.InvalidPlanException;
+import wharfhinge.decisions.chain.ChainResult;
 import wharfhinge.engine.ChainCall;
 import wharfhinge.engine.ChainCall.StepAnswer;
 import wharfhinge.policy.Effect;
@@ -75,7 +75,7 @@
     private static void loadCodecClasses() {
         ChainPlan.Step step = new ChainPlan.Step("a", "f", "c", Effect.IDEMPOTENT, List.of(), 0, 0);
         StepAnswer answer = new StepAnswer("w", 1, false, new byte[0], null);
-        ChainEnd end = new ChainEnd(ChainEnd.Kind.SERVED, "", List.of(ChainEnd.StepState.SERVED));
+        ChainResult end = new ChainResult(ChainResult.Kind.SERVED, "", List.of(ChainResult.StepState.SERVED));
         try {
             ChainPlan plan = ChainPlan.of(List.of(step));
             for (int i = 0; i < 2; i++) { // the second time takes the way through the library's caches
@@ -106,7 +106,7 @@
         StepReader steps = new StepReader(id, tenant);
         if (root.has("chain")) {
             ChainConfig.Named named = named(root.get("chain").asText());
-            deadlineNanos = deadlineNanos == 0 ? named.aimNanos() : deadlineNanos;
+            deadlineNanos = deadlineNanos == 0 ? named.latencyObjectiveNanos() : deadlineNanos;
             named.steps().forEach(steps::add);
         } else {
             steps.addAll(root.get("steps"));
@@ -121,7 +121,7 @@
                     tenant,
                     text(root, "key", null),
                     digest(steps.heads, steps.inputs, root),
-                    deadlineNanos == 0 ? config.giveUpNanos() : Math.min(deadlineNanos, config.giveUpNanos()),
+                    deadlineNanos == 0 ? config.maxDeadlineNanos() : Math.min(deadlineNanos, config.maxDeadlineNanos()),
                     receivedAt,
                     ChainJsonCodec::join,
                     listener);
@@ -180,7 +180,7 @@
                     step.requestClass(),
                     tenant,
                     0,
-                    step.costUs(),
+                    step.costMicros(),
                     step.memoryMb(),
                     step.lanes(),
                     step.loadMillis(),
@@ -293,7 +293,7 @@
     }
 
     /** Writes an answer; outputs are those of the steps that no other depends on. */
-    public static byte[] write(ChainPlan plan, ChainEnd end, List<StepAnswer> answers) {
+    public static byte[] write(ChainPlan plan, ChainResult end, List<StepAnswer> answers) {
         ObjectNode root = MAPPER.createObjectNode();
         root.put("answer", word(end.kind()));
         root.put("reason", end.reason());
@@ -323,7 +323,7 @@
         }
     }
 
-    private static String word(ChainEnd.Kind kind) {
+    private static String word(ChainResult.Kind kind) {
         return switch (kind) {
             case SERVED -> "served";
             case REFUSED -> "refused";
@@ -331,7 +331,7 @@
         };
     }
 
-    private static String word(ChainEnd.StepState state) {
+    private static String word(ChainResult.StepState state) {
         return switch (state) {
             case NOT_STARTED -> "not-started";
             case RUNNING -> "running";
--- a/gateway/src/main/java/wharfhinge/gateway/front/ClientListener.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ClientListener.java
@@ -75,7 +75,7 @@
             bootstrap.option(EpollChannelOption.SO_REUSEPORT, true); // shared with the process that this one replaces
         }
         listening = PortBinding.bindWithin(
-                config.clients().reusePort() ? config.clients().stopWithinNanos() + TAKEOVER_MARGIN_NANOS : 0,
+                config.clients().reusePort() ? config.clients().shutdownTimeoutNanos() + TAKEOVER_MARGIN_NANOS : 0,
                 () -> bootstrap.bind(
                         config.clients().address(), config.clients().port()));
         return (InetSocketAddress) listening.localAddress();
--- a/gateway/src/main/java/wharfhinge/gateway/front/HttpResponseWriter.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/HttpResponseWriter.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import wharfhinge.decisions.chain.ChainEnd;
+import wharfhinge.decisions.chain.ChainResult;
 import wharfhinge.engine.ResponseSink;
 import wharfhinge.engine.WorkerTransport;
 import wharfhinge.protocol.ClientProtocol;
@@ -73,7 +73,7 @@
     }
 
     /** Sends a chain's final answer; {@code body} has its steps. */
-    void sendChainEnd(ChainEnd end, byte[] body) {
+    void sendChainEnd(ChainResult end, byte[] body) {
         ctx.executor().execute(() -> {
             FinalAnswer finalAnswer =
                     switch (end.kind()) {
@@ -93,7 +93,7 @@
                             null,
                             end.reason().isEmpty() ? List.of() : List.of(end.reason()),
                             (int) end.steps().stream()
-                                    .filter(s -> s != ChainEnd.StepState.NOT_STARTED)
+                                    .filter(s -> s != ChainResult.StepState.NOT_STARTED)
                                     .count(),
                             false));
             write(response);
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import wharfhinge.decisions.chain.ChainEnd;
+import wharfhinge.decisions.chain.ChainResult;
 import wharfhinge.engine.ChainCall;
 import wharfhinge.engine.ClientCall;
 import wharfhinge.engine.DispatchEngine;
@@ -181,16 +181,16 @@
         }
     }
 
-    private static void chainEnded(ServerCallStreamObserver<ChainReply> to, ChainEnd end, byte[] json) {
+    private static void chainEnded(ServerCallStreamObserver<ChainReply> to, ChainResult end, byte[] json) {
         if (to.isCancelled()) {
             return;
         }
-        if (end.kind() == ChainEnd.Kind.SERVED) {
+        if (end.kind() == ChainResult.Kind.SERVED) {
             to.onNext(ChainReply.newBuilder().setJson(ByteString.copyFrom(json)).build());
             to.onCompleted();
             return;
         }
-        FinalAnswer answer = end.kind() == ChainEnd.Kind.REFUSED ? FinalAnswer.REFUSED : FinalAnswer.FAILED;
+        FinalAnswer answer = end.kind() == ChainResult.Kind.REFUSED ? FinalAnswer.REFUSED : FinalAnswer.FAILED;
         Metadata trailers = trailers(
                 answer,
                 0,
--- a/gateway/src/main/java/wharfhinge/gateway/tls/TlsContext.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/TlsContext.java
@@ -69,27 +69,32 @@
         try {
             AdvancedTlsX509KeyManager keys = new AdvancedTlsX509KeyManager();
             loadAndWatch(
-                    () -> loadIdentity(keys, settings.certificates(), settings.key()),
-                    settings.certificates(),
-                    settings.key());
+                    () -> loadIdentity(keys, settings.certificateChain(), settings.privateKey()),
+                    settings.certificateChain(),
+                    settings.privateKey());
             SslContextBuilder builder = SslContextBuilder.forServer(keys)
                     .sslProvider(SslProvider.JDK)
                     .applicationProtocolConfig(ALPN);
-            if (settings.clients() != null) {
+            if (settings.clientAuthorities() != null) {
                 AdvancedTlsX509TrustManager trust = AdvancedTlsX509TrustManager.newBuilder()
                         .setVerification(AdvancedTlsX509TrustManager.Verification.CERTIFICATE_ONLY_VERIFICATION)
-                        .setSslSocketAndEnginePeerVerifier(new RevocationList(settings.revoked(), settings.clients()))
+                        .setSslSocketAndEnginePeerVerifier(
+                                new RevocationList(settings.revocationList(), settings.clientAuthorities()))
                         .build();
                 loadAndWatch(
-                        () -> trust.updateTrustCredentials(settings.clients().toFile()), settings.clients());
-                builder.trustManager(trust).clientAuth(settings.needed() ? ClientAuth.REQUIRE : ClientAuth.OPTIONAL);
+                        () -> trust.updateTrustCredentials(
+                                settings.clientAuthorities().toFile()),
+                        settings.clientAuthorities());
+                builder.trustManager(trust)
+                        .clientAuth(settings.clientCertificateRequired() ? ClientAuth.REQUIRE : ClientAuth.OPTIONAL);
             }
             context = builder.build();
         } catch (GeneralSecurityException | IOException | RuntimeException e) {
             reloader.shutdownNow();
             throw new InvalidCredentialsException(
-                    "tls: " + settings.certificates() + ", " + settings.key()
-                            + (settings.clients() == null ? "" : ", " + settings.clients()) + ": " + e.getMessage(),
+                    "tls: " + settings.certificateChain() + ", " + settings.privateKey()
+                            + (settings.clientAuthorities() == null ? "" : ", " + settings.clientAuthorities()) + ": "
+                            + e.getMessage(),
                     e);
         }
     }
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnectionPool.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnectionPool.java
@@ -48,7 +48,7 @@
                 .channel(channelType)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                        TimeUnit.NANOSECONDS.toMillis(settings.dialTimeoutNanos()))
+                        TimeUnit.NANOSECONDS.toMillis(settings.connectTimeoutNanos()))
                 .remoteAddress(new InetSocketAddress(
                         endpoint.substring(0, colon), Integer.parseInt(endpoint.substring(colon + 1))));
     }
@@ -134,7 +134,7 @@
         connecting++;
         Http2FrameCodec codec = newCodec();
         WorkerConnection connection =
-                new WorkerConnection(this, settings.streamsPerConnection(), settings.maxAnswerBytes());
+                new WorkerConnection(this, settings.streamsPerConnection(), settings.maxResponseBytes());
         connections.add(connection);
         Bootstrap connect = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
             @Override
@@ -153,7 +153,7 @@
                         connection.close();
                     }
                 },
-                settings.dialTimeoutNanos(),
+                settings.connectTimeoutNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
--- a/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
@@ -17,7 +17,7 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import wharfhinge.config.GatewayConfig;
-import wharfhinge.config.InvalidFileException;
+import wharfhinge.config.InvalidConfigurationException;
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.engine.EndpointSource;
 import wharfhinge.engine.EndpointUpdate;
@@ -80,12 +80,12 @@
     }
 
     static GatewayConfig config(Path folder, String workers, String clients, int roster)
-            throws IOException, InvalidFileException {
+            throws IOException, InvalidConfigurationException {
         return config(folder, workers, clients, "", roster);
     }
 
     private static GatewayConfig config(Path folder, String workers, String clients, String more, int roster)
-            throws IOException, InvalidFileException {
+            throws IOException, InvalidConfigurationException {
         return load(folder, text(workers, clients, more, roster));
     }
 
@@ -96,7 +96,7 @@
                 .replace("ROSTER", Integer.toString(roster));
     }
 
-    private static GatewayConfig load(Path folder, String text) throws IOException, InvalidFileException {
+    private static GatewayConfig load(Path folder, String text) throws IOException, InvalidConfigurationException {
         Path file = folder.resolve("gw.xml");
         Files.writeString(file, text);
         return GatewayConfig.load(file);
--- a/gateway/src/test/java/wharfhinge/gateway/MvStoreStepJournalTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/MvStoreStepJournalTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import wharfhinge.decisions.chain.FinishedSteps.Answer;
+import wharfhinge.decisions.chain.StepAnswerCache.Answer;
 
 /** The journal of finished steps over a crash. */
 @Timeout(30)
--- a/gateway/src/test/java/wharfhinge/gateway/front/ChainJsonCodecClassLoadingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/front/ChainJsonCodecClassLoadingTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.Test;
 import wharfhinge.config.ChainConfig;
-import wharfhinge.decisions.chain.ChainEnd;
+import wharfhinge.decisions.chain.ChainResult;
 import wharfhinge.engine.ChainCall;
 import wharfhinge.policy.Effect;
 import wharfhinge.policy.RequestClass;
@@ -73,7 +73,8 @@
         private static byte[] readAndWrite(ChainJsonCodec codec) throws ChainJsonCodec.InvalidChainException {
             String json = "{\"deadline_ms\":500,\"steps\":[{\"id\":\"a\",\"function\":\"f\",\"load_ms\":1}]}";
             ChainCall chain = codec.read(json.getBytes(StandardCharsets.UTF_8), "x1", 0, (end, answers) -> {});
-            ChainEnd end = new ChainEnd(ChainEnd.Kind.FAILED, "r", List.of(ChainEnd.StepState.MAY_HAVE_RUN));
+            ChainResult end =
+                    new ChainResult(ChainResult.Kind.FAILED, "r", List.of(ChainResult.StepState.MAY_HAVE_RUN));
             return ChainJsonCodec.write(chain.plan(), end, Arrays.asList((ChainCall.StepAnswer) null));
         }
     }
--- a/lab/src/main/java/wharfhinge/lab/Chains.java
+++ b/lab/src/main/java/wharfhinge/lab/Chains.java
@@ -5,17 +5,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import wharfhinge.decisions.chain.ChainDecisions;
-import wharfhinge.decisions.chain.ChainDecisions.StepEnd;
-import wharfhinge.decisions.chain.ChainEnd;
 import wharfhinge.decisions.chain.ChainPlan;
 import wharfhinge.decisions.chain.ChainPlan.InvalidPlanException;
+import wharfhinge.decisions.chain.ChainResult;
+import wharfhinge.decisions.chain.ChainScheduler;
+import wharfhinge.decisions.chain.ChainScheduler.StepEnd;
 import wharfhinge.decisions.chain.ChainSettings;
 import wharfhinge.lab.Gateway.Answer;
 import wharfhinge.policy.Effect;
 
 /** Chains of one gateway, decided as in the product: each step a call of the gateway, one deadline for all. */
-final class Chains implements ChainDecisions.Actions {
+final class Chains implements ChainScheduler.Actions {
     private static final int LET_THROUGH = 20; // as the settings' default
     private static final int MOST_CHAINS = 1000;
     private static final long MOST_BYTES = 1 << 20;
@@ -25,21 +25,21 @@
 
     private final Timeline time;
     private final Gateway gateway;
-    private final ChainDecisions decisions;
+    private final ChainScheduler decisions;
     private final Map<Long, Run> runs = new HashMap<>();
     private long number;
 
     Chains(Timeline time, Gateway gateway) {
         this.time = time;
         this.gateway = gateway;
-        this.decisions = new ChainDecisions(
+        this.decisions = new ChainScheduler(
                 new ChainSettings(
-                        ChainSettings.Clock.ONE,
+                        ChainSettings.Clock.SHARED_DEADLINE,
                         true,
                         LET_THROUGH,
                         true,
                         MOST_CHAINS,
-                        MOST_CHAINS * ChainPlan.MOST_STEPS,
+                        MOST_CHAINS * ChainPlan.MAX_STEPS,
                         1,
                         MOST_BYTES,
                         RESERVE_NS),
@@ -63,9 +63,9 @@
         long id = number++;
         long deadline = time.now() + patienceNanos;
         runs.put(id, new Run(functions, deadline, new String[functions.size()], to));
-        time.after(patienceNanos - RESERVE_NS / 2, () -> decisions.due(time.now(), id));
+        time.after(patienceNanos - RESERVE_NS / 2, () -> decisions.onDeadline(time.now(), id));
         try {
-            decisions.begin(time.now(), id, ChainPlan.of(steps), null, deadline, null);
+            decisions.onChain(time.now(), id, ChainPlan.of(steps), null, deadline, null);
         } catch (InvalidPlanException e) {
             throw new IllegalStateException(e);
         }
@@ -78,7 +78,7 @@
     }
 
     @Override
-    public void start(long chain, int step, long mayTakeNanos) {
+    public void startStep(long chain, int step, long mayTakeNanos) {
         Run run = runs.get(chain);
         long began = time.now();
         run.out[step] = gateway.call(
@@ -87,13 +87,13 @@
                 answer -> time.after(0, () -> {
                     if (runs.containsKey(chain)) {
                         run.out[step] = null;
-                        decisions.stepEnded(
+                        decisions.onStepCompleted(
                                 time.now(),
                                 chain,
                                 step,
                                 switch (answer.kind()) {
                                     case SERVED -> StepEnd.SERVED;
-                                    case REFUSED -> StepEnd.REFUSED;
+                                    case REFUSED -> StepEnd.REJECTED;
                                     default -> StepEnd.FAILED;
                                 },
                                 time.now() - began,
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void cancel(long chain, int step) {
+    public void cancelStep(long chain, int step) {
         Run run = runs.get(chain);
         if (run.out[step] != null) {
             gateway.leave(run.out[step]);
@@ -112,13 +112,13 @@
     }
 
     @Override
-    public void expect(long chain, int step) {
+    public void prefetch(long chain, int step) {
         Run run = runs.get(chain);
         gateway.expect(run.functions.get(step), run.deadline - time.now());
     }
 
     @Override
-    public void end(long chain, ChainEnd end) {
+    public void completeChain(long chain, ChainResult end) {
         Answer.Kind kind =
                 switch (end.kind()) {
                     case SERVED -> Answer.Kind.SERVED;
