--- a/worker/src/main/java/wharfhinge/worker/Worker.java
+++ b/worker/src/main/java/wharfhinge/worker/Worker.java
@@ -21,8 +21,8 @@
 import wharfhinge.decisions.copies.CopyScheduler;
 import wharfhinge.decisions.copies.CopyScheduler.Answer;
 import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
+import wharfhinge.decisions.copies.CopyScheduler.CopyUse;
 import wharfhinge.decisions.copies.CopyScheduler.LoadEnd;
-import wharfhinge.decisions.copies.CopyScheduler.Met;
 import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
 import wharfhinge.decisions.copies.MemoryAccounting;
 import wharfhinge.decisions.copies.MemoryAccounting.Part;
@@ -154,7 +154,7 @@
                 function,
                 "work_us",
                 head.costUs());
-        decisions.call(now, number, function, head.hint(), now + head.waitMillis() * MS);
+        decisions.onCall(now, number, function, head.hint(), now + head.waitMillis() * MS);
         return number;
     }
 
@@ -164,7 +164,7 @@
         if (call != null) {
             events.note("cancelled", "worker", id, "call", call.head.id(), "attempt", call.head.attempt());
             boolean waits = call.running == null;
-            decisions.cancelled(System.nanoTime(), number);
+            decisions.onCallCancelled(System.nanoTime(), number);
             if (waits) {
                 calls.remove(number);
             }
@@ -176,27 +176,27 @@
         long number = next++;
         orders.put(number, reply);
         events.note("hold", "worker", id, "fn", function, "count", count, "gw", head.gateway());
-        decisions.hold(System.nanoTime(), number, function, count, head.hint());
+        decisions.onLoadOrder(System.nanoTime(), number, function, count, head.hint());
         return number;
     }
 
     /** Nobody waits for an order any more. */
     void cancelOrder(long number) {
         if (orders.remove(number) != null) {
-            decisions.orderCancelled(System.nanoTime(), number);
+            decisions.onLoadOrderCancelled(System.nanoTime(), number);
         }
     }
 
     /** Idle copies of a function go. */
     void unload(String function, WorkerCall head) {
         events.note("unload", "worker", id, "fn", function, "gw", head.gateway());
-        decisions.unload(System.nanoTime(), function);
+        decisions.onUnloadOrder(System.nanoTime(), function);
     }
 
     /** Takes nothing new; tells once all is answered. */
     void drain(Runnable drained) {
         whenDrained.add(drained);
-        decisions.drain(System.nanoTime());
+        decisions.onDrain(System.nanoTime());
     }
 
     /** The report of the last refresh, as answers carry it. */
@@ -206,18 +206,18 @@
 
     /** The books as they are now, in KiB, by name. */
     Map<String, Long> books() {
-        MemoryAccounting l = decisions.ledger();
+        MemoryAccounting l = decisions.memory();
         Map<String, Long> books = new LinkedHashMap<>();
-        books.put("total_kb", l.total());
-        books.put("free_kb", l.free());
+        books.put("total_kb", l.totalKb());
+        books.put("free_kb", l.freeKb());
         for (Part part : Part.values()) {
-            books.put(part.name().toLowerCase(java.util.Locale.ROOT) + "_kb", l.in(part));
+            books.put(part.name().toLowerCase(java.util.Locale.ROOT) + "_kb", l.bookedKb(part));
         }
-        books.put("leaked_kb", l.leaked());
+        books.put("leaked_kb", l.leakedKb());
         books.put("resident_kb", regions.residentKb());
-        books.put("copies", (long) decisions.copies());
-        books.put("calls_held", (long) decisions.held());
-        books.put("loads", (long) decisions.loads());
+        books.put("copies", (long) decisions.copyCount());
+        books.put("calls_held", (long) decisions.callsInFlight());
+        books.put("loads", (long) decisions.pendingLoads());
         loadTimes.into(books);
         return books;
     }
@@ -232,9 +232,9 @@
 
     private void refresh() {
         long now = System.nanoTime();
-        decisions.tick(now);
+        decisions.onTick(now);
         if (rounds++ % LEAK_ROUNDS == 0) {
-            decisions.leaked(
+            decisions.onLeakMeasured(
                     now,
                     ProcessMemory.leakedKb(
                             process.residentKb(),
@@ -244,17 +244,17 @@
                             settings.ownKb()));
         }
         Map<String, Double> fresh = new LinkedHashMap<>();
-        fresh.put("rif", (double) decisions.held());
-        fresh.put("x0", decisions.ledger().busyShare());
-        fresh.put("q", (double) decisions.waiting());
-        fresh.put("x1", (double) decisions.loads());
+        fresh.put("rif", (double) decisions.callsInFlight());
+        fresh.put("x0", decisions.memory().busyShare());
+        fresh.put("q", (double) decisions.queuedCalls());
+        fresh.put("x1", (double) decisions.pendingLoads());
         report = LoadReport.format(fresh);
     }
 
     // ---- Decisions' actions, on the loop ----------------------------------------------------
 
     @Override
-    public void load(long copy, String function, long bookedKb) {
+    public void startLoad(long copy, String function, long bookedKb) {
         loaders.execute(() -> loadNow(copy, function));
     }
 
@@ -267,13 +267,13 @@
             MemoryEstimate figures = new MemoryEstimate(
                     image.contents().manifest().memoryMb() * 1024L,
                     image.contents().manifest().lanes());
-            boolean fits = loop.submit(() -> decisions.measured(System.nanoTime(), copy, figures))
+            boolean fits = loop.submit(() -> decisions.onMemoryMeasured(System.nanoTime(), copy, figures))
                     .get();
             if (!fits) {
-                tell(copy, function, LoadEnd.MISJUDGED, null, "needs " + figures.kb() + " KiB");
+                tell(copy, function, LoadEnd.NEEDS_MORE_MEMORY, null, "needs " + figures.memoryKb() + " KiB");
                 return;
             }
-            made = new LoadedCopy(function, image.contents(), regions.map(figures.kb()));
+            made = new LoadedCopy(function, image.contents(), regions.map(figures.memoryKb()));
             made.start(function);
             loadTimes.add(image.fetchNanos(), image.verifyNanos(), System.nanoTime() - began);
             tell(copy, function, LoadEnd.READY, made, "");
@@ -313,7 +313,7 @@
             if (made != null) {
                 copies.put(copy, made);
             }
-            decisions.loadEnded(System.nanoTime(), copy, how);
+            decisions.onLoadCompleted(System.nanoTime(), copy, how);
             if (how == LoadEnd.FAILED_STUCK) {
                 releaseLater(copy);
             }
@@ -321,7 +321,7 @@
     }
 
     @Override
-    public void run(long number, long copy) {
+    public void startCall(long number, long copy) {
         Call call = calls.get(number);
         LoadedCopy on = copies.get(copy);
         call.copy = copy;
@@ -344,13 +344,13 @@
             LOG.debug("call {} failed", call.head.id(), outcome.cause());
         }
         call.output = outcome.output();
-        decisions.callEnded(
+        decisions.onCallCompleted(
                 System.nanoTime(),
                 number,
                 switch (outcome.how()) {
                     case SERVED -> CallEnd.SERVED;
                     case ERROR -> CallEnd.ERROR;
-                    case BROKE -> CallEnd.BROKE;
+                    case BROKE -> CallEnd.COPY_BROKEN;
                 });
         calls.remove(number);
     }
@@ -359,17 +359,17 @@
         Call call = calls.get(number);
         if (call != null && call.running != null && call.running.giveUp()) {
             LOG.warn("call {} is over its limit and given up, its copy is replaced", call.head.id());
-            decisions.callEnded(System.nanoTime(), number, CallEnd.OVER_LIMIT);
+            decisions.onCallCompleted(System.nanoTime(), number, CallEnd.OVER_LIMIT);
             calls.remove(number);
         }
     }
 
     private void back(long copy) {
-        decisions.threadBack(System.nanoTime(), copy);
+        decisions.onOverdueThreadReturned(System.nanoTime(), copy);
     }
 
     @Override
-    public void interrupt(long number) {
+    public void interruptCall(long number) {
         Call call = calls.get(number);
         if (call != null && call.running != null) {
             call.running.cancel();
@@ -377,7 +377,7 @@
     }
 
     @Override
-    public void answer(long number, Answer answer, Met met, int company) {
+    public void completeCall(long number, Answer answer, CopyUse met, int company) {
         Call call = calls.get(number);
         AnswerCode code =
                 switch (answer) {
@@ -391,9 +391,9 @@
                 : met == null
                         ? CopyNote.NONE
                         : switch (met) {
-                            case FOUND -> CopyNote.FOUND;
-                            case BEGAN -> CopyNote.BEGAN;
-                            case WAITED -> CopyNote.WAITED;
+                            case ALREADY_LOADED -> CopyNote.FOUND;
+                            case COLD_START -> CopyNote.BEGAN;
+                            case AWAITED_LOAD -> CopyNote.WAITED;
                         };
         events.note("reply", "worker", id, "call", call.head.id(), "attempt", call.head.attempt(), "code", code.word());
         if (call.running == null) {
@@ -403,7 +403,7 @@
     }
 
     @Override
-    public void answerOrder(long order, OrderAnswer answer, int ready) {
+    public void completeOrder(long order, OrderAnswer answer, int ready) {
         OrderReply reply = orders.remove(order);
         if (reply != null) {
             reply.answer(
@@ -417,19 +417,19 @@
     }
 
     @Override
-    public void stop(long copy) {
+    public void unloadCopy(long copy) {
         LoadedCopy stopping = copies.get(copy);
         stoppers.execute(() -> {
             boolean released = release(stopping);
             onLoop(() -> {
                 if (released) {
                     copies.remove(copy);
-                    decisions.stopped(System.nanoTime(), copy);
+                    decisions.onCopyUnloaded(System.nanoTime(), copy);
                 } else {
                     LOG.warn(
                             "a copy of {} does not stop; its memory stays counted as not free",
                             stopping.manifest().name());
-                    decisions.hung(System.nanoTime(), copy);
+                    decisions.onCopyStuck(System.nanoTime(), copy);
                     releaseLater(copy);
                 }
             });
@@ -456,7 +456,7 @@
                             onLoop(() -> {
                                 if (released) {
                                     copies.remove(copy);
-                                    decisions.stopped(System.nanoTime(), copy);
+                                    decisions.onCopyUnloaded(System.nanoTime(), copy);
                                 } else {
                                     releaseLater(copy);
                                 }
@@ -469,7 +469,7 @@
     }
 
     @Override
-    public void drained() {
+    public void onDrained() {
         whenDrained.forEach(Runnable::run);
         whenDrained.clear();
     }
--- a/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
+++ b/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
@@ -42,7 +42,7 @@
             throw new AssertionError(range + " of " + size);
         }
         WorkerCall head = WorkerCall.of(name -> data.consumeString(40));
-        if (head.waitMillis() < 1 || head.hint().kb() < 0 || head.id().contains("\t")) {
+        if (head.waitMillis() < 1 || head.hint().memoryKb() < 0 || head.id().contains("\t")) {
             throw new AssertionError(head.toString());
         }
     }
--- a/worker/src/test/java/wharfhinge/worker/WorkerCallTest.java
+++ b/worker/src/test/java/wharfhinge/worker/WorkerCallTest.java
@@ -27,7 +27,7 @@
             WorkerCall head =
                     of("wh-deadline-ms", wrong, "wh-memory-mb", wrong, "wh-lanes", wrong, "wh-cost-us", wrong);
             assertEquals(3_600_000, head.waitMillis(), wrong);
-            assertEquals(0, head.hint().kb(), wrong);
+            assertEquals(0, head.hint().memoryKb(), wrong);
         }
     }
 
