--- a/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
@@ -7,7 +7,9 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
@@ -27,27 +29,6 @@
  * Confined to the engine's thread.
  */
 final class ChainExecutor implements ChainScheduler.Actions {
-    /** What the executor needs of its engine. */
-    interface StepTransport {
-        long now();
-
-        long toNanoTime(long at);
-
-        void startStep(ClientCall step);
-
-        void cancel(ClientCall step);
-
-        void expectRequest(Request request);
-
-        boolean isCached(String function);
-
-        void schedule(long delayNanos, Runnable what);
-
-        void execute(String name, Runnable what);
-
-        void onChainCompleted(ChainCall chain);
-    }
-
     private static final class ChainRun {
         private final long id;
         private final ChainCall chainCall;
@@ -387,10 +368,10 @@
                 .collect(Collectors.toMap(
                         chainCall -> (chainCall == ChainScheduler.Counter.CHAINS
                                 ? "chains"
-                                : "chain_" + chainCall.name().toLowerCase(java.util.Locale.ROOT)),
+                                : "chain_" + chainCall.name().toLowerCase(Locale.ROOT)),
                         decisions::counter,
                         (a, b) -> a,
-                        java.util.LinkedHashMap::new));
+                        LinkedHashMap::new));
         metrics.put("chains_open", (long) decisions.openChains());
         metrics.put("chain_steps_open", (long) decisions.runningSteps());
         metrics.put("chain_bytes_held", retainedBytes);
--- a/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
@@ -311,7 +311,7 @@
     // ---- Steps of chains --------------------------------------------------------------------
 
     /** Runs the steps of chains; a step is a call like any other and counts as pending. */
-    private final class EngineStepTransport implements ChainExecutor.StepTransport {
+    private final class EngineStepTransport implements StepTransport {
         @Override
         public long now() {
             return eventLoop.now();
