--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -31,7 +31,7 @@
 import wharfhinge.gateway.front.CallIngress;
 import wharfhinge.gateway.front.ClientListener;
 import wharfhinge.gateway.front.StatusPage;
-import wharfhinge.gateway.grpc.GrpcFront;
+import wharfhinge.gateway.grpc.GrpcListener;
 import wharfhinge.gateway.tls.BearerTokens;
 import wharfhinge.gateway.tls.CallAuthenticator;
 import wharfhinge.gateway.tls.TlsContext;
@@ -61,7 +61,7 @@
     private final UdpPeerTransport peers; // null where none are set
     private final TlsContext tls; // null where calls come in the clear
     private final ClientListener clientListener;
-    private final GrpcFront grpcListener; // null where none is set
+    private final GrpcListener grpcListener; // null where none is set
     private final ReentrantLock lifecycleLock = new ReentrantLock();
     private final AtomicBoolean stopping = new AtomicBoolean();
     private InetSocketAddress address;
@@ -117,7 +117,7 @@
         clientListener = new ClientListener(config, intake, new StatusPage(this::metrics), sslContext);
         grpcListener = config.grpc() == null
                 ? null
-                : new GrpcFront(
+                : new GrpcListener(
                         config, intake, sslContext, netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
     }
 
@@ -303,7 +303,7 @@
         LOG.info("gateway {}: shutting down, {} calls in flight", config.name(), engine.pendingCalls());
         clientListener.startDraining(); // first: clients go elsewhere, and what they already sent is still accepted
         if (grpcListener != null) {
-            grpcListener.finish();
+            grpcListener.startDraining();
         }
         TimeUnit.MILLISECONDS.sleep(SHUTDOWN_LINGER_MILLIS);
         int abortedCalls = shutDownEngine();
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/Callers.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/CredentialsInterceptor.java
@@ -10,17 +10,17 @@
 import javax.net.ssl.SSLSession;
 import wharfhinge.protocol.grpc.GrpcProtocol;
 
-/** Keeps what a caller proves of itself where the service finds it. */
-final class Callers implements ServerInterceptor {
+/** Puts a caller's credentials, of its connection and its headers, into the call's context. */
+final class CredentialsInterceptor implements ServerInterceptor {
     static final Context.Key<SSLSession> SESSION = Context.key("session");
     static final Context.Key<String> AUTHORIZATION = Context.key("authorization");
 
     @Override
     public <Q, R> ServerCall.Listener<Q> interceptCall(
             ServerCall<Q, R> call, Metadata headers, ServerCallHandler<Q, R> next) {
-        Context with = Context.current()
+        Context context = Context.current()
                 .withValue(SESSION, call.getAttributes().get(Grpc.TRANSPORT_ATTR_SSL_SESSION))
                 .withValue(AUTHORIZATION, headers.get(GrpcProtocol.AUTHORIZATION));
-        return Contexts.interceptCall(with, call, headers, next);
+        return Contexts.interceptCall(context, call, headers, next);
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcFront.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcListener.java
@@ -15,19 +15,19 @@
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.gateway.front.CallIngress;
 
-/** The gRPC port: calls, the standard health service, reflection where it is switched on. */
-public final class GrpcFront {
-    private static final int CALLS_EACH = 1000;
-    private static final int OVERHEAD = 4096; // of a message beside its body
+/** Listens for gRPC: calls, the standard health service, and reflection where it is enabled. */
+public final class GrpcListener {
+    private static final int MAX_CALLS_PER_CONNECTION = 1000;
+    private static final int MESSAGE_OVERHEAD_BYTES = 4096; // of a message besides its body
 
     private final Server server;
     private final HealthStatusManager health = new HealthStatusManager();
 
-    /** {@code tls} is null where calls come in the clear. */
-    public GrpcFront(
+    /** Built, not bound; {@code sslContext} is null where calls come in the clear, and the groups stay the caller's. */
+    public GrpcListener(
             GatewayConfig config,
             CallIngress intake,
-            SslContext tls,
+            SslContext sslContext,
             EventLoopGroup acceptor,
             EventLoopGroup group,
             Class<? extends ServerChannel> type) {
@@ -37,18 +37,18 @@
                 .bossEventLoopGroup(acceptor)
                 .workerEventLoopGroup(group)
                 .channelType(type)
-                .maxConcurrentCallsPerConnection(CALLS_EACH)
-                .maxInboundMessageSize(config.clients().maxBodyBytes() + OVERHEAD)
+                .maxConcurrentCallsPerConnection(MAX_CALLS_PER_CONNECTION)
+                .maxInboundMessageSize(config.clients().maxBodyBytes() + MESSAGE_OVERHEAD_BYTES)
                 .maxInboundMetadataSize(config.clients().maxHeaderBytes())
                 .maxConnectionIdle(config.clients().idleNanos(), TimeUnit.NANOSECONDS)
                 .addService(new GatewayService(intake))
                 .addService(health.getHealthService());
-        builder.intercept(new Callers());
+        builder.intercept(new CredentialsInterceptor());
         if (config.clients().reusePort() && EpollServerSocketChannel.class.isAssignableFrom(type)) {
             builder.withOption(EpollChannelOption.SO_REUSEPORT, true);
         }
-        if (tls != null) {
-            builder.sslContext(tls);
+        if (sslContext != null) {
+            builder.sslContext(sslContext);
         }
         if (own.reflection()) {
             builder.addService(ProtoReflectionServiceV1.newInstance());
@@ -56,19 +56,19 @@
         server = builder.build();
     }
 
-    /** Begins to listen. */
+    /** Binds the port of the settings. */
     public InetSocketAddress listen() throws IOException {
         server.start();
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
 
-    /** Takes no new call and says so: health turns, clients get a GOAWAY; what is open is answered. */
-    public void finish() {
+    /** Accepts no new call: health turns to NOT_SERVING, clients get a GOAWAY; calls in flight are answered. */
+    public void startDraining() {
         health.enterTerminalState();
         server.shutdown();
     }
 
-    /** Ends what is left. */
+    /** Aborts what is left. */
     public void close() throws InterruptedException {
         if (!server.awaitTermination(100, TimeUnit.MILLISECONDS)) {
             server.shutdownNow();
--- a/gateway/src/test/java/wharfhinge/gateway/GrpcFrontTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GrpcListenerTest.java
@@ -38,7 +38,7 @@
 
 /** What the libraries do not use of the gRPC port: streams, chains, health, reflection. */
 @Timeout(30)
-class GrpcFrontTest {
+class GrpcListenerTest {
     @TempDir
     private Path folder;
 
