--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
@@ -175,8 +175,8 @@
     }
 
     @Override
-    public void chain(ChainRequest request, StreamObserver<ChainReply> observer) {
-        ServerCallStreamObserver<ChainReply> observer = (ServerCallStreamObserver<ChainReply>) observer;
+    public void chain(ChainRequest request, StreamObserver<ChainReply> responses) {
+        ServerCallStreamObserver<ChainReply> observer = (ServerCallStreamObserver<ChainReply>) responses;
         ChainCall[] self = new ChainCall[1];
         try {
             self[0] = ingress.chains()
