--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainResult.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainResult.java
@@ -5,7 +5,7 @@
 /**
  * The final answer of a chain.
  *
- * @param reason why it was not served, as the client is told; empty where it was
+ * @param reason why it was not served, as the client gets it; empty where it was
  * @param steps  what became of each step, in the plan's order
  */
 public record ChainResult(Kind kind, String reason, List<StepState> steps) {
--- a/engine/src/main/java/wharfhinge/engine/EndpointList.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointList.java
@@ -87,7 +87,7 @@
         if (previous != null && previous.incarnation.equals(entry.boot())) {
             return previous.endpoint.startedAt();
         }
-        if (entry.ageMillis() == RosterEntry.UNTOLD) {
+        if (entry.ageMillis() == RosterEntry.UNKNOWN_AGE) {
             return previous == null ? 0 : now; // a new process at a known address has just started
         }
         return Math.max(0, now - entry.ageMillis() * MS);
--- a/engine/src/main/java/wharfhinge/engine/StepTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/StepTransport.java
@@ -2,7 +2,7 @@
 
 import wharfhinge.policy.Request;
 
-/** What the executor needs of its engine. */
+/** What a {@link ChainExecutor} needs of its engine. Confined to the engine's thread. */
 interface StepTransport {
     long now();
 
--- a/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
@@ -12,7 +12,7 @@
 public interface WorkerTransport extends AutoCloseable {
 
     /**
-     * What a worker is told of a function.
+     * What a worker gets to know of a function.
      *
      * @param loadMillis the usual time of a load; 0 where unknown, as are the others
      */
--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -195,7 +195,7 @@
     /**
      * Starts from the endpoint snapshot: the engine, the endpoint source, then the listeners.
      *
-     * @return the address of the client listener; null where the gateway was told to stop before
+     * @return the address of the client listener; null where the gateway was stopped before
      * @throws GatewayStartException where the gRPC port can't be bound
      */
     public InetSocketAddress start() throws InterruptedException {
@@ -282,7 +282,7 @@
     /**
      * Shuts down: accepts nothing more, completes what is in flight within the grace period of the settings, aborts the rest.
      *
-     * @return how many calls were aborted; 0 where it was told to stop before
+     * @return how many calls were aborted; 0 where it was stopped before
      */
     public int stop() throws InterruptedException {
         if (!stopping.compareAndSet(false, true)) {
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
@@ -125,7 +125,7 @@
                         0,
                         RosterEntry.State.UP,
                         1,
-                        RosterEntry.UNTOLD,
+                        RosterEntry.UNKNOWN_AGE,
                         RosterEntry.NO_BOOT))
                 .toList();
     }
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUpProgress.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUpProgress.java
@@ -6,7 +6,7 @@
 
 /**
  * Decides when a warm-up has done enough: once several thousands of calls in a row bring no faster thousand, its time is
- * over, or the gateway is told to stop. Shared by all clients.
+ * over, or the gateway is stopped. Shared by all clients.
  */
 final class WarmUpProgress {
     private static final int CHUNK_CALLS = 1000;
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointSnapshotFile.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointSnapshotFile.java
@@ -102,8 +102,9 @@
     }
 
     private static RosterEntry aged(RosterEntry entry, long elapsedMillis) {
-        long ageMillis =
-                entry.ageMillis() == RosterEntry.UNTOLD ? RosterEntry.UNTOLD : entry.ageMillis() + elapsedMillis;
+        long ageMillis = entry.ageMillis() == RosterEntry.UNKNOWN_AGE
+                ? RosterEntry.UNKNOWN_AGE
+                : entry.ageMillis() + elapsedMillis;
         return new RosterEntry(
                 entry.id(),
                 entry.zone(),
--- a/policy/src/main/java/wharfhinge/policy/AdmissionController.java
+++ b/policy/src/main/java/wharfhinge/policy/AdmissionController.java
@@ -1,7 +1,7 @@
 package wharfhinge.policy;
 
 /**
- * Sheds load when the fleet is saturated: by the share of own answers that told so, and where even the least busy
+ * Sheds load when the fleet is saturated: by the share of own answers that show it, and where even the least busy
  * worker is too full. A fault that makes most answers late without load is shed too; that hurts.
  */
 final class AdmissionController {
@@ -45,7 +45,7 @@
         return context.random.nextDouble() < SHED_SLOPE * (saturatedShare() - TOLERATED_SHARE);
     }
 
-    /** Whether more answers than are tolerated told of saturation recently. */
+    /** Whether more answers than are tolerated showed saturation recently. */
     boolean isUnderPressure() {
         return saturatedShare() > TOLERATED_SHARE;
     }
@@ -64,7 +64,7 @@
         return limiter.isBelowLimit(worker, REJECT_ABOVE_LIMIT);
     }
 
-    /** Counts an answer, and whether it told of saturation; a late load tells of no queue at the worker. */
+    /** Counts an answer, and whether it showed saturation; a late load shows no queue at the worker. */
     void onAttemptCompleted(Attempt attempt, AttemptCompletion completion) {
         boolean full = completion.outcome() == Outcome.TIMEOUT || completion.outcome() == Outcome.SATURATED;
         boolean answered = completion.outcome() == Outcome.SERVED && !attempt.mayLoad();
--- a/policy/src/main/java/wharfhinge/policy/AttemptCompletionHandler.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptCompletionHandler.java
@@ -110,7 +110,7 @@
             retryBudget.spend(cost);
             router.route(state);
         } else {
-            router.giveUp(state);
+            router.rejectOrFail(state);
         }
     }
 
--- a/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
@@ -208,7 +208,7 @@
         } else if (!token.startsWith(TimerTokens.DEADLINE_PREFIX)) {
             patienceHandler.onElapsed(state, TimerTokens.attemptIndex(token));
         } else if (!state.finished && !state.streaming) {
-            router.giveUp(state);
+            router.rejectOrFail(state);
         }
     }
 
--- a/policy/src/main/java/wharfhinge/policy/IdempotencyGuard.java
+++ b/policy/src/main/java/wharfhinge/policy/IdempotencyGuard.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Decides on every path whether a request may be sent again, and whether its client may be told to retry. */
+/** Decides on every path whether a request may be sent again, and whether its client may be invited to retry. */
 final class IdempotencyGuard {
     private final DispatcherContext context;
 
@@ -39,7 +39,7 @@
                 : first.endpoint.cell() == second.endpoint.cell();
     }
 
-    /** Whether the client may be told that a retry is harmless. */
+    /** Whether the client may hear that a retry is harmless. */
     boolean mayReject(RequestState state) {
         Effect effect = state.requestClass.effect();
         return state.possiblyExecuted.isEmpty()
--- a/policy/src/main/java/wharfhinge/policy/RequestRouter.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestRouter.java
@@ -57,7 +57,7 @@
     /** Sends the request, lets it wait, or gives it up. */
     void route(RequestState state) {
         if (state.shed || !attempts.mayAttemptAgain(state)) {
-            giveUp(state);
+            rejectOrFail(state);
             return;
         }
         WorkerState worker = eligibility.select(state) ? ranker.rank(state) : null;
@@ -66,7 +66,7 @@
         } else if (idempotency.mayRetryLater(state)) {
             queue.add(state);
         } else {
-            giveUp(state);
+            rejectOrFail(state);
         }
     }
 
@@ -77,7 +77,7 @@
         } else if (context.loadsOnlyByOrder && cached != null && cached.loadOrdered && cached.loading) {
             queue.awaitLoad(state, cached);
         } else if (!isAdmitted(state, worker)) {
-            giveUp(state);
+            rejectOrFail(state);
         } else if (shouldAwaitSlot(state, worker)) {
             queue.add(state);
         } else if (!probes.probeBeforeSend(state, worker)) {
@@ -128,7 +128,7 @@
     }
 
     /** Final answer without success: rejected where a retry is harmless, else failed. */
-    void giveUp(RequestState state) {
+    void rejectOrFail(RequestState state) {
         long marginNanos = IN_FLIGHT_MARGIN_TICKS * context.settings.tickNanos();
         if (idempotency.mayReject(state)) {
             context.actions.reject(state.request.id(), admission.retryAfterNanos(state));
@@ -175,7 +175,7 @@
     void retryQueued() {
         for (RequestState state : queue.snapshot()) {
             if (queue.isHopeless(state)) {
-                giveUp(state);
+                rejectOrFail(state);
             } else if (state.awaitedLoad == null) {
                 queue.remove(state);
                 route(state);
--- a/policy/src/main/java/wharfhinge/policy/TimerTokens.java
+++ b/policy/src/main/java/wharfhinge/policy/TimerTokens.java
@@ -11,7 +11,7 @@
     /** Expires what has been idle; repeats for ever. */
     static final String EXPIRY = "lapse";
 
-    /** Prefix: a request's deadline is near. */
+    /** Prefix: a request's deadline is about to pass. */
     static final String DEADLINE_PREFIX = "end:";
 
     /** Prefix: the wait for replies to probes or residency queries is over. */
--- a/policy/src/main/java/wharfhinge/policy/WorkerState.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerState.java
@@ -33,7 +33,7 @@
     final Set<FunctionStats> assignedFunctions = new LinkedHashSet<>();
     double assignedMemoryMb;
 
-    // EligibilityFilter, WorkerRanker, PreferredWorkers: valid for one query, told apart by its generation
+    // EligibilityFilter, WorkerRanker, PreferredWorkers: valid for one query, identified by its generation
     long excludedInGeneration;
     long preferredInRanking;
     double preferenceScore;
--- a/protocol/src/main/java/wharfhinge/protocol/RosterDecoder.java
+++ b/protocol/src/main/java/wharfhinge/protocol/RosterDecoder.java
@@ -105,7 +105,7 @@
         if (!(weight >= 0 && weight < 1e9)) {
             throw bad(f[6], "a number from 0 to 1000000000");
         }
-        long age = f[7].equals("-") ? RosterEntry.UNTOLD : whole(f[7], Long.MAX_VALUE / 1_000_000);
+        long age = f[7].equals("-") ? RosterEntry.UNKNOWN_AGE : whole(f[7], Long.MAX_VALUE / 1_000_000);
         return new RosterEntry(f[1], f[2], f[3], (int) whole(f[4], Integer.MAX_VALUE), state, weight, age, f[8]);
     }
 
--- a/protocol/src/main/java/wharfhinge/protocol/RosterEntry.java
+++ b/protocol/src/main/java/wharfhinge/protocol/RosterEntry.java
@@ -5,13 +5,13 @@
  *
  * @param id     {@code address:port}
  * @param cell   the group of workers that discard repeats among them
- * @param ageMillis  how long its process runs, in milliseconds; {@link #UNTOLD} where that is not told
+ * @param ageMillis  how long its process runs, in milliseconds; {@link #UNKNOWN_AGE} where that is not told
  * @param boot   names the process, so that one back under the same address is known for new; {@code -} untold
  */
 public record RosterEntry(
         String id, String zone, String kind, int cell, State state, double weight, long ageMillis, String boot) {
     /** No age is told. */
-    public static final long UNTOLD = -1;
+    public static final long UNKNOWN_AGE = -1;
     /** The process is not told. */
     public static final String NO_BOOT = "-";
 
@@ -42,6 +42,6 @@
 
     String line() {
         return "w " + id + ' ' + zone + ' ' + kind + ' ' + cell + ' ' + state.letter + ' ' + weight + ' '
-                + (ageMillis == UNTOLD ? "-" : Long.toString(ageMillis)) + ' ' + boot + '\n';
+                + (ageMillis == UNKNOWN_AGE ? "-" : Long.toString(ageMillis)) + ' ' + boot + '\n';
     }
 }
--- a/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
@@ -114,8 +114,8 @@
     }
 
     private RosterEntry aged(RosterEntry e) {
-        long age = e.ageMillis() == RosterEntry.UNTOLD
-                ? RosterEntry.UNTOLD
+        long age = e.ageMillis() == RosterEntry.UNKNOWN_AGE
+                ? RosterEntry.UNKNOWN_AGE
                 : (System.nanoTime() - startedAt.get(e.id())) / 1_000_000L;
         return new RosterEntry(e.id(), e.zone(), e.kind(), e.cell(), e.state(), e.weight(), age, e.boot());
     }
