--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerTest.java
@@ -80,10 +80,10 @@
         assertEquals("run 100 on 1, run 101 on 1", takeActions());
         scheduler.onCallCompleted(1, 100, CallEnd.SERVED);
         scheduler.onCallCompleted(1, 101, CallEnd.ERROR);
-        assertEquals("answer 100 SERVED BEGAN, answer 101 ERROR null", takeActions());
+        assertEquals("answer 100 SERVED COLD_START, answer 101 ERROR null", takeActions());
         scheduler.onCall(2, 102, "f", TEN_KB, NEVER_EXPIRES);
         scheduler.onCallCompleted(3, 102, CallEnd.SERVED);
-        assertEquals("run 102 on 1, answer 102 SERVED FOUND", takeActions());
+        assertEquals("run 102 on 1, answer 102 SERVED ALREADY_LOADED", takeActions());
     }
 
     @Test
@@ -132,7 +132,7 @@
         assertEquals("stop 2", takeActions());
         scheduler.onCall(0, 6, "f", TEN_KB, NEVER_EXPIRES);
         scheduler.onCallCompleted(1, 5, CallEnd.SERVED);
-        assertEquals("load 3 f, answer 5 SERVED FOUND, run 6 on 1", takeActions());
+        assertEquals("load 3 f, answer 5 SERVED ALREADY_LOADED, run 6 on 1", takeActions());
         scheduler.onUnloadOrder(1, "f");
         assertEquals("", takeActions(), "the copy was picked again before it could be called idle");
     }
@@ -218,7 +218,7 @@
         for (int call = 1; call < 10; call++) {
             scheduler.onCallCompleted(0, call, CallEnd.SERVED);
         }
-        assertTrue(takeActions().endsWith("answer 9 SERVED WAITED, drained"));
+        assertTrue(takeActions().endsWith("answer 9 SERVED AWAITED_LOAD, drained"));
     }
 
     @Test
