--- a/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
@@ -299,7 +299,7 @@
     @Test
     void newCertificate_isUsedForNewConnectionsOnly() throws Exception {
         TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
-        TestCertificates.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, 10_000);
+        TestCertificates.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, 9000);
         try (FakePeer worker = worker();
                 GatewayFixture rig = new GatewayFixture(
                         folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
@@ -322,10 +322,9 @@
                     }
                 });
             }
-            GatewayFixture.await(
-                    "the first has expired",
-                    () -> System.currentTimeMillis()
-                            > soonOver.certificate().getNotAfter().getTime());
+            long expiresAt = soonOver.certificate().getNotAfter().getTime();
+            GatewayFixture.await("half of its life is over", () -> System.currentTimeMillis() > expiresAt - 4500);
+            GatewayFixture.await("the first has expired", () -> System.currentTimeMillis() > expiresAt);
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
             assertEquals(connections, rig.metric("connections"), "on the connection that stood");
