--- a/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
@@ -3,7 +3,14 @@
 import java.util.Map;
 
 /**
- * How one attempt ended; {@code concurrentOnWorker} counts the requests of the function that it found on the worker.
+ * How one attempt ended.
+ *
+ * @param request            id of the request
+ * @param attempt            index of the attempt among the request's attempts, from 0
+ * @param tookNanos          time from the send to the end of the attempt
+ * @param concurrentOnWorker requests of the function that the attempt found on the worker
+ * @param answered           whether the request has its final response
+ * @param report             load report of the worker: metric values by name
  */
 public record AttemptCompletion(
         String request,
--- a/policy/src/main/java/wharfhinge/policy/CacheStatus.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheStatus.java
@@ -1,6 +1,9 @@
 package wharfhinge.policy;
 
-/** What an answer says of the function on the worker: already loaded, loaded for it, waited for, or failed to load. */
+/**
+ * What a response says about the function on the worker: nothing, already loaded, loaded for this request, waited for a
+ * load that was in progress, or failed to load.
+ */
 public enum CacheStatus {
     UNKNOWN,
     HIT,
--- a/policy/src/main/java/wharfhinge/policy/CachedFunction.java
+++ b/policy/src/main/java/wharfhinge/policy/CachedFunction.java
@@ -2,18 +2,18 @@
 
 import java.util.LinkedHashSet;
 
-/** A function that is believed to be loaded, or loading, on one worker. Plain state of {@link FunctionCacheIndex}. */
+/** A function that is believed to be loaded or loading on one worker. Holds state of {@link FunctionCacheIndex}. */
 final class CachedFunction {
     final WorkerState worker;
     final String function;
 
-    /** Requests that wait for the load that was ordered here. */
+    /** Requests that wait for the load ordered on this worker. */
     final LinkedHashSet<RequestState> waitingRequests = new LinkedHashSet<>();
 
-    /** Not known to be loaded yet. */
+    /** Whether the function is not yet known to be loaded. */
     boolean loading;
 
-    /** A load order is pending or was sent, and hasn't completed. */
+    /** Whether a load order is pending or was sent and has not completed. */
     boolean loadOrdered;
 
     long loadOrderedAt;
--- a/policy/src/main/java/wharfhinge/policy/ClientBehavior.java
+++ b/policy/src/main/java/wharfhinge/policy/ClientBehavior.java
@@ -1,4 +1,8 @@
 package wharfhinge.policy;
 
-/** How clients behave. */
+/**
+ * What is known about the behavior of clients.
+ *
+ * @param marksRetries whether clients mark requests that are retries
+ */
 public record ClientBehavior(boolean marksRetries) {}
--- a/policy/src/main/java/wharfhinge/policy/DecayingCounter.java
+++ b/policy/src/main/java/wharfhinge/policy/DecayingCounter.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** A count that decays exponentially over a time window, so that it tells of the recent past. Not thread-safe. */
+/** A count that decays exponentially over a time window, so that it reflects the recent past. Not thread-safe. */
 class DecayingCounter {
     private final long windowNanos;
     private double count;
@@ -10,7 +10,7 @@
         this.windowNanos = windowNanos;
     }
 
-    /** The count as it has decayed by {@code now}, which must not be before the time last given. */
+    /** The count decayed to {@code now}, which must not be before the time given last. */
     final double valueAt(long now) {
         count *= Math.exp((updatedAt - now) / (double) windowNanos);
         updatedAt = now;
--- a/policy/src/main/java/wharfhinge/policy/DeduplicationScope.java
+++ b/policy/src/main/java/wharfhinge/policy/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** The workers that discard repeats of a {@link Effect#DEDUPLICATED} request among them. */
+/** The set of workers that together discard repeats of a {@link Effect#DEDUPLICATED} request. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
--- a/policy/src/main/java/wharfhinge/policy/Discovery.java
+++ b/policy/src/main/java/wharfhinge/policy/Discovery.java
@@ -1,7 +1,7 @@
 package wharfhinge.policy;
 
 /**
- * How endpoint lists come: pushed, or only after {@link DispatcherActions#watchEndpoints} or {@link
+ * How endpoint lists arrive: pushed, or only after {@link DispatcherActions#watchEndpoints} or {@link
  * DispatcherActions#refreshEndpoints}.
  */
 public enum Discovery {
--- a/policy/src/main/java/wharfhinge/policy/DispatchLimits.java
+++ b/policy/src/main/java/wharfhinge/policy/DispatchLimits.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What the site allows a dispatcher to do, and how much. */
+/** What a deployment allows a dispatcher to do, and how much of it. */
 public record DispatchLimits(
         boolean cancellation,
         boolean peerMessages,
--- a/policy/src/main/java/wharfhinge/policy/Dispatcher.java
+++ b/policy/src/main/java/wharfhinge/policy/Dispatcher.java
@@ -4,37 +4,38 @@
 import java.util.Map;
 
 /**
- * One dispatcher of one tier: it takes events and answers with {@link DispatcherActions}. All times are
- * nanoseconds of the caller's clock, which only advances; an event's {@code now} is when it came.
- * An implementation is used by one thread at a time. {@link CacheAwareDispatcher} holds the decisions.
+ * Decides on the requests of one dispatcher: it receives events and responds with {@link DispatcherActions}. All times
+ * are nanoseconds of the caller's clock, which never runs backwards; an event's {@code now} is the time at which it
+ * occurred. An implementation is used by one thread at a time. {@link CacheAwareDispatcher} is the implementation of
+ * this module.
  */
 public interface Dispatcher {
-    /** What is believed of all workers now; changes no later decision. */
+    /** The dispatcher's current view of all workers, for one function; does not affect later decisions. */
     default List<WorkerSnapshot> workerStates(long now, String function) {
         return List.of();
     }
 
-    /** The endpoint list changed, or came for the first time. */
+    /** The endpoint list changed, or arrived for the first time. */
     void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries);
 
     /**
-     * The source of the endpoint list has told everything that there was up to {@code at}. Where neither this nor {@link
-     * #onEndpointsUnconfirmed} is ever told, the list counts as current for ever.
+     * The source of the endpoint list has reported all changes up to {@code at}. If neither this nor {@link
+     * #onEndpointsUnconfirmed} is ever called, the list always counts as current.
      */
     default void onEndpointsConfirmed(long now, long at) {}
 
-    /** The source of the endpoint list has to be asked again; the list may be stale until it is confirmed. */
+    /** The source of the endpoint list has to be contacted again; the list may be stale until it is confirmed. */
     default void onEndpointsUnconfirmed(long now) {}
 
-    /** The last open connection to the worker was closed, by whichever side. */
+    /** The last open connection to the worker was closed, by either side. */
     default void onWorkerDisconnected(long now, String worker) {}
 
-    /** The condition under which a message may be written to the worker; changes no later decision. */
+    /** The condition under which a message may be written to the worker; does not affect later decisions. */
     default SendCondition sendCondition(long now, String worker, SendCondition.Purpose purpose) {
         return SendCondition.NONE;
     }
 
-    /** A request arrived; it gets exactly one final answer. */
+    /** A request arrived; it gets exactly one final response. */
     void onRequest(long now, Request request);
 
     /** The client cancelled the request or disconnected. */
@@ -44,26 +45,29 @@
     default void onProbeCompleted(
             long now, String worker, Outcome outcome, long tookNanos, Map<String, Double> report) {}
 
-    /** A streamed answer started; the client's deadline no longer applies. */
+    /** A streamed response started; the client's deadline no longer applies. */
     void onStreamStarted(long now, String request, int attempt, String worker);
 
-    /** Another dispatcher sent a message. */
+    /** A message from another dispatcher arrived. */
     default void onPeerMessage(long now, int peer, byte[] payload) {}
 
-    /** A timer is due. */
+    /** A timer set with {@link DispatcherActions#scheduleTimer} is due. */
     void onTimer(long now, String token);
 
     /** An attempt ended. */
     void onAttemptCompleted(long now, AttemptCompletion completion);
 
-    /** A load order or residency query completed; the worker has {@code count} copies loaded. */
+    /** A load order or residency query completed; the worker has {@code count} copies of the function loaded. */
     void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos);
 
-    /** Whether the function is believed to be loaded on a worker in use; changes no later decision. */
+    /**
+     * Whether the function is believed to be loaded on a worker that is up and not ejected; does not affect later
+     * decisions.
+     */
     default boolean isCached(long now, String function) {
         return false;
     }
 
-    /** A request like this one will come soon: its function may be prefetched, within all limits on loads. */
+    /** A request like this one is expected soon: its function may be prefetched, within all limits on loads. */
     default void onRequestExpected(long now, Request request) {}
 }
--- a/policy/src/main/java/wharfhinge/policy/DispatcherComponents.java
+++ b/policy/src/main/java/wharfhinge/policy/DispatcherComponents.java
@@ -1,9 +1,9 @@
 package wharfhinge.policy;
 
 /**
- * The collaborators of one dispatcher that each own one part of its state, wired in the order of their dependencies:
- * none knows one below it. {@link RequestRouter} and the handlers, which coordinate them, take what they need from
- * here.
+ * The classes of one dispatcher that each own one part of its state, created in the order of their dependencies: each
+ * knows only those above it. {@link RequestRouter} and the event handlers, which coordinate them, take what they need
+ * from here.
  */
 final class DispatcherComponents {
     final DispatcherContext context;
--- a/policy/src/main/java/wharfhinge/policy/DispatcherContext.java
+++ b/policy/src/main/java/wharfhinge/policy/DispatcherContext.java
@@ -3,33 +3,35 @@
 import java.util.Random;
 
 /**
- * What the collaborators of one dispatcher share: its settings, its actions, its random source and the time of the
- * event being handled. The dispatcher sets {@link #now} at the head of each event; nothing else reads a clock. Used by
- * the dispatcher's thread alone.
+ * What the classes of one dispatcher share: its settings, its actions, its random source and the time of the event
+ * being handled. The dispatcher sets {@link #now} at the start of each event; nothing else reads a clock. Used by the
+ * dispatcher's thread alone.
  */
 final class DispatcherContext {
-    /** Nanoseconds of a millisecond. */
     static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Group size up to which figures that were tuned for one dispatcher hold unchanged. */
+    /** Group size up to which limits that are meant for a single dispatcher apply unchanged. */
     private static final double SMALL_GROUP_SIZE = 4;
 
     final DispatcherSettings settings;
     final DispatcherActions actions;
 
-    /** The only source of randomness; the order and number of its draws is part of what replays reproduce. */
+    /** The only source of randomness. Replays depend on the order and the number of draws. */
     final Random random;
 
-    /** 1 in small groups; in larger ones the part of a figure tuned for a small group that is left for one of many. */
+    /**
+     * Scale of limits that are meant for a single dispatcher: 1 in groups of up to {@link #SMALL_GROUP_SIZE}, inversely
+     * proportional to the group size in larger ones.
+     */
     final double smallGroupFactor;
 
-    /** Part of all sends that peers make and that this dispatcher doesn't see: 0 for one that is alone. */
+    /** Expected share of all sends that peers make, unseen by this dispatcher; 0 in a group of one. */
     final double peerTrafficShare;
 
-    /** Whether a worker without the function answers a miss, so that only explicit load orders load it. */
+    /** Whether functions are loaded by load orders alone: a worker without the function responds with a miss. */
     final boolean loadsOnlyByOrder;
 
-    /** Time of the event being handled, nanoseconds of the caller's clock. */
+    /** Time of the event being handled, in nanoseconds of the caller's clock. */
     long now;
 
     DispatcherContext(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
--- a/policy/src/main/java/wharfhinge/policy/DispatcherSettings.java
+++ b/policy/src/main/java/wharfhinge/policy/DispatcherSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Settings of a dispatcher, given at its start; absent keys are 0, false or null. */
+/** Settings of a dispatcher, given at its start; absent values are 0, false or null. */
 public record DispatcherSettings(
         int groupSize,
         int dispatcherNumber,
--- a/policy/src/main/java/wharfhinge/policy/Effect.java
+++ b/policy/src/main/java/wharfhinge/policy/Effect.java
@@ -1,6 +1,9 @@
 package wharfhinge.policy;
 
-/** What a repeated request of a class does. */
+/**
+ * Whether a request of a class may be repeated once it may have executed: always, within the scope of workers that
+ * discard repeats, or never.
+ */
 public enum Effect {
     IDEMPOTENT,
     DEDUPLICATED,
--- a/policy/src/main/java/wharfhinge/policy/EndpointUpdateMode.java
+++ b/policy/src/main/java/wharfhinge/policy/EndpointUpdateMode.java
@@ -1,8 +1,8 @@
 package wharfhinge.policy;
 
 /**
- * What an endpoint update has: the changes, the full list, the last known full list, or nothing since the watch was
- * rejected.
+ * What an endpoint update contains: the changes, the full list, the last known full list, or nothing because the watch
+ * was rejected.
  */
 public enum EndpointUpdateMode {
     INCREMENTAL,
--- a/policy/src/main/java/wharfhinge/policy/FunctionAssignment.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionAssignment.java
@@ -6,15 +6,15 @@
 import java.util.function.Predicate;
 
 /**
- * Assigns each recently called function to one worker: the first of its preferred workers whose memory holds it beside
- * the functions that score better there (deferred acceptance).
+ * Assigns each recently requested function to one worker, by deferred acceptance: to the first of its preferred workers
+ * whose memory holds it in addition to the functions that score better there.
  *
  * <p>Departure from the source design: it acts where the memory of workers is configured. A further copy of a function
- * is loaded only where memory is left beside the assigned functions, and what misses elsewhere goes to its assigned
- * worker. It guards against copies of hot functions that evict the only copies of cold ones, after which every request
- * loads and the fleet doesn't recover. Dispatchers that know like functions derive like assignments, since the result
- * doesn't depend on the order in which functions came. It may hurt where a further copy of a hot function is worth more
- * than the only copy of a cold one.
+ * is loaded only where the assigned functions leave memory for it, and a request that finds no copy elsewhere goes to
+ * the assigned worker. It guards against copies of hot functions that evict the only copies of cold ones, after which
+ * every request loads and the fleet does not recover. Dispatchers that know similar sets of functions derive similar
+ * assignments, since the result does not depend on the order in which functions arrived. It may hurt where a further
+ * copy of a hot function is worth more than the only copy of a cold one.
  */
 final class FunctionAssignment {
     private static final double UNBOUNDED = Double.MAX_VALUE;
@@ -38,7 +38,10 @@
         this.traffic = traffic;
     }
 
-    /** Counts a request of the function, which it assigns if it is new, and returns the share of requests before it. */
+    /**
+     * Counts a request of the function, and assigns the function if it is new. Returns its share of the requests before
+     * this one.
+     */
     double onRequest(Request request) {
         FunctionStats stats = traffic.find(request.function());
         if (stats == null) {
@@ -49,14 +52,16 @@
         return traffic.countRequest(stats);
     }
 
-    /** Brings the active workers up to date, and all assignments if the endpoint list changed. */
+    /** Refreshes the active workers, and all assignments if the endpoint list changed. */
     void refresh() {
         if (registry.refreshActive()) {
             reassign(stats -> true);
         }
     }
 
-    /** Forgets functions that are no longer called; those that made way for others are assigned anew. */
+    /**
+     * Removes functions that are no longer requested, and reassigns those that had to move past their first preference.
+     */
     void expire() {
         if (traffic.removeIdle(this::unassign)) {
             reassign(stats -> stats.preferenceIndex > 0);
@@ -70,7 +75,9 @@
         return stats != null ? stats.assignedWorker : null;
     }
 
-    /** Whether memory for one more function is left on the worker, beside the assigned and the cached functions. */
+    /**
+     * Whether the worker has memory for one more function in addition to those assigned to it and those cached on it.
+     */
     boolean hasMemoryFor(WorkerState worker, double memoryMb) {
         return memoryMb
                         + worker.assignedMemoryMb
@@ -81,7 +88,10 @@
                 <= memoryMb(worker);
     }
 
-    /** Whether it may stay where memory is short: it is assigned here, or assigned nowhere and loaded nowhere else. */
+    /**
+     * Whether a copy may stay on the worker where memory is short: the function is assigned to it, or is assigned
+     * nowhere and loaded nowhere else.
+     */
     boolean belongsOn(WorkerState worker, String function) {
         WorkerState assigned = assignedWorker(function);
         if (assigned != null) {
@@ -97,7 +107,10 @@
         affected.forEach(this::assign);
     }
 
-    /** Assigns the function; one that must make way for it moves on to its own next preference, and so on. */
+    /**
+     * Assigns the function to a worker. A function that is displaced by it moves on to its own next preference, and so
+     * on.
+     */
     private void assign(FunctionStats first) {
         first.preferenceIndex = 0;
         FunctionStats unplaced = first;
@@ -136,7 +149,7 @@
         return true;
     }
 
-    /** Configured memory of the worker's kind, without bound where none is configured. */
+    /** Configured memory of the worker's kind; unbounded where none is configured. */
     private double memoryMb(WorkerState worker) {
         List<String> kinds = context.settings.kinds();
         List<Double> memoryMbByKind = context.settings.functionLoading().memoryMbByKind();
--- a/policy/src/main/java/wharfhinge/policy/FunctionCacheIndex.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionCacheIndex.java
@@ -5,12 +5,12 @@
 import java.util.TreeSet;
 
 /**
- * What is believed to be loaded where. A belief starts with a send or a load order, is renewed by each use, and
- * expires once the function has been idle for as long as workers keep idle functions. It is kept by worker and, so
- * that a request doesn't look at the whole fleet, by function.
+ * Index of the functions that are believed to be loaded, by worker. An entry is created by a send or a load order, is
+ * refreshed by each use, and expires once the function has been idle for as long as workers keep idle functions.
+ * Entries are indexed by function too, so that a request does not scan the whole fleet.
  */
 final class FunctionCacheIndex {
-    /** Load time that is assumed where a request reports none. */
+    /** Load time assumed where a request reports none. */
     static final long DEFAULT_LOAD_NANOS = 1000 * DispatcherContext.NANOS_PER_MILLI;
 
     private final DispatcherContext context;
@@ -35,7 +35,9 @@
         return cached != null && cached.loadOrdered && cached.loading;
     }
 
-    /** Whether the function is believed to be loaded on the worker: a request needn't wait for an ordered load. */
+    /**
+     * Whether the function is believed to be loaded on the worker, so that a request does not wait for an ordered load.
+     */
     boolean isLoaded(WorkerState worker, String function) {
         return isCached(worker, function) && !isLoading(worker, function);
     }
@@ -45,12 +47,12 @@
         return worker.up && !worker.ejected && isLoaded(worker, function);
     }
 
-    /** Workers with an entry for the function, in the order of their first listing. */
+    /** Workers with an entry for the function, in the order in which they were first listed. */
     TreeSet<WorkerState> workersWith(String function) {
         return workersByFunction.computeIfAbsent(function, key -> new TreeSet<>(WorkerState.BY_ORDINAL));
     }
 
-    /** Records that the request's function is used on the worker now; a new entry counts as loading. */
+    /** Records a use of the request's function on the worker; a new entry counts as loading. */
     CachedFunction recordUse(WorkerState worker, Request request) {
         CachedFunction cached = worker.cachedFunctions.get(request.function());
         if (cached == null || !isCached(worker, request.function())) {
@@ -70,7 +72,9 @@
         return cached;
     }
 
-    /** Records that a worker answered that it has a copy, which it may unload soon: believed for one load time. */
+    /**
+     * Records a copy that a worker reported. The worker may unload it soon, so the entry expires after one load time.
+     */
     void recordReportedCopy(WorkerState worker, Request request) {
         CachedFunction cached = recordUse(worker, request);
         cached.loading = false;
@@ -83,14 +87,14 @@
         }
     }
 
-    /** Removes the entry if its function has been idle for too long and nothing waits for it. */
+    /** Removes the entry if its function has been idle for too long and no request waits for it. */
     void removeIfExpired(CachedFunction cached) {
         if (cached.waitingRequests.isEmpty() && !isCached(cached.worker, cached.function)) {
             remove(cached);
         }
     }
 
-    /** Drops the index entries of functions that no worker holds. */
+    /** Removes functions without entries from the index. */
     void removeEmptyEntries() {
         workersByFunction.values().removeIf(TreeSet::isEmpty);
     }
--- a/policy/src/main/java/wharfhinge/policy/FunctionLoading.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionLoading.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** How workers load functions and how long they keep idle ones. */
+/** How workers load functions, and how long they keep idle ones. */
 public record FunctionLoading(
         long idleRetentionNanos,
         boolean loadOrdersAllowed,
--- a/policy/src/main/java/wharfhinge/policy/IdempotencyGuard.java
+++ b/policy/src/main/java/wharfhinge/policy/IdempotencyGuard.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Decides on every path whether a request may be sent again, and whether its client may be invited to retry. */
+/** Decides whether a request may be sent again, and whether its client may be told that a retry is harmless. */
 final class IdempotencyGuard {
     private final DispatcherContext context;
 
@@ -21,7 +21,10 @@
                 || effect == Effect.DEDUPLICATED && isDeduplicated(state, worker);
     }
 
-    /** Whether the worker's deduplication scope still remembers all attempts that may have run. */
+    /**
+     * Whether all attempts that may have executed are in the worker's deduplication scope, and recent enough to be
+     * remembered.
+     */
     private boolean isDeduplicated(RequestState state, WorkerState worker) {
         RequestClass requestClass = state.requestClass;
         long windowNanos = requestClass.deduplicationWindowNanos() - 2 * context.settings.tickNanos();
@@ -39,7 +42,7 @@
                 : first.endpoint.cell() == second.endpoint.cell();
     }
 
-    /** Whether the client may hear that a retry is harmless. */
+    /** Whether the client may be told that a retry is harmless. */
     boolean mayReject(RequestState state) {
         Effect effect = state.requestClass.effect();
         return state.possiblyExecuted.isEmpty()
@@ -47,7 +50,10 @@
                 || effect == Effect.DEDUPLICATED && state.requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 
-    /** Whether another attempt may become possible: nothing is in flight, and a repeat isn't ruled out for good. */
+    /**
+     * Whether another attempt may become possible: none is in flight, and the request's effect does not rule out a
+     * repeat.
+     */
     boolean mayRetryLater(RequestState state) {
         return state.inFlight == 0
                 && (state.possiblyExecuted.isEmpty() || state.requestClass.effect() != Effect.AT_MOST_ONCE);
--- a/policy/src/main/java/wharfhinge/policy/LoadQueries.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadQueries.java
@@ -3,12 +3,15 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The queries of loaded copies (load orders of none) that are in flight, at most one for a worker and a function. */
+/**
+ * Queries of loaded copies that are in flight, at most one for each worker and function. A query is a load order with a
+ * count of 0.
+ */
 final class LoadQueries {
     /**
      * One query.
      *
-     * @param request the request that residency is asked for, or null where it only renews a lease
+     * @param request     the request whose function's residency is queried, or null where the query only renews a lease
      * @param renewsLease whether an answer renews the worker's lease
      */
     record Query(Request request, long sentAt, boolean renewsLease) {}
@@ -20,7 +23,7 @@
         this.context = context;
     }
 
-    /** Sends a query unless one is in flight; whether it did. */
+    /** Sends a query unless one is in flight. Returns whether it was sent. */
     boolean send(WorkerState worker, String function, Request request, boolean renewsLease) {
         Query query = new Query(request, context.now, renewsLease);
         if (inFlight.putIfAbsent(key(worker.id, function), query) != null) {
@@ -30,7 +33,7 @@
         return true;
     }
 
-    /** The query that was answered, or null: then the answer is that of a load order. */
+    /** Removes and returns the query that was answered, or null: then the answer is that of a load order. */
     Query takeAnswered(String workerId, String function) {
         return inFlight.remove(key(workerId, function));
     }
--- a/policy/src/main/java/wharfhinge/policy/LoadReporting.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadReporting.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** Where load reports come: with answers and probes, with probes alone, or nowhere. */
+/** Where load reports come from: responses and probe replies, probe replies alone, or nowhere. */
 public enum LoadReporting {
     PIGGYBACK,
     PULL,
--- a/policy/src/main/java/wharfhinge/policy/OnMissBehavior.java
+++ b/policy/src/main/java/wharfhinge/policy/OnMissBehavior.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What a worker does with a request whose function is not loaded: it loads it, or answers a miss. */
+/** What a worker does with a request whose function is not loaded: it loads the function, or responds with a miss. */
 public enum OnMissBehavior {
     LOAD,
     MISS
--- a/policy/src/main/java/wharfhinge/policy/Outcome.java
+++ b/policy/src/main/java/wharfhinge/policy/Outcome.java
@@ -11,6 +11,6 @@
     CANCELLED,
     SUPERSEDED,
     NOT_LOADED,
-    /** The worker's lease ended before a byte was written: it never ran. */
+    /** The worker's lease ended before the first byte was written: the attempt never ran. */
     LEASE_EXPIRED
 }
--- a/policy/src/main/java/wharfhinge/policy/PendingReplies.java
+++ b/policy/src/main/java/wharfhinge/policy/PendingReplies.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 
-/** Requests that wait for replies of workers, to probes or to residency queries, before their first send. */
+/** Requests that wait for workers' replies to probes, residency queries or lease renewals before they are sent. */
 final class PendingReplies {
     static final long TIMEOUT_NANOS = 40 * DispatcherContext.NANOS_PER_MILLI;
 
@@ -14,12 +14,12 @@
         this.context = context;
     }
 
-    /** Whether the request was not waiting yet. */
+    /** Adds the request. Returns whether it was not waiting yet. */
     boolean add(RequestState state) {
         return waiting.add(state);
     }
 
-    /** Whether the request was waiting. */
+    /** Removes the request. Returns whether it was waiting. */
     boolean remove(RequestState state) {
         return waiting.remove(state);
     }
@@ -28,7 +28,7 @@
         context.actions.scheduleTimer(TimerTokens.REPLY_TIMEOUT_PREFIX + state.request.id(), TIMEOUT_NANOS);
     }
 
-    /** Whether any request waits for a reply of the worker. */
+    /** Whether any request waits for a reply of the worker to a probe or residency query. */
     boolean isAwaited(WorkerState worker) {
         return waiting.stream().anyMatch(state -> state.awaitedWorkers.contains(worker));
     }
--- a/policy/src/main/java/wharfhinge/policy/PreferredWorkers.java
+++ b/policy/src/main/java/wharfhinge/policy/PreferredWorkers.java
@@ -8,17 +8,17 @@
 import java.util.function.Predicate;
 
 /**
- * Each function's order of preferred workers, by rendezvous hashing in proportion to the listed capacities.
+ * Orders the workers by each function's preference, using rendezvous hashing weighted by the listed capacities.
  *
  * <p>Departure from the source design: it acts where no worker is believed to have the function. Dispatchers that share
- * nothing, and one that was restarted, derive the same order from the endpoint list alone and so meet at the same
+ * no state, and one that was restarted, derive the same order from the endpoint list alone and so select the same
  * workers; without it each would load its own copy. It may hurt where a preferred worker has little memory.
  *
- * <p>To sort a fleet is expensive, so the head of each order is kept until the endpoint list changes.
+ * <p>Sorting the fleet is expensive, so the head of each order is cached until the endpoint list changes.
  */
 final class PreferredWorkers {
     private static final WorkerState[] NONE = {};
-    private static final int UNUSED_BITS = 11; // of 64, so that 53 are left, which a double holds exactly
+    private static final int UNUSED_BITS = 11; // of 64: the remaining 53 fit into a double exactly
     private static final double HASH_RANGE = 1L << 53;
 
     private final WorkerRegistry registry;
@@ -36,22 +36,22 @@
         return mixed ^ (mixed >>> 31);
     }
 
-    /** A value between 0 and 1 that is fixed for a worker and a function. */
+    /** A pseudo-random value between 0 and 1 that is fixed for a worker and a function. */
     static double uniform(WorkerState worker, long functionHash) {
         return ((mix(worker.hash ^ functionHash) >>> UNUSED_BITS) + 0.5) / HASH_RANGE;
     }
 
-    /** Preference of a function for a worker: the least score is preferred most. */
+    /** Score of a worker for a function: the worker with the least score is preferred most. */
     private static double score(WorkerState worker, long functionHash) {
         return -Math.log(uniform(worker, functionHash)) / worker.capacity();
     }
 
-    /** The endpoint list changed. */
+    /** Discards the cached orders, since the endpoint list changed. */
     void invalidate() {
         headByFunction.clear();
     }
 
-    /** Keeps only what is known of these functions. */
+    /** Discards the cached orders of all functions but these. */
     void retain(Set<String> functions) {
         headByFunction.keySet().retainAll(functions);
     }
@@ -66,7 +66,7 @@
         WorkerState first = null;
         double least = Double.POSITIVE_INFINITY;
         for (WorkerState worker : registry.active()) {
-            // -log(u) >= 1 - u: most workers are known to score worse without the logarithm
+            // -log(u) >= 1 - u shows for most workers, without a logarithm, that their score is not lower
             boolean worse = 1 - uniform(worker, functionHash) >= least * worker.capacity();
             double score = worse ? least : score(worker, functionHash);
             if (score < least && qualifies.test(worker)) {
@@ -77,7 +77,10 @@
         return first;
     }
 
-    /** At least {@code count} workers, as far as there are, the most preferred first. The array must not be changed. */
+    /**
+     * The most preferred workers in order: at least {@code count}, or all if there are fewer. The array must not be
+     * changed.
+     */
     WorkerState[] head(String function, long functionHash, int count) {
         WorkerState[] head = headByFunction.get(function);
         if (head == null || head.length < Math.min(count, registry.active().size())) {
--- a/policy/src/main/java/wharfhinge/policy/PriorityUnit.java
+++ b/policy/src/main/java/wharfhinge/policy/PriorityUnit.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** Unit by which a request's priority weight counts: each request, or its work. */
+/** What a request's priority weight multiplies: each request as one, or its work. */
 public enum PriorityUnit {
     REQUEST,
     WORK
--- a/policy/src/main/java/wharfhinge/policy/ProtectionRules.java
+++ b/policy/src/main/java/wharfhinge/policy/ProtectionRules.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** Figures of the rules that protect workers: endpoint polling, slow start, overload, draining, answers. */
+/** Parameters of the rules that protect workers: endpoint polling, slow start, overload, draining, time for answers. */
 public record ProtectionRules(
         long pollWithinNanos,
         double slowStartFrom,
--- a/policy/src/main/java/wharfhinge/policy/Request.java
+++ b/policy/src/main/java/wharfhinge/policy/Request.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** A client's request; absent figures are 0, an absent tenant is null. */
+/** A client's request; absent numbers are 0, an absent tenant is null. */
 public record Request(
         String id,
         String tenant,
--- a/policy/src/main/java/wharfhinge/policy/RequestClass.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestClass.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** A class of requests. */
+/** A class of requests, with the properties that its requests have in common. */
 public record RequestClass(
         String name,
         Effect effect,
--- a/policy/src/main/java/wharfhinge/policy/RetryBudget.java
+++ b/policy/src/main/java/wharfhinge/policy/RetryBudget.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** Token bucket that keeps retries and hedged requests to a share of this dispatcher's requests. */
+/** Token bucket that limits retries and hedged requests to a share of this dispatcher's requests. */
 final class RetryBudget {
     private static final double TOKENS_PER_REQUEST = 0.25;
     private static final double CAPACITY = 20;
--- a/policy/src/main/java/wharfhinge/policy/WeightReporting.java
+++ b/policy/src/main/java/wharfhinge/policy/WeightReporting.java
@@ -1,6 +1,9 @@
 package wharfhinge.policy;
 
-/** What {@link Endpoint#weight} holds: always 1, capacity, rough capacity, or capacity less the present load. */
+/**
+ * What {@link Endpoint#weight} contains: always 1, the capacity, the approximate capacity, or the capacity less the
+ * present load.
+ */
 public enum WeightReporting {
     SILENT,
     NOMINAL,
--- a/policy/src/main/java/wharfhinge/policy/WorkerRegistry.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerRegistry.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The workers of the endpoint list: which are up, and which of those need a closer look before a send. */
+/** The workers of the endpoint list: which of them are up, and which of those need further checks before a send. */
 final class WorkerRegistry {
     private final DispatcherContext context;
     private final double initialConcurrencyLimit;
@@ -36,7 +36,7 @@
         return byId.values();
     }
 
-    /** The workers that were up when {@link #refreshActive} last looked, in the order of the list. */
+    /** The workers that were up at the last {@link #refreshActive}, in the order of the list. */
     List<WorkerState> active() {
         return active;
     }
@@ -58,7 +58,10 @@
         return worker.isWarmingUp(context.now, slowStartNanos);
     }
 
-    /** Takes one entry of an endpoint list; a worker that restarted is a new incarnation: empty, and not judged yet. */
+    /**
+     * Applies one entry of an endpoint list. A worker that restarted is a new incarnation, without cached functions and
+     * without a record of failures.
+     */
     WorkerState update(Endpoint endpoint) {
         WorkerState previous = byId.get(endpoint.id());
         boolean restarted =
@@ -81,10 +84,10 @@
                 context.now,
                 initialConcurrencyLimit,
                 context.settings.classes().get(0).latencyObjectiveNanos(),
-                context.random.nextDouble()); // so that many dispatchers don't reach their first token together
+                context.random.nextDouble()); // so that dispatchers reach their first token at different times
     }
 
-    /** The worker is draining, was removed, or was replaced by a new incarnation. */
+    /** Marks a worker as down: it is draining, was removed, or was replaced by a new incarnation. */
     void markDown(WorkerState worker) {
         worker.up = false;
         onEndpointsChanged();
@@ -95,7 +98,7 @@
         endpointsChanged = true;
     }
 
-    /** Counts the workers that are up, once a whole update has been taken. */
+    /** Recalculates the number and capacity of the workers that are up, after a whole update has been applied. */
     void recount() {
         upCount = (int) byId.values().stream().filter(worker -> worker.up).count();
         upCapacity = byId.values().stream()
@@ -104,14 +107,17 @@
                 .sum();
     }
 
-    /** A worker was ejected or restored: {@link #restricted} must be worked out again. */
+    /**
+     * Makes the next {@link #refreshActive} recalculate the lists, since a worker was ejected, restored or suspected of
+     * a restart.
+     */
     void invalidateActive() {
         activeValidUntil = 0;
     }
 
     /**
-     * Works out {@link #active} and {@link #restricted} again if a worker came, left, was ejected or restored, or has
-     * warmed up since. Whether the endpoint list changed since this last said so.
+     * Recalculates {@link #active} and {@link #restricted} if a worker was added, removed, ejected or restored, or has
+     * warmed up since. Returns whether the endpoint list changed since the last recalculation.
      */
     boolean refreshActive() {
         if (context.now < activeValidUntil) {
@@ -141,12 +147,12 @@
         }
     }
 
-    /** Forgets workers that are down once nothing is in flight there. */
+    /** Removes workers that are down once they have no request in flight and no cached function. */
     void removeDeparted() {
         byId.values().removeIf(worker -> !worker.up && worker.inFlight == 0 && worker.cachedFunctions.isEmpty());
     }
 
-    /** Workers that a full endpoint list no longer names. */
+    /** The workers that a full endpoint list no longer contains. */
     List<WorkerState> missingFrom(Set<String> listedIds) {
         List<WorkerState> missing = new ArrayList<>();
         for (WorkerState worker : byId.values()) {
--- a/policy/src/main/java/wharfhinge/policy/WorkerSnapshot.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerSnapshot.java
@@ -1,11 +1,13 @@
 package wharfhinge.policy;
 
 /**
- * What a dispatcher believes of one worker for one function, to explain its decisions.
+ * A dispatcher's view of one worker for one function, used to explain its decisions.
  *
- * @param loaded   the function is believed to be loaded; {@code loading}: its load was ordered
- * @param belowLimit it is not saturated
- * @param reportedLoad       reported requests in flight of all dispatchers for each unit of capacity, faded with age
+ * @param loaded       whether the function is believed to be loaded
+ * @param loading      whether a load of the function was ordered
+ * @param belowLimit   whether the worker is below its limits, that is not saturated
+ * @param inFlight     requests of this dispatcher in flight on the worker
+ * @param reportedLoad reported requests in flight of all dispatchers per unit of capacity, decayed with age
  */
 public record WorkerSnapshot(
         String worker,
