--- a/policy/src/main/java/wharfhinge/policy/AdmissionController.java
+++ b/policy/src/main/java/wharfhinge/policy/AdmissionController.java
@@ -1,33 +1,34 @@
 package wharfhinge.policy;
 
 /**
- * Sheds load when the fleet is saturated: by the share of own answers that show it, and where even the least busy
- * worker is too full. A fault that makes most answers late without load is shed too; that hurts.
+ * Sheds load when the fleet is saturated: new requests with a probability that grows with the share of recent attempts
+ * that were rejected, timed out or were answered late, and any request for which every eligible worker is far above its
+ * limit. Acts too, and then hurts, where a fault without load makes most responses late.
  */
 final class AdmissionController {
-    /** Multiple of a worker's limit up to which a request is still sent there. */
-    private static final double REJECT_ABOVE_LIMIT = 1.25;
+    /** Multiple of a worker's concurrency limit up to which requests are still sent to it. */
+    private static final double REJECT_LIMIT_MULTIPLE = 1.25;
 
     private static final long WINDOW_NANOS = 4000 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Good answers that are assumed beside those seen. Tried: 2 and 0.5 are worse. */
-    private static final double PRIOR_GOOD_ANSWERS = 1;
+    /** Timely responses added to the counted ones, so that a few late responses alone do not cause shedding. */
+    private static final double PRIOR_GOOD_RESPONSES = 1;
 
-    /** Share of saturated answers that is tolerated. */
+    /** Share of attempts that show saturation which is tolerated without shedding. */
     private static final double TOLERATED_SHARE = 0.25;
 
-    /** Probability of shedding for each unit of the share above the tolerated one. */
+    /** Increase of the shedding probability per unit of the share above the tolerated one. */
     private static final double SHED_SLOPE = 1.5;
 
-    /** Part of the latency objective that a rejected client is advised to wait. */
+    /** Share of the latency objective that a rejected client is advised to wait. */
     private static final double RETRY_AFTER_SHARE = 0.1;
 
     private final DispatcherContext context;
     private final WorkerRegistry registry;
     private final EligibilityFilter eligibility;
     private final ConcurrencyLimiter limiter;
-    private final DecayingCounter answers = new DecayingCounter(WINDOW_NANOS);
-    private final DecayingCounter saturatedAnswers = new DecayingCounter(WINDOW_NANOS);
+    private final DecayingCounter responses = new DecayingCounter(WINDOW_NANOS);
+    private final DecayingCounter saturatedResponses = new DecayingCounter(WINDOW_NANOS);
 
     AdmissionController(
             DispatcherContext context,
@@ -40,42 +41,46 @@
         this.limiter = limiter;
     }
 
-    /** Whether to shed a new request; draws one random number. */
+    /** Whether to shed a new request. Draws one random number. */
     boolean shouldShed() {
         return context.random.nextDouble() < SHED_SLOPE * (saturatedShare() - TOLERATED_SHARE);
     }
 
-    /** Whether more answers than are tolerated showed saturation recently. */
-    boolean isUnderPressure() {
+    /** Whether the recent share of attempts that show saturation is above the tolerated share. */
+    boolean isOverloaded() {
         return saturatedShare() > TOLERATED_SHARE;
     }
 
     private double saturatedShare() {
-        return saturatedAnswers.valueAt(context.now) / (answers.valueAt(context.now) + PRIOR_GOOD_ANSWERS);
+        return saturatedResponses.valueAt(context.now) / (responses.valueAt(context.now) + PRIOR_GOOD_RESPONSES);
     }
 
-    /** Whether every eligible worker is so full that the answer would come too late. */
+    /** Whether no eligible worker is below the limit for rejection, so that any response would come too late. */
     boolean isFleetSaturated() {
-        return registry.active().stream().noneMatch(worker -> eligibility.isEligible(worker) && hasRoom(worker));
+        return registry.active().stream()
+                .noneMatch(worker -> eligibility.isEligible(worker) && isBelowRejectLimit(worker));
     }
 
-    /** Whether the worker is full at most up to the tolerated multiple of its limit. */
-    boolean hasRoom(WorkerState worker) {
-        return limiter.isBelowLimit(worker, REJECT_ABOVE_LIMIT);
+    /** Whether the worker is below {@link #REJECT_LIMIT_MULTIPLE} times its limits. */
+    boolean isBelowRejectLimit(WorkerState worker) {
+        return limiter.isBelowLimit(worker, REJECT_LIMIT_MULTIPLE);
     }
 
-    /** Counts an answer, and whether it showed saturation; a late load shows no queue at the worker. */
+    /**
+     * Counts an attempt and whether it showed saturation. A served attempt that may have loaded its function is
+     * ignored, since a long load time does not indicate a queue on the worker.
+     */
     void onAttemptCompleted(Attempt attempt, AttemptCompletion completion) {
-        boolean full = completion.outcome() == Outcome.TIMEOUT || completion.outcome() == Outcome.SATURATED;
-        boolean answered = completion.outcome() == Outcome.SERVED && !attempt.mayLoad();
-        if (!attempt.worker().ejected && (full || answered)) {
+        boolean saturated = completion.outcome() == Outcome.TIMEOUT || completion.outcome() == Outcome.SATURATED;
+        boolean servedWithoutLoad = completion.outcome() == Outcome.SERVED && !attempt.mayLoad();
+        if (!attempt.worker().ejected && (saturated || servedWithoutLoad)) {
             boolean late = completion.tookNanos() > attempt.state().latencyObjectiveNanos;
-            answers.add(1, context.now);
-            saturatedAnswers.add(full || late ? 1 : 0, context.now);
+            responses.add(1, context.now);
+            saturatedResponses.add(saturated || late ? 1 : 0, context.now);
         }
     }
 
-    /** Advice for a rejected client, nanoseconds; 0 where the site passes none on. */
+    /** Retry-After for a rejected client in nanoseconds; 0 where the settings do not allow one. */
     long retryAfterNanos(RequestState state) {
         DispatchLimits limits = context.settings.limits();
         long max = limits.retryAfter() ? limits.maxRetryAfterNanos() : 0;
--- a/policy/src/main/java/wharfhinge/policy/AttemptCompletionHandler.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptCompletionHandler.java
@@ -1,6 +1,9 @@
 package wharfhinge.policy;
 
-/** Learns from how an attempt ended, and then ends its request, sends it again, or lets it wait for a load. */
+/**
+ * Passes the outcome of an attempt to the classes that keep state about it, then ends the request, sends it again, or
+ * lets it wait for a load.
+ */
 final class AttemptCompletionHandler {
     private final DispatcherContext context;
     private final EndpointLeases leases;
@@ -51,7 +54,7 @@
         }
     }
 
-    /** Learns from an attempt whether its function is loaded on the worker. */
+    /** Updates the cache entry of the attempt's function on its worker. */
     private void updateCache(Attempt attempt, AttemptCompletion completion) {
         CachedFunction cached =
                 attempt.worker().cachedFunctions.get(attempt.state().function());
@@ -59,7 +62,7 @@
             return;
         }
         cached.inFlight = Math.max(0, cached.inFlight - 1);
-        if (completion.cacheStatus() == CacheStatus.LOAD_FAILED || provesNoCopy(completion.outcome())) {
+        if (completion.cacheStatus() == CacheStatus.LOAD_FAILED || invalidatesCopy(completion.outcome())) {
             router.drop(cached);
         } else if (completion.outcome() == Outcome.SERVED) {
             cached.loading = cached.loadOrdered;
@@ -73,26 +76,27 @@
     }
 
     /**
-     * Whether the end of an attempt leaves no copy known, so that the next send counts as a load.
+     * Whether the outcome invalidates the cache entry, so that the next send counts as a load.
      *
-     * <p>Departure from the source design: a broken connection tells nothing of copies or of the store, so what is
-     * believed stays. It acts on connections refused or reset, and guards against networks that reset, where all copies
-     * would be taken for lost. It may hurt where a worker restarts before the endpoint list says so: one more load.
+     * <p>Departure from the source design: a connection failure says nothing about copies or the package store, so the
+     * cache entry is kept. It acts on connections refused or reset, and guards against networks that reset connections,
+     * where all copies would be considered lost. It may hurt where a worker restarts before the endpoint list says so:
+     * one more load.
      */
-    private boolean provesNoCopy(Outcome outcome) {
+    private boolean invalidatesCopy(Outcome outcome) {
         return !context.loadsOnlyByOrder
                 && outcome != Outcome.SERVED
                 && outcome != Outcome.ERROR
                 && outcome != Outcome.SATURATED
-                && !AttemptTracker.tellsNothingOfCopies(outcome);
+                && !AttemptTracker.isConnectionFailure(outcome);
     }
 
-    /** Whether a copy may stay on the worker, or be loaded there again, given the worker's memory. */
+    /** Whether the worker's memory allows a copy to stay there, or to be loaded there again. */
     private boolean mayKeepCopy(WorkerState worker, String function) {
         return assignment.hasMemoryFor(worker, 0) || assignment.belongsOn(worker, function);
     }
 
-    /** Lets a request whose attempt failed wait for a load, sends it again, or gives it up. */
+    /** After a failed attempt, lets the request wait for a load, sends it again, or ends it. */
     private void retry(Attempt attempt, AttemptCompletion completion) {
         RequestState state = attempt.state();
         WorkerState worker = attempt.worker();
@@ -119,7 +123,7 @@
         }
     }
 
-    /** Whether another worker has the function and room: a load takes longer than a send there. */
+    /** Whether another worker has the function loaded and is below its limit: a send there is faster than a load. */
     private boolean hasOtherCopy(String function, WorkerState worker) {
         return cache.workersWith(function).stream()
                 .anyMatch(
--- a/policy/src/main/java/wharfhinge/policy/AttemptTracker.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptTracker.java
@@ -1,12 +1,14 @@
 package wharfhinge.policy;
 
-/** Sends attempts, counts them, and decides how long each may take and whether it may be hedged. */
+/** Sends attempts, counts those in flight, and decides when they are overdue and whether they may be hedged. */
 final class AttemptTracker {
-    /** Part of the latency objective that an attempt may take: leaves as much for another. */
-    private static final double PATIENCE_OBJECTIVE_SHARE = 0.5;
+    /** Share of the latency objective after which an attempt is overdue; leaves as much time for another attempt. */
+    private static final double OVERDUE_OBJECTIVE_SHARE = 0.5;
 
-    private static final double PATIENCE_SERVICE_TIMES = 4;
-    private static final double PATIENCE_LOAD_TIMES = 2;
+    /** Multiple of the estimated service time before which an attempt is not overdue. */
+    private static final double OVERDUE_SERVICE_TIMES = 4;
+    /** Multiple of the load time that is allowed in addition where the worker may load the function. */
+    private static final double OVERDUE_LOAD_TIMES = 2;
 
     private final DispatcherContext context;
     private final FunctionCacheIndex cache;
@@ -33,17 +35,20 @@
         this.retryBudget = retryBudget;
     }
 
-    /** Whether the connection was lost, refused or not used, which tells nothing of the function's copies or the store. */
-    static boolean tellsNothingOfCopies(Outcome outcome) {
+    /**
+     * Whether the connection was lost, refused or not used, so that the outcome says nothing about the function's
+     * copies or the package store.
+     */
+    static boolean isConnectionFailure(Outcome outcome) {
         return outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.LEASE_EXPIRED;
     }
 
-    /** Sends the request to the worker and schedules the end of the attempt's patience. */
+    /** Sends the request to the worker and schedules the timer after which the attempt is overdue. */
     void send(RequestState state, WorkerState worker) {
         CachedFunction cached = cache.recordUse(worker, state.request);
         boolean mayLoad = cached.loading && cached.inFlight == 0 && !context.loadsOnlyByOrder;
-        Attempt attempt =
-                new Attempt(state, worker, state.attempts.size(), context.now, patienceNanos(state, cached), mayLoad);
+        Attempt attempt = new Attempt(
+                state, worker, state.attempts.size(), context.now, overdueAfterNanos(state, cached), mayLoad);
         cached.inFlight++;
         worker.inFlight++;
         worker.sendIntervalNanos = worker.lastSentAt == 0 ? 0 : context.now - worker.lastSentAt;
@@ -55,21 +60,21 @@
         state.inFlight++;
         loads.onSend(attempt);
         context.actions.sendAttempt(state.request.id(), worker.id, 0);
-        context.actions.scheduleTimer(TimerTokens.patience(attempt), attempt.patienceNanos());
+        context.actions.scheduleTimer(TimerTokens.overdue(attempt), attempt.overdueAfterNanos());
     }
 
-    private long patienceNanos(RequestState state, CachedFunction cached) {
-        double serviceNanos = PATIENCE_SERVICE_TIMES * state.serviceTime.estimateNanos(state.request);
-        double loadNanos = cached.loading && !context.loadsOnlyByOrder ? PATIENCE_LOAD_TIMES * cached.loadNanos : 0;
-        return (long) (Math.max(PATIENCE_OBJECTIVE_SHARE * state.latencyObjectiveNanos, serviceNanos) + loadNanos);
+    private long overdueAfterNanos(RequestState state, CachedFunction cached) {
+        double serviceNanos = OVERDUE_SERVICE_TIMES * state.serviceTime.estimateNanos(state.request);
+        double loadNanos = cached.loading && !context.loadsOnlyByOrder ? OVERDUE_LOAD_TIMES * cached.loadNanos : 0;
+        return (long) (Math.max(OVERDUE_OBJECTIVE_SHARE * state.latencyObjectiveNanos, serviceNanos) + loadNanos);
     }
 
-    /** The attempt that a completion belongs to, or null. */
+    /** The attempt with the given index, or null if the request or the attempt is unknown. */
     static Attempt find(RequestState state, int index) {
         return state == null || index >= state.attempts.size() ? null : state.attempts.get(index);
     }
 
-    /** An attempt ended: counts it and lets the collaborators that concern loads and repeats learn from it. */
+    /** Counts the end of an attempt and updates load scheduling and the request's possibly executed attempts. */
     void onCompleted(Attempt attempt, AttemptCompletion completion) {
         attempt.worker().inFlight--;
         attempt.state().inFlight--;
@@ -77,14 +82,17 @@
         idempotency.onAttemptCompleted(attempt, completion.outcome());
     }
 
-    /** Whether the end of the attempt's patience tells nothing any more. */
+    /** Whether the overdue timer can be ignored: the request has ended, or the attempt is known not to have run. */
     boolean isSettled(Attempt attempt) {
         RequestState state = attempt.state();
         return state.finished && state.inFlight == 0 || !state.possiblyExecuted.contains(attempt);
     }
 
-    /** Whether an attempt past its patience should be hedged or cancelled: the latest one, and its worker may hang. */
-    boolean mayReplace(Attempt attempt) {
+    /**
+     * Whether an overdue attempt should be hedged or cancelled: it is the latest of its request, another one is
+     * allowed, and its worker is unresponsive or ejected.
+     */
+    boolean mayHedgeOrCancel(Attempt attempt) {
         RequestState state = attempt.state();
         return !state.finished
                 && !state.streaming
@@ -92,10 +100,10 @@
                 && mayAttemptAgain(state)
                 && state.requestClass.effect() != Effect.AT_MOST_ONCE
                 && attempt.index() == state.attempts.size() - 1
-                && (OutlierDetector.isSilent(attempt) || attempt.worker().ejected);
+                && (OutlierDetector.isUnresponsive(attempt) || attempt.worker().ejected);
     }
 
-    /** Whether the request has had fewer attempts than are allowed. */
+    /** Whether the request has had fewer attempts than the settings allow. */
     boolean mayAttemptAgain(RequestState state) {
         return state.attempts.size() < context.settings.limits().maxAttempts();
     }
--- a/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
@@ -7,17 +7,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Dispatches requests for functions to the workers that are believed to have them loaded. This class takes the events,
- * in the order in which a request meets them, and hands each to the collaborator that owns the state for it; {@link
- * RequestRouter} is the way of a request. The package description has an overview.
+ * Dispatches requests for functions to the workers that are believed to have them loaded. This class receives the
+ * events and passes each to the class that owns the state it concerns; {@link RequestRouter} routes the requests. The
+ * package description gives an overview.
  *
- * <p>Used by one thread at a time. It needs nothing but its events: no clock, no I/O, no threads; the same events and
- * seed give the same actions.
+ * <p>Used by one thread at a time. It has no clock, I/O or threads of its own; the same events and seed give the same
+ * actions.
  */
 public final class CacheAwareDispatcher implements Dispatcher {
     private static final long EXPIRY_INTERVAL_NANOS = 500 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Ticks before the client's deadline at which a request gets its final answer. */
+    /** Ticks before the client's deadline at which a request without a response is ended. */
     private static final int DEADLINE_MARGIN_TICKS = 2;
 
     private final DispatcherContext context;
@@ -42,14 +42,14 @@
     private final RequestQueue queue;
     private final RequestRouter router;
     private final AttemptCompletionHandler completionHandler;
-    private final AttemptPatienceHandler patienceHandler;
+    private final OverdueAttemptHandler overdueAttemptHandler;
     private final LoadCompletionHandler loadCompletionHandler;
 
     /**
-     * Makes a dispatcher that knows nothing yet.
+     * Creates a dispatcher that knows no workers yet.
      *
-     * @param now  the time of the caller's clock, nanoseconds
-     * @param seed seed of all random draws
+     * @param now  current time of the caller's clock, nanoseconds
+     * @param seed seed of the random source
      */
     public CacheAwareDispatcher(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
         requireComplete(settings);
@@ -73,7 +73,7 @@
         queue = components.queue;
         router = new RequestRouter(components);
         completionHandler = new AttemptCompletionHandler(components, router);
-        patienceHandler = new AttemptPatienceHandler(components, router);
+        overdueAttemptHandler = new OverdueAttemptHandler(components, router);
         loadCompletionHandler = new LoadCompletionHandler(components, router);
         start();
     }
@@ -85,7 +85,8 @@
                 || settings.functionLoading() == null
                 || settings.limits() == null
                 || settings.protectionRules() == null) {
-            throw new IllegalArgumentException("classes, family_info, limits and obligations are needed");
+            throw new IllegalArgumentException("incomplete settings: classes, functionLoading (family_info), limits and"
+                    + " protectionRules (obligations) are required");
         }
     }
 
@@ -100,7 +101,7 @@
         actions.scheduleTimer(TimerTokens.EXPIRY, EXPIRY_INTERVAL_NANOS);
     }
 
-    // ---- A request arrives ----
+    // ---- Arrival of a request ----
 
     @Override
     public void onRequest(long now, Request request) {
@@ -126,7 +127,7 @@
         return new RequestState(request, requestClass, serviceTime, context.now, trafficShare);
     }
 
-    // ---- Replies that a request waits for before its first send ----
+    // ---- Probe replies ----
 
     @Override
     public void onProbeCompleted(
@@ -144,7 +145,7 @@
         }
     }
 
-    // ---- An attempt ends ----
+    // ---- Progress and end of an attempt ----
 
     @Override
     public void onStreamStarted(long now, String requestId, int attemptIndex, String workerId) {
@@ -165,7 +166,7 @@
         }
     }
 
-    // ---- A request ends ----
+    // ---- Cancellation ----
 
     @Override
     public void onClientCancelled(long now, String requestId) {
@@ -199,7 +200,7 @@
         if (token.startsWith(TimerTokens.REPLY_TIMEOUT_PREFIX)) {
             router.endWaitForReplies(state);
         } else if (!token.startsWith(TimerTokens.DEADLINE_PREFIX)) {
-            patienceHandler.onElapsed(state, TimerTokens.attemptIndex(token));
+            overdueAttemptHandler.onOverdueTimer(state, TimerTokens.attemptIndex(token));
         } else if (!state.finished && !state.streaming) {
             router.rejectOrFail(state);
         }
@@ -211,7 +212,7 @@
         queue.scheduleMaintenance();
     }
 
-    /** Forgets what has been idle, and load orders that are not answered. */
+    /** Removes state that has been idle for too long, and load orders that got no answer in time. */
     private void expire() {
         actions.scheduleTimer(TimerTokens.EXPIRY, EXPIRY_INTERVAL_NANOS);
         for (WorkerState worker : List.copyOf(registry.all())) {
@@ -225,12 +226,12 @@
             }
         }
         registry.removeDeparted();
-        loads.forgetOldTimes();
+        loads.removeOldTimes();
         cache.removeEmptyEntries();
         assignment.expire();
     }
 
-    // ---- Endpoints ----
+    // ---- Endpoint list and workers ----
 
     @Override
     public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> endpoints) {
@@ -284,7 +285,7 @@
         }
     }
 
-    /** The worker gets no more requests, and nothing that was believed to be loaded there counts. */
+    /** Marks the worker as down, so that it gets no more requests, and drops its cache entries. */
     private void remove(WorkerState worker) {
         registry.markDown(worker);
         preferred.invalidate();
@@ -319,10 +320,11 @@
     }
 
     /**
-     * Orders the load for a request that will come.
+     * Orders a load for a request that is expected soon.
      *
-     * <p>Departure from the source design: it acts where orders are allowed and no copy is loaded, loading or ordered.
-     * It guards against a load inside a deadline; it may hurt where the request doesn't come: a load for nothing.
+     * <p>Departure from the source design: it acts where load orders are allowed and no copy is loaded, loading or
+     * ordered. It guards against a load within the request's deadline. It may hurt where the request does not come: the
+     * load is wasted.
      */
     @Override
     public void onRequestExpected(long now, Request request) {
--- a/policy/src/main/java/wharfhinge/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/wharfhinge/policy/ConcurrencyLimiter.java
@@ -1,36 +1,47 @@
 package wharfhinge.policy;
 
 /**
- * Limits this dispatcher's requests in flight on each worker. The limit follows the latency of answers against the
- * class's objective: quick answers raise it step by step, late answers and rejections cut it. Below one it paces sends.
+ * Limits this dispatcher's requests in flight on each worker. The limit follows the latency of responses relative to
+ * the class's latency objective: fast responses increase it in steps, late responses and rejections decrease it. A
+ * limit below one sets a minimum interval between sends.
  *
- * <p>The source design has a fixed limit and names its tuning as future work. It may hurt where functions are slow by
- * nature, which makes their worker look full.
+ * <p>Departure from the source design, which has a fixed limit and names its tuning as future work: it acts on each
+ * response and rejection, and guards against limits that are too high for a slow worker or too low for a fast one. It
+ * may hurt where functions are slow by nature, which makes their worker look saturated.
  */
 final class ConcurrencyLimiter {
     private static final double INITIAL_LIMIT = 8;
 
-    /** Many dispatchers on one worker: for each of them one request at a time may be too many. */
+    /** Far below one, since where many dispatchers share a worker even one request of each may be too many. */
     private static final double MIN_LIMIT = 0.03;
 
     private static final double INCREASE = 0.1;
     private static final double DECREASE_FACTOR = 0.85;
 
-    /** Below a limit of one, where answers are rare: factor of a cut, and inverted of a raise. */
+    /**
+     * Factor by which a limit of at most one is decreased, and by whose inverse a limit below the factor is increased:
+     * responses are rare there.
+     */
     private static final double SMALL_LIMIT_FACTOR = 0.5;
 
-    /** Smoothed latency over its objective from which the limit is cut: the next answers would be late. */
-    private static final double CUT_ABOVE = 0.7;
+    /**
+     * Smoothed ratio of latency to objective above which the limit is decreased, since the next responses would be
+     * late.
+     */
+    private static final double DECREASE_ABOVE = 0.7;
 
-    /** Smoothed latency over its objective below which the limit is raised. */
-    private static final double RAISE_BELOW = 0.45;
+    /** Smoothed ratio of latency to objective below which the limit is increased. */
+    private static final double INCREASE_BELOW = 0.45;
 
+    /** Least weight of a sample in the smoothed latency. */
     private static final double LATENCY_SMOOTHING = 0.1;
 
-    /** Where answers are rarer than this window holds samples for, each new one weighs more. */
+    /** Time constant by which a sample weighs more the longer ago the previous one was. */
     private static final long LATENCY_WINDOW_NANOS = 4000 * DispatcherContext.NANOS_PER_MILLI;
 
+    /** Weight of a sample in the mean of all workers. */
     private static final double MEAN_SMOOTHING = 0.02;
+
     private static final double INITIAL_MEAN = 0.5;
 
     private final DispatcherContext context;
@@ -47,8 +58,9 @@
     }
 
     /**
-     * Whether the worker may get a request: by own requests in flight, below a limit of one by the time since the last
-     * send, and by the load that it reports.
+     * Whether the worker may get another request: this dispatcher's requests in flight are below the limit, or, with a
+     * limit below one, enough time has passed since the last send; and the load that the worker reports is below
+     * saturation.
      *
      * @param tolerance multiple of the limits that is still accepted
      */
@@ -60,14 +72,14 @@
                 && loadReports.isBelowSaturation(worker, tolerance);
     }
 
-    /** Whether the worker answered slower than the mean of all workers recently. */
+    /** Whether the worker's recent responses were slower than the mean of all workers. */
     boolean isSlowerThanMean(WorkerState worker) {
         return context.now - worker.latencySampledAt < 2 * LATENCY_WINDOW_NANOS
                 && worker.latencyToObjective > meanLatencyToObjective;
     }
 
-    /** Learns from an answer of a loaded function. */
-    void onAnswer(WorkerState worker, RequestState state, long tookNanos) {
+    /** Updates the latency and the limit from a response of a loaded function. */
+    void onResponse(WorkerState worker, RequestState state, long tookNanos) {
         double latencyToObjective = tookNanos / (double) state.latencyObjectiveNanos;
         double weight = Math.max(
                 LATENCY_SMOOTHING,
@@ -76,41 +88,42 @@
         worker.latencyNanos += weight * (tookNanos - worker.latencyNanos);
         worker.latencyToObjective += weight * (latencyToObjective - worker.latencyToObjective);
         meanLatencyToObjective += MEAN_SMOOTHING * (latencyToObjective - meanLatencyToObjective);
-        if (worker.latencyToObjective > CUT_ABOVE
-                && context.now - worker.limitCutAt > worker.latencyToObjective * state.latencyObjectiveNanos) {
-            cut(worker);
-        } else if (worker.latencyToObjective < RAISE_BELOW
+        if (worker.latencyToObjective > DECREASE_ABOVE
+                && context.now - worker.limitDecreasedAt > worker.latencyToObjective * state.latencyObjectiveNanos) {
+            decreaseLimit(worker);
+        } else if (worker.latencyToObjective < INCREASE_BELOW
                 && (worker.concurrencyLimit <= 1 || worker.inFlight >= worker.concurrencyLimit / 2)) {
-            raise(worker);
+            increaseLimit(worker);
         }
     }
 
-    /** Learns from a rejection by a saturated worker. */
+    /** Decreases the limit after a rejection by the saturated worker. */
     void onSaturated(WorkerState worker) {
         worker.concurrencyLimit = Math.min(worker.concurrencyLimit, worker.inFlight + 1);
-        cut(worker);
+        decreaseLimit(worker);
     }
 
-    private static void raise(WorkerState worker) {
+    private static void increaseLimit(WorkerState worker) {
         worker.concurrencyLimit = worker.concurrencyLimit < SMALL_LIMIT_FACTOR
                 ? worker.concurrencyLimit / SMALL_LIMIT_FACTOR
                 : worker.concurrencyLimit + INCREASE;
     }
 
     /**
-     * Cuts the limit.
+     * Decreases the limit.
      *
-     * <p>Departure from the source design: below a limit of one, which a dispatcher among many reaches, a cut at least
-     * doubles this dispatcher's own interval between sends to the worker, so that one that sends seldom feels it too.
-     * It guards against many dispatchers that return too soon, and may hurt since one bad answer idles a good worker.
+     * <p>Departure from the source design: it acts on limits of at most one, which are reached where many dispatchers
+     * share a worker. A decrease then at least doubles this dispatcher's own interval between sends to the worker, so
+     * that it also slows down a dispatcher that sends seldom. It guards against many dispatchers that return too soon.
+     * It may hurt since one bad response leaves a good worker idle.
      */
-    private void cut(WorkerState worker) {
+    private void decreaseLimit(WorkerState worker) {
         double ownMeanInFlight = Math.max(
                 context.smallGroupFactor,
                 worker.latencyNanos / Math.max(worker.latencyNanos, worker.sendIntervalNanos));
         worker.concurrencyLimit = worker.concurrencyLimit > 1
                 ? worker.concurrencyLimit * DECREASE_FACTOR
                 : Math.max(MIN_LIMIT, SMALL_LIMIT_FACTOR * Math.min(worker.concurrencyLimit, ownMeanInFlight));
-        worker.limitCutAt = context.now;
+        worker.limitDecreasedAt = context.now;
     }
 }
--- a/policy/src/main/java/wharfhinge/policy/EligibilityFilter.java
+++ b/policy/src/main/java/wharfhinge/policy/EligibilityFilter.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The workers that may get the request being handled. Only the excluded ones are marked, with the number of the query,
- * so that a request costs nothing for the workers that are well.
+ * Selects the workers that may get the request being handled. Only the excluded workers are marked, with the generation
+ * of the selection, so that a request costs nothing for the other workers.
  */
 final class EligibilityFilter {
-    /** Ejected workers are left out while at least this share of the fleet remains. */
+    /** Ejected workers are excluded as long as at least this share of the fleet remains. */
     private static final double MIN_REMAINING_SHARE = 0.5;
 
     private final WorkerRegistry registry;
@@ -34,7 +34,7 @@
         this.outliers = outliers;
     }
 
-    /** Whether the worker may get the request given to {@link #select} last. */
+    /** Whether the worker may get the request that was last passed to {@link #select}. */
     boolean isEligible(WorkerState worker) {
         return worker.up && worker.excludedInGeneration != generation;
     }
@@ -50,7 +50,7 @@
         worker.excludedInGeneration = generation;
     }
 
-    /** Works out which workers may get this request now; whether there are any. */
+    /** Determines which workers may get the request now. Returns whether there are any. */
     boolean select(RequestState state) {
         assignment.refresh();
         generation++;
@@ -68,6 +68,7 @@
         return eligibleCount > 0;
     }
 
+    /** Excludes workers that have no lease and cannot get one. */
     private void excludeWithoutLease() {
         boolean anyValid = leases.isAnyValid();
         for (WorkerState worker : registry.active()) {
@@ -77,17 +78,18 @@
         }
     }
 
+    /** Excludes workers to which idempotency or slow start forbids to send the request. */
     private void excludeForbidden(RequestState state) {
         boolean firstSend = state.possiblyExecuted.isEmpty() && !state.finished;
-        List<WorkerState> questionable = firstSend ? registry.restricted() : registry.active();
-        for (WorkerState worker : questionable) {
+        List<WorkerState> workersToCheck = firstSend ? registry.restricted() : registry.active();
+        for (WorkerState worker : workersToCheck) {
             if (!idempotency.maySend(state, worker) || !slowStart.hasToken(worker)) {
                 exclude(worker);
             }
         }
     }
 
-    /** Leaves out ejected workers, unless too few would remain. */
+    /** Excludes ejected workers, unless too few workers would remain. */
     private void excludeEjected(RequestState state) {
         int ejected = 0;
         for (WorkerState worker : registry.restricted()) {
@@ -99,13 +101,13 @@
             return;
         }
         for (WorkerState worker : registry.restricted()) {
-            if (outliers.isShutOut(worker, state)) {
+            if (outliers.isBlocked(worker, state)) {
                 exclude(worker);
             }
         }
     }
 
-    /** Leaves out workers that were tried already, unless none would remain. */
+    /** Excludes workers that the request was already tried on, unless none would remain. */
     private void excludeTried(RequestState state) {
         int eligibleTried = 0;
         for (WorkerState worker : state.triedWorkers) {
--- a/policy/src/main/java/wharfhinge/policy/EndpointLeases.java
+++ b/policy/src/main/java/wharfhinge/policy/EndpointLeases.java
@@ -1,40 +1,46 @@
 package wharfhinge.policy;
 
 /**
- * Leases on what the endpoint list says: until when a worker that is listed as up may be sent new work.
+ * Leases of the workers in the endpoint list: until when a worker that is listed as up may be sent new work.
  *
- * <p>While the source of the list is heard, the list renews every lease. Once it isn't, workers may begin to drain
- * without this dispatcher being told, and the drain grace runs from then. So each worker then needs evidence of its own
- * that is younger than the grace: a request that it served, counted from when that was sent, or a query of loaded
- * copies that it answered over a connection opened for it. Workers that drain turn work away; of their listener and
- * their answers to queries one or the other shows the drain ({@code docs/incidents/2026-12-02.md}).
+ * <p>While the source of the list confirms it, each confirmation renews all leases. Without confirmations, workers may
+ * begin to drain without this dispatcher being told, and the drain grace period counts from then. Each worker then
+ * needs a renewal of its own that is younger than the grace period: a request that it served, counted from when that
+ * was sent, or a query of loaded copies that it answered over a connection opened for the query. A draining worker
+ * rejects work, and either its listener or its answers to queries show the drain ({@code
+ * docs/incidents/2026-12-02.md}).
  *
- * <p>Departure from the source design: it acts only where the source of the list tells when it is heard, and was not
- * heard for {@link #MAX_SILENCE_NANOS}, or has to be asked again. It guards against work sent to workers that drain or
- * are gone, and against sending a worker that restarted unseen the load of a warm one. It costs a query and a
- * connection for a send to a worker without fresh evidence. Where queries are not allowed, only workers that serve
- * requests all the time stay in use; it hurts where requests are rare.
+ * <p>Departure from the source design: it acts only where the source of the list reports whether the list is current,
+ * and either has not confirmed it for {@link #MAX_CONFIRMATION_AGE_NANOS} or has to be contacted again. It guards
+ * against work sent to workers that drain or are gone, and against sending a worker that restarted unnoticed the load
+ * of a warm one. It costs a query and a connection for a send to a worker whose lease was not renewed recently. Where
+ * queries are not allowed, only workers that serve requests all the time stay in use; it hurts where requests are rare.
  */
 final class EndpointLeases {
-    /** A source that is heard says something each second: two messages are missing. */
-    static final long MAX_SILENCE_NANOS = 2200 * DispatcherContext.NANOS_PER_MILLI;
+    /** Age at which a confirmation expires. A connected source sends one each second, so two are missing by then. */
+    static final long MAX_CONFIRMATION_AGE_NANOS = 2200 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Part of the drain grace for which evidence holds; the rest is for pauses between a check and its write. */
+    /**
+     * Share of the drain grace period for which a lease is valid; the rest allows for pauses between a check and its
+     * write.
+     */
     private static final double VALID_SHARE = 0.9;
 
-    /** Part of the drain grace after which evidence is renewed before a send. */
+    /** Share of the drain grace period after which a lease is renewed before a send. */
     private static final double RENEW_SHARE = 0.25;
 
-    /** How long a worker that turned work away is left alone at first; doubles up to the maximum. */
+    /**
+     * How long the first revocation of a worker's lease lasts; each further one lasts twice as long, up to the maximum.
+     */
     static final long FIRST_REVOCATION_NANOS = 500 * DispatcherContext.NANOS_PER_MILLI;
 
     private static final long MAX_REVOCATION_NANOS = 4000 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** A worker doesn't stop and start again within this time. */
+    /** Least time that a worker takes to stop and start again. */
     private static final long MIN_RESTART_NANOS = 1000 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** A worker that was never connected to counts as it is listed for this long after the list was current. */
-    private static final long MIN_RESTART_OF_STRANGER_NANOS = 5000 * DispatcherContext.NANOS_PER_MILLI;
+    /** How long after the list was last current a worker that was never connected to is not suspected of a restart. */
+    private static final long MIN_RESTART_NEVER_CONNECTED_NANOS = 5000 * DispatcherContext.NANOS_PER_MILLI;
 
     private final DispatcherContext context;
     private final WorkerRegistry registry;
@@ -43,14 +49,17 @@
     private final long validNanos;
     private final long renewAfterNanos;
 
-    /** Whether the source ever told whether it is heard; the list counts as current for ever where it doesn't. */
-    private boolean sourceTells;
+    /**
+     * Whether the source of the list has ever reported whether the list is current; if it never does, the list always
+     * counts as current.
+     */
+    private boolean freshnessReported;
 
     private boolean confirmed;
     private long confirmedAt;
     private long unconfirmedAt;
 
-    /** When the last revocation of all ends. */
+    /** When the last revocation of any worker's lease ends. */
     private long revocationsEndAt = WorkerState.NEVER;
 
     EndpointLeases(DispatcherContext context, WorkerRegistry registry, LoadQueries queries) {
@@ -63,22 +72,22 @@
         this.renewAfterNanos = (long) (RENEW_SHARE * graceNanos);
     }
 
-    // ---- What is heard ----
+    // ---- Events ----
 
-    /** The source of the list has told everything that there was up to {@code at}. */
+    /** The source of the list has reported all changes up to {@code at}. */
     void onConfirmed(long at) {
-        if (sourceTells && !isListCurrent()) {
+        if (freshnessReported && !isListCurrent()) {
             context.actions.logDiagnostic("endpoint list current again");
         }
-        sourceTells = true;
+        freshnessReported = true;
         confirmedAt = confirmed ? Math.max(confirmedAt, at) : at;
         confirmed = true;
     }
 
-    /** The source has to be asked again: what happens from now on may not be told. */
+    /** The source has to be contacted again: changes from now on may not be reported. */
     void onUnconfirmed() {
-        if (!sourceTells) {
-            // What the list at the start says was true when it was written, which is not known to be within the grace.
+        if (!freshnessReported) {
+            // The list read at the start may be older than the grace period: it gives no worker a lease.
             unconfirmedAt = context.now - validNanos;
             context.actions.logDiagnostic("endpoint list not confirmed yet");
         } else if (isListCurrent()) {
@@ -86,18 +95,18 @@
             context.actions.logDiagnostic("endpoint list may be stale");
         }
         if (confirmed) {
-            unconfirmedAt = Math.min(context.now, confirmedAt + MAX_SILENCE_NANOS);
+            unconfirmedAt = Math.min(context.now, confirmedAt + MAX_CONFIRMATION_AGE_NANOS);
         }
-        sourceTells = true;
+        freshnessReported = true;
         confirmed = false;
     }
 
-    /** The worker served a request, or answered a query that renews its lease; either was sent at {@code sentAt}. */
-    private void onEvidence(WorkerState worker, long sentAt) {
-        if (!sourceTells || sentAt <= worker.leaseRevokedAt) {
+    /** Renews the lease: the worker served a request or answered a renewal query that was sent at {@code sentAt}. */
+    private void renewLease(WorkerState worker, long sentAt) {
+        if (!freshnessReported || sentAt <= worker.leaseRevokedAt) {
             return;
         }
-        worker.leaseProvenAt = Math.max(worker.leaseProvenAt, sentAt);
+        worker.leaseRenewedAt = Math.max(worker.leaseRenewedAt, sentAt);
         if (!isListCurrent()) {
             detectRestart(worker);
         }
@@ -107,11 +116,13 @@
         worker.unobservedSince = WorkerState.OBSERVED;
     }
 
-    /** New work that was sent to the worker at {@code sentAt} ended; whether that revoked its lease. */
+    /**
+     * New work that was sent to the worker at {@code sentAt} ended. Returns whether that revoked the worker's lease.
+     */
     boolean onWorkEnded(WorkerState worker, Outcome outcome, long sentAt) {
         return switch (outcome) {
             case SERVED -> {
-                onEvidence(worker, sentAt);
+                renewLease(worker, sentAt);
                 yield false;
             }
             case SATURATED, CONNECT_FAILED, RESET -> revoke(worker, outcome);
@@ -119,9 +130,12 @@
         };
     }
 
-    /** The worker turned work away, refused a connection or did not answer, which ends its lease; whether it did. */
+    /**
+     * Revokes the lease of a worker that rejected work, refused a connection or did not answer. Returns false where the
+     * list is current, which leaves the lease valid.
+     */
     private boolean revoke(WorkerState worker, Outcome outcome) {
-        if (!sourceTells || isListCurrent()) {
+        if (!freshnessReported || isListCurrent()) {
             return false;
         }
         if (context.now >= worker.leaseRevokedUntil) {
@@ -131,12 +145,12 @@
             worker.leaseRevocationNanos = Math.min(MAX_REVOCATION_NANOS, 2 * worker.leaseRevocationNanos);
         }
         worker.leaseRevokedAt = context.now;
-        worker.leaseProvenAt = WorkerState.NEVER;
+        worker.leaseRenewedAt = WorkerState.NEVER;
         worker.mayHaveRestarted |= outcome == Outcome.CONNECT_FAILED;
         return true;
     }
 
-    /** No connection to the worker is open any more, so nothing would show that it stopped. */
+    /** The last connection to the worker was closed: from now on it may stop unnoticed. */
     void onDisconnected(WorkerState worker) {
         if (worker.unobservedSince == WorkerState.OBSERVED) {
             worker.unobservedSince = context.now;
@@ -144,7 +158,7 @@
         }
     }
 
-    /** A worker that may have stopped and started unseen counts as started now: empty, and not warm. */
+    /** Treats a worker that may have restarted unnoticed as started now, so that it gets a slow start. */
     private void detectRestart(WorkerState worker) {
         if (worker.mayHaveRestarted || wasUnobserved(worker)) {
             context.actions.logDiagnostic(worker.id + " may have restarted: slow start");
@@ -156,56 +170,56 @@
     }
 
     private boolean wasUnobserved(WorkerState worker) {
-        long minRestartNanos = worker.connectedBefore ? MIN_RESTART_NANOS : MIN_RESTART_OF_STRANGER_NANOS;
+        long minRestartNanos = worker.connectedBefore ? MIN_RESTART_NANOS : MIN_RESTART_NEVER_CONNECTED_NANOS;
         return worker.unobservedSince != WorkerState.OBSERVED
                 && context.now - Math.max(worker.unobservedSince, listCurrentUntil()) > minRestartNanos;
     }
 
-    // ---- What follows ----
+    // ---- State of the leases ----
 
-    /** Whether the source of the list is heard, so that no worker needs a lease of its own. */
+    /** Whether the list is current, so that no worker needs to renew its own lease. */
     boolean isListCurrent() {
-        return !sourceTells || confirmed && context.now < confirmedAt + MAX_SILENCE_NANOS;
+        return !freshnessReported || confirmed && context.now < confirmedAt + MAX_CONFIRMATION_AGE_NANOS;
     }
 
     private long listCurrentUntil() {
-        return confirmed ? confirmedAt + MAX_SILENCE_NANOS : unconfirmedAt;
+        return confirmed ? confirmedAt + MAX_CONFIRMATION_AGE_NANOS : unconfirmedAt;
     }
 
-    /** The latest time at which the worker is known not to have been told to drain. */
-    private long provenAt(WorkerState worker) {
+    /** When the worker's lease started: the latest time at which it is known not to have been told to drain. */
+    private long leaseStart(WorkerState worker) {
         long listedAt = listCurrentUntil();
-        return listedAt > worker.leaseRevokedAt ? Math.max(listedAt, worker.leaseProvenAt) : worker.leaseProvenAt;
+        return listedAt > worker.leaseRevokedAt ? Math.max(listedAt, worker.leaseRenewedAt) : worker.leaseRenewedAt;
     }
 
-    /** Whether new work may be sent to the worker now. */
+    /** Whether the worker's lease is valid, so that new work may be sent to it now. */
     boolean isValid(WorkerState worker) {
-        return !sourceTells || context.now - provenAt(worker) < validNanos;
+        return !freshnessReported || context.now - leaseStart(worker) < validNanos;
     }
 
     /** Whether the worker's lease should be renewed by a query before new work is sent. */
     boolean needsRenewal(WorkerState worker) {
-        return queriesAllowed && !isListCurrent() && context.now - provenAt(worker) >= renewAfterNanos;
+        return queriesAllowed && !isListCurrent() && context.now - leaseStart(worker) >= renewAfterNanos;
     }
 
     /**
-     * Whether {@link #isUsable} may say no. A revocation runs on to its end after the list is current again, since the
-     * updates that explain it may come later than the source is heard.
+     * Whether {@link #isUsable} may return false. A revocation stays in force until its end even if the list becomes
+     * current before, since the updates that explain it may arrive after the confirmation.
      */
     boolean mayExclude() {
         return !isListCurrent() || context.now < revocationsEndAt;
     }
 
-    /** Whether any active worker has a lease. */
+    /** Whether any active worker has a valid lease. */
     boolean isAnyValid() {
         return registry.active().stream().anyMatch(this::isValid);
     }
 
     /**
-     * Whether the worker has a lease, or may be asked for one.
+     * Whether the worker has a valid lease, or may be queried for a renewal.
      *
-     * @param anyValid what {@link #isAnyValid} says: without queries a worker is tried, over a new connection, only
-     *     where no other has a lease
+     * @param anyValid the result of {@link #isAnyValid}: without queries, a worker without a lease is tried, over a new
+     *     connection, only where no other worker has one
      */
     boolean isUsable(WorkerState worker, boolean anyValid) {
         if (context.now < worker.leaseRevokedUntil) {
@@ -221,21 +235,21 @@
         return !anyValid;
     }
 
-    /** Queries the worker, unless that is under way. */
-    void renew(WorkerState worker, String function) {
+    /** Sends the worker a query that renews its lease, unless one is in flight. */
+    void sendRenewalQuery(WorkerState worker, String function) {
         if (worker.leaseQueriedAt == WorkerState.NEVER && queries.send(worker, function, null, true)) {
             worker.leaseQueriedAt = context.now;
         }
     }
 
-    /** A query was answered; whether it had asked for a lease. */
+    /** A query was answered. Returns whether it was one that renews a lease. */
     boolean onQueryAnswered(WorkerState worker, LoadQueries.Query query, Outcome outcome) {
         if (!query.renewsLease()) {
             return false;
         }
         worker.leaseQueriedAt = WorkerState.NEVER;
         if (outcome == Outcome.SERVED) {
-            onEvidence(worker, query.sentAt());
+            renewLease(worker, query.sentAt());
         } else {
             revoke(worker, outcome);
         }
@@ -244,14 +258,14 @@
 
     /** The condition under which a message may be written to the worker. */
     SendCondition condition(WorkerState worker, SendCondition.Purpose purpose) {
-        if (!sourceTells || purpose == SendCondition.Purpose.QUERY && isListCurrent()) {
+        if (!freshnessReported || purpose == SendCondition.Purpose.QUERY && isListCurrent()) {
             return SendCondition.NONE;
         }
         if (purpose == SendCondition.Purpose.QUERY) {
             return new SendCondition(Long.MAX_VALUE, true);
         }
         return isValid(worker)
-                ? new SendCondition(provenAt(worker) + validNanos, false)
+                ? new SendCondition(leaseStart(worker) + validNanos, false)
                 : new SendCondition(context.now + validNanos, true);
     }
 }
--- a/policy/src/main/java/wharfhinge/policy/FunctionTraffic.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionTraffic.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The functions requested recently and each one's share of this dispatcher's requests. */
+/** The recently requested functions, and each one's share of this dispatcher's requests. */
 final class FunctionTraffic {
-    /** Requests of no function that are added to the total, so that the first few give no function a large share. */
+    /** Requests added to the total, so that the first few requests give no function a large share. */
     private static final double PRIOR_REQUESTS = 10;
 
-    /** Decayed request count below which a function is forgotten. */
-    private static final double FORGOTTEN_BELOW = 0.05;
+    /** Decayed request count below which a function is removed. */
+    private static final double REMOVE_BELOW_COUNT = 0.05;
 
     private final DispatcherContext context;
     private final Map<String, FunctionStats> byFunction = new LinkedHashMap<>();
@@ -22,7 +22,7 @@
         this.context = context;
     }
 
-    /** The function's statistics, or null if it wasn't requested recently. */
+    /** The function's statistics, or null if it was not requested recently. */
     FunctionStats find(String function) {
         return byFunction.get(function);
     }
@@ -50,11 +50,12 @@
     }
 
     /**
-     * Forgets functions that are hardly requested any more; each is given to {@code onRemoved}. Whether there were any.
+     * Removes functions that are hardly requested any more, passing each to {@code onRemoved}. Returns whether any was
+     * removed.
      */
     boolean removeIdle(Predicate<FunctionStats> onRemoved) {
         return byFunction
                 .values()
-                .removeIf(stats -> stats.valueAt(context.now) < FORGOTTEN_BELOW && onRemoved.test(stats));
+                .removeIf(stats -> stats.valueAt(context.now) < REMOVE_BELOW_COUNT && onRemoved.test(stats));
     }
 }
--- a/policy/src/main/java/wharfhinge/policy/LeaseRenewal.java
+++ b/policy/src/main/java/wharfhinge/policy/LeaseRenewal.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** Lets requests wait until the worker chosen for them has renewed its lease; see {@link EndpointLeases}. */
+/** Makes requests wait until the worker chosen for them has renewed its lease; see {@link EndpointLeases}. */
 final class LeaseRenewal {
     private final EndpointLeases leases;
     private final PendingReplies replies;
@@ -12,34 +12,36 @@
         this.queue = queue;
     }
 
-    /** Queries the worker chosen for the request if its lease needs that; whether the request has to wait. */
+    /**
+     * Queries the worker chosen for the request if its lease needs a renewal. Returns whether the request has to wait.
+     */
     boolean renewBeforeSend(RequestState state, WorkerState worker) {
         if (!leases.needsRenewal(worker)) {
             return false;
         }
-        boolean queriedBefore = !state.renewedLeases.add(worker);
+        boolean queriedBefore = !state.leaseQueriedWorkers.add(worker);
         if (queriedBefore && leases.isValid(worker)) {
-            return false; // its answers take longer than evidence stays fresh
+            return false; // it answers more slowly than leases need renewal
         }
         if (queriedBefore && worker.leaseQueriedAt != WorkerState.NEVER) {
-            queue.add(state); // it didn't answer in time, and no other worker is left
+            queue.add(state); // it did not answer in time, and no other worker is left
             return true;
         }
-        leases.renew(worker, state.function());
-        state.awaitedLease = worker;
+        leases.sendRenewalQuery(worker, state.function());
+        state.awaitedLeaseWorker = worker;
         replies.add(state);
         replies.scheduleTimeout(state);
         return true;
     }
 
     /**
-     * The request waits no longer; a worker that has not answered is avoided while there are others.
+     * Ends the request's wait for a lease. A worker that has not answered is avoided while there are others.
      *
-     * @return the worker that has renewed its lease for the request, or null
+     * @return the worker if its lease is valid now, or null
      */
     WorkerState onWaitEnded(RequestState state) {
-        WorkerState worker = state.awaitedLease;
-        state.awaitedLease = null;
+        WorkerState worker = state.awaitedLeaseWorker;
+        state.awaitedLeaseWorker = null;
         if (worker != null && worker.leaseQueriedAt != WorkerState.NEVER) {
             state.triedWorkers.add(worker);
         }
--- a/policy/src/main/java/wharfhinge/policy/LoadCompletionHandler.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadCompletionHandler.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** Learns from the answers to load orders and to queries of loaded copies, and routes the requests that waited for them. */
+/** Handles the answers to load orders and to queries of loaded copies, and routes the requests that waited for them. */
 final class LoadCompletionHandler {
     private final DispatcherContext context;
     private final WorkerRegistry registry;
@@ -39,7 +39,7 @@
             router.dropPendingLoads(worker);
         }
         for (RequestState state : replies.snapshot()) {
-            if (state.awaitedLease == worker) {
+            if (state.awaitedLeaseWorker == worker) {
                 router.endWaitForReplies(state);
             }
         }
--- a/policy/src/main/java/wharfhinge/policy/LoadScheduler.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadScheduler.java
@@ -7,11 +7,12 @@
 import java.util.List;
 
 /**
- * Orders loads and limits how many of this dispatcher's loads are in flight.
+ * Orders loads and limits this dispatcher's number of loads in flight.
  *
  * <p>Departure from the source design: the limit follows the time that loads take, with additive increase and
- * multiplicative decrease. It acts once own loads reach it, and guards the shared store against load storms, whatever
- * set them off. It may hurt where overload of a worker is taken for a crowded store.
+ * multiplicative decrease. It acts once this dispatcher's loads reach the limit, and guards the shared package store
+ * against load storms, whatever their cause. It may hurt where overload of a worker is mistaken for overload of the
+ * store.
  */
 final class LoadScheduler {
     private static final double INITIAL_LIMIT = 8;
@@ -19,11 +20,11 @@
     private static final double DECREASE_FACTOR = 0.7;
     private static final double PROBABILITY_SMOOTHING = 0.05;
 
-    /** Multiple of the usual load time from which a load tells of a crowded store. */
-    private static final double CROWDED_MULTIPLE = 3;
+    /** Multiple of the expected load time above which a load indicates an overloaded package store. */
+    private static final double SLOW_LOAD_MULTIPLE = 3;
 
-    /** Multiple of the usual load time after which a load order is given up. */
-    private static final double ORDER_PATIENCE_MULTIPLE = 4;
+    /** Multiple of the expected load time after which a load order is abandoned. */
+    private static final double ORDER_TIMEOUT_MULTIPLE = 4;
 
     private final DispatcherContext context;
     private final EndpointLeases leases;
@@ -34,7 +35,10 @@
     private int inFlight;
     private double inFlightLimit = INITIAL_LIMIT;
 
-    /** Smoothed share of the sends to functions not known to be loaded that do load: peers keep most of them loaded. */
+    /**
+     * Smoothed share of the sends to functions not known to be loaded that cause a load; peers keep most of them
+     * loaded.
+     */
     private double loadProbability = 1;
 
     LoadScheduler(DispatcherContext context, EndpointLeases leases) {
@@ -52,13 +56,14 @@
         return inFlight * loadProbability >= inFlightLimit;
     }
 
-    /** Whether no load is in flight and no order waits. */
+    /** Whether no load is in flight and no order is pending. */
     boolean isIdle() {
         return inFlight + pendingOrders.size() == 0;
     }
 
     /**
-     * Whether a load may be ordered before its request comes: orders are allowed, none waits, there is room for a load.
+     * Whether a load may be ordered ahead of its request: orders are allowed, none is pending, and the limit is not
+     * reached.
      */
     boolean mayPrefetch() {
         return settings.loadOrdersAllowed() && pendingOrders.isEmpty() && !isAtLimit();
@@ -68,14 +73,17 @@
         return pendingOrders.contains(cached);
     }
 
-    /** Whether an order that was sent has taken so long that it is given up. */
+    /** Whether an order that was sent has taken so long that it is abandoned. */
     boolean isOverdue(CachedFunction cached) {
         return cached.loadOrdered
-                && context.now - cached.loadOrderedAt > ORDER_PATIENCE_MULTIPLE * cached.loadNanos
+                && context.now - cached.loadOrderedAt > ORDER_TIMEOUT_MULTIPLE * cached.loadNanos
                 && !isPending(cached);
     }
 
-    /** Orders the function to be loaded, once quota and limit allow it; nothing where that is ordered already. */
+    /**
+     * Orders a load of the function, which is sent once quota and limit allow it; does nothing if one is ordered
+     * already.
+     */
     void order(CachedFunction cached) {
         if (!cached.loadOrdered) {
             cached.loadOrdered = true;
@@ -89,7 +97,7 @@
         pendingOrders.remove(cached);
     }
 
-    /** Sends as many orders as quota and limit allow, those that most requests wait for first. */
+    /** Sends as many orders as quota and limit allow, starting with those that most requests wait for. */
     void sendPendingOrders() {
         List<CachedFunction> sendable = sendableOrders();
         while (!sendable.isEmpty() && inFlight < inFlightLimit && isWithinQuota()) {
@@ -104,28 +112,34 @@
         }
     }
 
-    /** The pending orders whose workers may get them now; the others' workers are asked for a lease. */
+    /**
+     * The pending orders whose workers' leases need no renewal. The workers of the other orders are sent a renewal
+     * query.
+     */
     private List<CachedFunction> sendableOrders() {
         List<CachedFunction> sendable = new ArrayList<>(pendingOrders.size());
         for (CachedFunction order : pendingOrders) {
             if (!leases.needsRenewal(order.worker)) {
                 sendable.add(order);
             } else if (leases.isUsable(order.worker, true)) {
-                leases.renew(order.worker, order.function);
+                leases.sendRenewalQuery(order.worker, order.function);
             }
         }
         return sendable;
     }
 
-    /** Own orders of the quota period, the next one included, against own requests of that period. */
+    /**
+     * Whether one more order keeps this dispatcher's orders of the quota period within the quota, which grows with its
+     * requests of that period.
+     */
     private boolean isWithinQuota() {
-        forgetOldTimes();
+        removeOldTimes();
         double quota = settings.loadQuotaBase() + settings.loadQuotaPerRequest() * arrivalTimes.size();
         return settings.loadQuotaPeriodNanos() <= 0 || orderTimes.size() + 1 <= quota;
     }
 
-    /** Forgets orders and requests from before the quota period. */
-    void forgetOldTimes() {
+    /** Removes the times of orders and requests from before the quota period. */
+    void removeOldTimes() {
         long periodNanos = settings.loadQuotaPeriodNanos();
         orderTimes.removeIf(at -> at < context.now - periodNanos);
         arrivalTimes.removeIf(at -> at <= context.now - periodNanos);
@@ -137,23 +151,23 @@
         }
     }
 
-    /** Learns from an attempt that may have loaded its function. */
+    /** Updates the limit and the load probability from an attempt that may have loaded its function. */
     void onAttemptCompleted(Attempt attempt, AttemptCompletion completion) {
         if (!attempt.mayLoad()) {
             return;
         }
-        if (AttemptTracker.tellsNothingOfCopies(completion.outcome())) {
+        if (AttemptTracker.isConnectionFailure(completion.outcome())) {
             inFlight--;
             return;
         }
         double loaded = completion.cacheStatus() == CacheStatus.HIT ? 0 : 1;
         loadProbability += PROBABILITY_SMOOTHING * (loaded - loadProbability);
-        onLoadEnded(completion.outcome() == Outcome.SERVED && completion.tookNanos() <= attempt.patienceNanos());
+        onLoadEnded(completion.outcome() == Outcome.SERVED && completion.tookNanos() <= attempt.overdueAfterNanos());
     }
 
-    /** An ordered load completed; {@code cached} is null where it is no longer known. */
+    /** An ordered load completed; {@code cached} is null if its entry no longer exists. */
     void onOrderCompleted(CachedFunction cached, boolean loaded, long tookNanos) {
-        onLoadEnded(loaded && (cached == null || tookNanos <= CROWDED_MULTIPLE * cached.loadNanos));
+        onLoadEnded(loaded && (cached == null || tookNanos <= SLOW_LOAD_MULTIPLE * cached.loadNanos));
     }
 
     private void onLoadEnded(boolean inTime) {
--- a/policy/src/main/java/wharfhinge/policy/OutlierDetector.java
+++ b/policy/src/main/java/wharfhinge/policy/OutlierDetector.java
@@ -1,11 +1,11 @@
 package wharfhinge.policy;
 
 /**
- * Ejects workers that fail or hang and takes them back by trials.
+ * Ejects workers that fail or hang, and restores them after a successful trial.
  *
- * <p>There is one judgement from two symptoms: a smoothed share of failures, and attempts past their patience with no
- * timely answer between. An ejected worker gets, after a pause that doubles with each failed trial, one idempotent
- * first send at a time (half open); a good answer restores it.
+ * <p>Either of two symptoms ejects a worker: a high smoothed failure rate, or several overdue attempts without a timely
+ * response in between. After a pause that doubles with each failed trial, an ejected worker gets one idempotent first
+ * send at a time (half-open state); a good response restores it.
  */
 final class OutlierDetector {
     /** Pause before the first trial. */
@@ -14,16 +14,19 @@
     private static final long MAX_EJECTION_NANOS = 8000 * DispatcherContext.NANOS_PER_MILLI;
     private static final double FAILURE_SMOOTHING = 0.2;
 
-    /** Smoothed share of failures above which a worker is ejected: three in a row from none. */
+    /** Smoothed failure rate above which a worker is ejected; three failures in a row from a rate of 0 exceed it. */
     private static final double FAILURE_RATE_LIMIT = 0.45;
 
-    /** Attempts past their patience, with no timely answer between, at which a worker is ejected. */
+    /** Overdue attempts, with no timely response in between, at which a worker is ejected. */
     private static final int OVERDUE_LIMIT = 3;
 
-    /** A patience timer this late tells of a stall of this process, not of workers. */
-    private static final long OWN_STALL_NANOS = 100 * DispatcherContext.NANOS_PER_MILLI;
+    /** Lateness at which an overdue timer indicates a stall of this process and not of the worker. */
+    private static final long LOCAL_STALL_NANOS = 100 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Own requests of which one may be a trial: where each dispatcher sees little, trials could be most of it. */
+    /**
+     * Trials allowed per request of this dispatcher. Where each dispatcher sends little, most of its requests could
+     * otherwise be trials.
+     */
     private static final double TRIALS_PER_REQUEST = 0.05;
 
     private final DispatcherContext context;
@@ -56,8 +59,10 @@
         }
     }
 
-    /** Whether an ejected worker must not get this request: it is no trial, or no trial is due. */
-    boolean isShutOut(WorkerState worker, RequestState state) {
+    /**
+     * Whether the worker is ejected and must not get this request: the request cannot be a trial, or no trial is due.
+     */
+    boolean isBlocked(WorkerState worker, RequestState state) {
         return worker.ejected
                 && (context.now < worker.trialAt
                         || worker.lastSentAt >= worker.trialAt
@@ -66,67 +71,71 @@
                         || state.requestClass.effect() != Effect.IDEMPOTENT);
     }
 
-    /** Whether the attempt's patience timer came so late that it tells nothing of the worker. */
-    boolean isOwnStall(Attempt attempt) {
-        return context.now - attempt.sentAt() - attempt.patienceNanos() > OWN_STALL_NANOS;
+    /** Whether the attempt's overdue timer came so late that it says nothing about the worker. */
+    boolean isLocalStall(Attempt attempt) {
+        return context.now - attempt.sentAt() - attempt.overdueAfterNanos() > LOCAL_STALL_NANOS;
     }
 
-    /** Whether the worker has answered nothing since the attempt was sent. */
-    static boolean isSilent(Attempt attempt) {
+    /** Whether the worker has not responded to anything since the attempt was sent. */
+    static boolean isUnresponsive(Attempt attempt) {
         return attempt.worker().lastResponseAt <= attempt.sentAt();
     }
 
-    /** An attempt's patience is over, without an answer. */
+    /** Counts an attempt that is overdue without a response. */
     void onOverdue(Attempt attempt) {
         WorkerState worker = attempt.worker();
         worker.overdueAttempts++;
         if (worker.overdueAttempts >= OVERDUE_LIMIT) {
-            eject(worker, isSilent(attempt) ? "silent" : "slow");
+            eject(worker, isUnresponsive(attempt) ? "silent" : "slow");
         }
         if (isTrial(attempt)) {
             onTrialFailed(worker);
         }
     }
 
-    /** A load order was not answered, by far. */
+    /** Ejects the worker of an abandoned load order if it has not responded since the order. */
     void onLoadOverdue(CachedFunction cached) {
         if (cached.worker.lastResponseAt <= cached.loadOrderedAt) {
             eject(cached.worker, "silent");
         }
     }
 
-    /** Judges the worker by how the attempt ended. */
+    /** Updates the worker's health from the outcome of an attempt. */
     void onAttemptCompleted(Attempt attempt, AttemptCompletion completion) {
         WorkerState worker = attempt.worker();
         Outcome outcome = completion.outcome();
-        if (isAnswer(outcome)) {
+        if (isResponse(outcome)) {
             worker.lastResponseAt = context.now;
         }
         if (outcome == Outcome.SATURATED) {
             limiter.onSaturated(worker);
         }
-        if (tellsNothingOfHealth(attempt, outcome)) {
-            endTrial(attempt, outcome == Outcome.NOT_LOADED); // a miss is an answer; a full worker may hang
+        if (isInconclusive(attempt, outcome)) {
+            // A miss proves that the worker responds; a saturated worker may hang.
+            endTrial(attempt, outcome == Outcome.NOT_LOADED);
             return;
         }
-        slowStart.onAttemptJudged(outcome == Outcome.SERVED);
+        slowStart.onAttemptOutcome(outcome == Outcome.SERVED);
         boolean failed = outcome != Outcome.SERVED && completion.cacheStatus() != CacheStatus.LOAD_FAILED;
         worker.failureRate += FAILURE_SMOOTHING * ((failed ? 1 : 0) - worker.failureRate);
-        if (!failed && isAnswerOfLoadedFunction(completion)) {
-            learnLatency(attempt, completion.tookNanos());
+        if (!failed && isResponseOfLoadedFunction(completion)) {
+            recordLatency(attempt, completion.tookNanos());
         }
-        judge(attempt, failed, !failed && completion.tookNanos() <= attempt.patienceNanos());
+        updateEjection(attempt, failed, !failed && completion.tookNanos() <= attempt.overdueAfterNanos());
     }
 
-    private static boolean isAnswer(Outcome outcome) {
+    private static boolean isResponse(Outcome outcome) {
         return switch (outcome) {
             case SERVED, ERROR, SATURATED, NOT_LOADED -> true;
             case TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, SUPERSEDED, LEASE_EXPIRED -> false;
         };
     }
 
-    /** Rejections and misses don't tell, nor does a time-out, which the overdue count has covered already. */
-    private boolean tellsNothingOfHealth(Attempt attempt, Outcome outcome) {
+    /**
+     * Whether the outcome says nothing about the worker's health: it is a rejection, a miss, an error of the caller, or
+     * a timeout, which the count of overdue attempts already covers.
+     */
+    private boolean isInconclusive(Attempt attempt, Outcome outcome) {
         boolean callerError = isCallerError(attempt, outcome);
         return switch (outcome) {
             case SATURATED, NOT_LOADED, TIMEOUT, CANCELLED, SUPERSEDED, LEASE_EXPIRED -> true;
@@ -135,11 +144,12 @@
     }
 
     /**
-     * Whether an error is the caller's fault; notes which workers failed the function.
+     * Whether an error is the caller's fault. Records the workers on which the function failed.
      *
      * <p>Departure from the source design: it acts on errors of a function that no worker has served to this dispatcher
-     * and that another worker failed too. It guards against callers that name functions which don't exist and so would
-     * eject healthy workers; it may hurt where all workers fail what is new, until one serves it.
+     * and that failed on another worker too. It guards against callers that request functions that do not exist, which
+     * would eject healthy workers. It may hurt where all workers fail new functions, until one of them serves the
+     * function.
      */
     private boolean isCallerError(Attempt attempt, Outcome outcome) {
         FunctionStats function = traffic.find(attempt.state().function());
@@ -156,17 +166,18 @@
         return function.failedWorkers.size() > 1;
     }
 
-    private static boolean isAnswerOfLoadedFunction(AttemptCompletion completion) {
+    private static boolean isResponseOfLoadedFunction(AttemptCompletion completion) {
         return completion.cacheStatus() == CacheStatus.UNKNOWN || completion.cacheStatus() == CacheStatus.HIT;
     }
 
-    private void learnLatency(Attempt attempt, long tookNanos) {
+    private void recordLatency(Attempt attempt, long tookNanos) {
         RequestState state = attempt.state();
-        state.serviceTime.learn(tookNanos / Math.max(1.0, state.request.costNanos()));
-        limiter.onAnswer(attempt.worker(), state, tookNanos);
+        state.serviceTime.addSample(tookNanos / Math.max(1.0, state.request.costNanos()));
+        limiter.onResponse(attempt.worker(), state, tookNanos);
     }
 
-    private void judge(Attempt attempt, boolean failed, boolean timely) {
+    /** Ends a trial, or ejects or restores the worker by its failure rate. */
+    private void updateEjection(Attempt attempt, boolean failed, boolean timely) {
         WorkerState worker = attempt.worker();
         if (timely) {
             worker.overdueAttempts = 0;
@@ -180,7 +191,7 @@
         }
     }
 
-    /** Whether the attempt was sent to an ejected worker after its pause. */
+    /** Whether the attempt was sent to an ejected worker after the pause. */
     private static boolean isTrial(Attempt attempt) {
         return attempt.worker().ejected && attempt.sentAt() >= attempt.worker().trialAt;
     }
--- a/policy/src/main/java/wharfhinge/policy/AttemptPatienceHandler.java
+++ b/policy/src/main/java/wharfhinge/policy/OverdueAttemptHandler.java
@@ -1,7 +1,7 @@
 package wharfhinge.policy;
 
-/** Acts when an attempt's patience is over: counts it against the worker, and hedges or cancels it. */
-final class AttemptPatienceHandler {
+/** Handles overdue attempts: counts them against the worker, and hedges or cancels them. */
+final class OverdueAttemptHandler {
     private final DispatcherContext context;
     private final EndpointLeases leases;
     private final EligibilityFilter eligibility;
@@ -12,7 +12,7 @@
     private final AttemptTracker attempts;
     private final RequestRouter router;
 
-    AttemptPatienceHandler(DispatcherComponents components, RequestRouter router) {
+    OverdueAttemptHandler(DispatcherComponents components, RequestRouter router) {
         this.context = components.context;
         this.leases = components.leases;
         this.eligibility = components.eligibility;
@@ -24,14 +24,14 @@
         this.router = router;
     }
 
-    /** No answer within the attempt's patience: its worker may hang. */
-    void onElapsed(RequestState state, int attemptIndex) {
+    /** The attempt's overdue timer is due: if it has no response yet, its worker may hang. */
+    void onOverdueTimer(RequestState state, int attemptIndex) {
         Attempt attempt = state.attempts.get(attemptIndex);
-        if (attempts.isSettled(attempt) || outliers.isOwnStall(attempt)) {
+        if (attempts.isSettled(attempt) || outliers.isLocalStall(attempt)) {
             return;
         }
         outliers.onOverdue(attempt);
-        if (!attempts.mayReplace(attempt)) {
+        if (!attempts.mayHedgeOrCancel(attempt)) {
             return;
         }
         state.triedWorkers.add(attempt.worker());
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Sends the request to another worker beside the attempt in flight. */
+    /** Sends the request to another worker while the attempt is still in flight. */
     private void hedge(RequestState state, Attempt attempt) {
         if (eligibility.select(state) && !eligibility.isEligible(attempt.worker()) && !admission.isFleetSaturated()) {
             WorkerState worker = ranker.rank(state);
--- a/policy/src/main/java/wharfhinge/policy/ProbeCoordinator.java
+++ b/policy/src/main/java/wharfhinge/policy/ProbeCoordinator.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * Probes the two workers that rank first before a first send, unless they reported their load just now.
+ * Probes the two highest-ranked workers before the first send of a request, unless they reported their load recently.
  *
- * <p>Departure from the source design: it acts where probes report load, the group is large and the fleet isn't
- * saturated. It guards against many dispatchers that meet on a busy worker, whatever keeps it busy. It costs two probes
- * for each request, and the reply timeout where a probe is late.
+ * <p>Departure from the source design: it acts where probes report load, the group is large and the fleet is not
+ * overloaded. It guards against many dispatchers that send to the same busy worker, whatever keeps it busy. It costs
+ * two probes for each request, and the reply timeout where a reply is late.
  */
 final class ProbeCoordinator {
-    /** Age up to which a report needs no probe. */
+    /** Age up to which a load report makes a probe unnecessary. */
     private static final long FRESH_REPORT_NANOS = 300 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Groups whose factor is below this are large. */
+    /** Value of {@link DispatcherContext#smallGroupFactor} below which a group counts as large. */
     private static final double LARGE_GROUP_FACTOR = 0.5;
 
     private final DispatcherContext context;
@@ -48,9 +48,12 @@
         return context.smallGroupFactor < LARGE_GROUP_FACTOR;
     }
 
-    /** Probes the chosen worker and the next in rank as far as needed; whether the request has to wait for replies. */
+    /**
+     * Probes the chosen worker and the next in rank, unless their reports are recent. Returns whether the request has
+     * to wait for replies.
+     */
     boolean probeBeforeSend(RequestState state, WorkerState chosen) {
-        if (!enabled || state.queried || admission.isUnderPressure()) {
+        if (!enabled || state.queried || admission.isOverloaded()) {
             return false;
         }
         state.queried = true;
@@ -77,7 +80,7 @@
         replies.add(state);
     }
 
-    /** The request waits no longer: workers whose probes are late are taken for saturated. */
+    /** Ends the request's wait for replies: workers that have not replied to their probes count as saturated. */
     void onWaitEnded(RequestState state) {
         if (enabled) {
             state.awaitedWorkers.forEach(loadReports::assumeSaturated);
--- a/policy/src/main/java/wharfhinge/policy/RequestQueue.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestQueue.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * Requests that wait: for a worker, for a free slot of a copy, or for an ordered load. Looked at in short intervals.
+ * Requests that wait for a worker, for a free slot of a copy, or for an ordered load. They are examined again at each
+ * maintenance tick.
  */
 final class RequestQueue {
     private static final long MAINTENANCE_INTERVAL_NANOS = 25 * DispatcherContext.NANOS_PER_MILLI;
@@ -24,7 +25,7 @@
         scheduleMaintenance();
     }
 
-    /** Lets the request wait for a load. */
+    /** Adds the request and makes it wait for the load. */
     void awaitLoad(RequestState state, CachedFunction load) {
         load.waitingRequests.add(state);
         state.awaitedLoad = load;
@@ -50,8 +51,8 @@
         }
     }
 
-    /** Whether what the request waits for can't serve it in time any more: it is answered now, not at its deadline. */
-    boolean isHopeless(RequestState state) {
+    /** Whether the request can no longer be served in time, so that it is ended now and not only at its deadline. */
+    boolean cannotMeetDeadline(RequestState state) {
         boolean orderPending = state.awaitedLoad != null && loads.isPending(state.awaitedLoad);
         double neededNanos =
                 state.serviceTime.estimateNanos(state.request) + (orderPending ? state.awaitedLoad.loadNanos : 0);
--- a/policy/src/main/java/wharfhinge/policy/RequestRouter.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestRouter.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * The way of a request from its arrival to its final answer: find a worker, ask workers first where that helps, wait
- * where no worker can take it yet, send it, or give it up. It owns the requests that have no final answer yet or still
- * have an attempt in flight.
+ * Routes requests from their arrival to their final response: selects a worker, asks workers first where that helps,
+ * lets the request wait where no worker can take it yet, and sends, rejects or fails it. Owns the requests that have no
+ * final response yet or still have an attempt in flight.
  */
 final class RequestRouter {
-    /** Ticks before the client's deadline from which a request in flight is no longer waited for. */
+    /** Ticks before the client's deadline from which attempts in flight are no longer waited for. */
     private static final int IN_FLIGHT_MARGIN_TICKS = 3;
 
-    /** Part of the latency objective that a request may wait for a free slot. */
+    /** Share of the latency objective that a request may wait for a free slot. */
     private static final double SLOT_WAIT_SHARE = 0.25;
 
     private final DispatcherContext context;
@@ -51,12 +51,12 @@
         requests.put(state.request.id(), state);
     }
 
-    /** The request, or null once it has its final answer and nothing of it is in flight. */
+    /** The request, or null once it has its final response and no attempt in flight. */
     RequestState find(String requestId) {
         return requests.get(requestId);
     }
 
-    /** Sends the request, lets it wait, or gives it up. */
+    /** Sends the request, lets it wait, or rejects or fails it. */
     void route(RequestState state) {
         if (state.shed || !attempts.mayAttemptAgain(state)) {
             rejectOrFail(state);
@@ -72,6 +72,7 @@
         }
     }
 
+    /** Sends the request to the worker, unless it has to wait first or is not admitted. */
     private void dispatch(RequestState state, WorkerState worker) {
         CachedFunction cached = worker.cachedFunctions.get(state.function());
         if (residency.isNeeded(state)) {
@@ -87,29 +88,33 @@
         }
     }
 
-    /** Whether the request may go to the worker: no load beyond the limit, no worker beyond its own. */
+    /**
+     * Whether the request may be sent to the worker: that causes no load beyond the limit on loads, and neither the
+     * fleet nor the worker is saturated.
+     */
     private boolean isAdmitted(RequestState state, WorkerState worker) {
         String function = state.function();
-        if (isLoadHeldBack() && !cache.isCached(worker, function) || admission.isFleetSaturated()) {
+        if (isLoadOnDemandAtLimit() && !cache.isCached(worker, function) || admission.isFleetSaturated()) {
             return false;
         }
-        return !cache.isLoaded(worker, function) || admission.hasRoom(worker);
+        return !cache.isLoaded(worker, function) || admission.isBelowRejectLimit(worker);
     }
 
-    /** Whether workers load on demand and as many loads are in flight as may be. */
-    private boolean isLoadHeldBack() {
+    /** Whether workers load on demand and the limit of loads in flight is reached. */
+    private boolean isLoadOnDemandAtLimit() {
         return !context.loadsOnlyByOrder && loads.isAtLimit();
     }
 
     /**
      * Whether the request should wait for a free slot of the worker's copy.
      *
-     * <p>Departure from the source design: it acts while as many loads are in flight as may be. It guards against the
-     * load of a further copy that a worker starts for a request behind a taken slot, which the limit is to hold back.
-     * It may hurt where the slot is taken by a slow request, and since a free slot is seen only at the next tick.
+     * <p>Departure from the source design: it acts while the limit of loads in flight is reached. It guards against the
+     * further copy that a worker loads for a request that finds no free slot, a load that the limit is meant to
+     * prevent. It may hurt where a slow request occupies the slot, and since a free slot is noticed only at the next
+     * maintenance tick.
      */
     private boolean shouldAwaitSlot(RequestState state, WorkerState worker) {
-        return isLoadHeldBack()
+        return isLoadOnDemandAtLimit()
                 && cache.isLoaded(worker, state.function())
                 && !ranker.hasFreeSlot(worker, state.request)
                 && context.now - state.arrivedAt < SLOT_WAIT_SHARE * state.latencyObjectiveNanos;
@@ -121,33 +126,34 @@
     }
 
     /**
-     * Routes a request that waited for replies, whether all came or not; nothing if it waits no longer. Where it waited
-     * for a lease, it goes to that worker even if others rank before it by now: they would be queried in turn.
+     * Routes a request that waited for replies, whether or not all have arrived; does nothing if it no longer waits. A
+     * request that waited for a lease goes to that worker even if others rank higher by now, since they would have to
+     * be queried in turn.
      */
     void endWaitForReplies(RequestState state) {
         if (!replies.remove(state)) {
             return;
         }
-        WorkerState leased = leaseRenewal.onWaitEnded(state);
+        WorkerState leasedWorker = leaseRenewal.onWaitEnded(state);
         probes.onWaitEnded(state);
         state.awaitedWorkers.clear();
-        if (leased != null
+        if (leasedWorker != null
                 && eligibility.select(state)
-                && eligibility.isEligible(leased)
-                && isAdmitted(state, leased)) {
-            send(state, leased);
+                && eligibility.isEligible(leasedWorker)
+                && isAdmitted(state, leasedWorker)) {
+            send(state, leasedWorker);
         } else {
             route(state);
         }
     }
 
-    /** Final answer without success: rejected where a retry is harmless, else failed. */
+    /** Ends the request without success: rejected where a retry is harmless, failed otherwise. */
     void rejectOrFail(RequestState state) {
         long marginNanos = IN_FLIGHT_MARGIN_TICKS * context.settings.tickNanos();
         if (idempotency.mayReject(state)) {
             context.actions.reject(state.request.id(), admission.retryAfterNanos(state));
         } else if (state.inFlight > 0 && context.now < state.deadline() - marginNanos) {
-            return; // the attempt in flight may serve it; its end or the deadline decides
+            return; // the attempt in flight may still serve it; its end or the deadline ends the request
         } else {
             context.actions.fail(state.request.id());
         }
@@ -166,14 +172,14 @@
         }
     }
 
-    /** Drops the belief that the function is on the worker; what waits for its load is sent elsewhere. */
+    /** Removes the cache entry; requests that wait for its load are sent elsewhere. */
     void drop(CachedFunction cached) {
         cache.remove(cached);
         loads.cancelPending(cached);
         routeWaiting(cached, true);
     }
 
-    /** Drops the loads that wait to be ordered on the worker. */
+    /** Drops the cache entries whose load orders for the worker are still pending. */
     void dropPendingLoads(WorkerState worker) {
         for (CachedFunction cached : List.copyOf(worker.cachedFunctions.values())) {
             if (loads.isPending(cached)) {
@@ -182,6 +188,11 @@
         }
     }
 
+    /**
+     * Routes the requests that waited for the load.
+     *
+     * @param elsewhere whether to avoid the worker of the load
+     */
     void routeWaiting(CachedFunction cached, boolean elsewhere) {
         List<RequestState> waiting = List.copyOf(cached.waitingRequests);
         cached.waitingRequests.clear();
@@ -194,10 +205,10 @@
         }
     }
 
-    /** Routes queued requests that wait for no load again, and gives up those that can't be served in time. */
+    /** Routes the queued requests that wait for no load, and ends those that can no longer be served in time. */
     void retryQueued() {
         for (RequestState state : queue.snapshot()) {
-            if (queue.isHopeless(state)) {
+            if (queue.cannotMeetDeadline(state)) {
                 rejectOrFail(state);
             } else if (state.awaitedLoad == null) {
                 queue.remove(state);
--- a/policy/src/main/java/wharfhinge/policy/RequestState.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestState.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A request from its arrival until it has its final answer and no attempt of it is in flight. Plain state. */
+/** A request, from its arrival until it has its final response and no attempt in flight. Holds state only. */
 final class RequestState {
     final Request request;
     final RequestClass requestClass;
@@ -16,37 +16,37 @@
     /** The class's latency objective, or the client's remaining time where that is less. */
     final long latencyObjectiveNanos;
 
-    /** The function's share of this dispatcher's requests, before this one. */
+    /** The function's share of this dispatcher's requests before this one. */
     final double trafficShare;
 
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    /** Attempts that may have run on their worker: those not proved to have had no effect. */
+    /** Attempts that may have been executed: those not proved to have had no effect. */
     final List<Attempt> possiblyExecuted = new ArrayList<>(2);
 
-    /** Workers that failed it, which are avoided while there are others. */
+    /** Workers on which the request failed, or that did not reply to it; avoided while there are others. */
     final Set<WorkerState> triedWorkers = new LinkedHashSet<>();
 
-    /** Workers whose reply to a probe or a residency query it waits for. */
+    /** Workers whose reply to a probe or a residency query the request waits for. */
     final Set<WorkerState> awaitedWorkers = new LinkedHashSet<>();
 
-    /** Workers that were queried for a lease for it. */
-    final Set<WorkerState> renewedLeases = new LinkedHashSet<>();
+    /** Workers that were sent a query to renew their lease for this request. */
+    final Set<WorkerState> leaseQueriedWorkers = new LinkedHashSet<>();
 
-    /** The worker whose lease it waits for, or null. */
-    WorkerState awaitedLease;
+    /** The worker whose lease the request waits for, or null. */
+    WorkerState awaitedLeaseWorker;
 
-    /** The load that it waits for, or null. */
+    /** The load that the request waits for, or null. */
     CachedFunction awaitedLoad;
 
     int inFlight;
     boolean streaming;
     boolean finished;
 
-    /** Probes or residency queries were made for it: at most once for a request. */
+    /** Whether probes or residency queries were sent for the request; this happens at most once. */
     boolean queried;
 
-    /** Chosen on arrival to be shed. */
+    /** Whether the request was selected on arrival to be shed. */
     boolean shed;
 
     RequestState(
@@ -68,7 +68,7 @@
         return request.function();
     }
 
-    /** When the client gives up. */
+    /** The client's deadline. */
     long deadline() {
         return arrivedAt + request.remainingNanos();
     }
--- a/policy/src/main/java/wharfhinge/policy/ResidencyQueries.java
+++ b/policy/src/main/java/wharfhinge/policy/ResidencyQueries.java
@@ -1,18 +1,19 @@
 package wharfhinge.policy;
 
 /**
- * Asks a function's preferred workers whether they have a copy (a load order of none) before a first send.
+ * Asks a function's preferred workers whether they have a copy, by load orders with a count of 0, before the first send
+ * of a request.
  *
  * <p>Departure from the source design: it acts in small groups whose workers load on demand, for a function that is
  * believed to be loaded nowhere. It guards a dispatcher that was restarted, or whose endpoint list changed, against
- * loads beside copies that are there. It costs messages, and the reply timeout where a worker is silent and none that
- * answers has a copy.
+ * loading functions that already have a copy. It costs messages, and the reply timeout where a worker does not answer
+ * and none that answers has a copy.
  */
 final class ResidencyQueries {
-    private static final int MAX_WORKERS_ASKED = 5;
+    private static final int MAX_WORKERS_QUERIED = 5;
 
-    /** How long an answer that there is no copy holds. */
-    private static final long ABSENT_NANOS = FunctionCacheIndex.DEFAULT_LOAD_NANOS;
+    /** How long an answer that a worker has no copy is relied on. */
+    private static final long ABSENCE_VALID_NANOS = FunctionCacheIndex.DEFAULT_LOAD_NANOS;
 
     private final DispatcherContext context;
     private final FunctionCacheIndex cache;
@@ -49,24 +50,26 @@
                 && !context.loadsOnlyByOrder;
     }
 
-    /** Whether workers should be asked before the request, which was ranked just now, is sent. */
+    /** Whether workers should be queried before the request, which was ranked just now, is sent. */
     boolean isNeeded(RequestState state) {
         if (!enabled || state.queried) {
             return false;
         }
         FunctionStats function = traffic.find(state.function());
         return function != null
-                && context.now - function.reportedAbsentAt > ABSENT_NANOS
+                && context.now - function.reportedAbsentAt > ABSENCE_VALID_NANOS
                 && !ranker.isLoadedOnCandidate(state.function());
     }
 
-    /** Asks the function's most preferred workers, each of them once at a time. */
+    /**
+     * Queries the function's most preferred workers, each at most once at a time, and makes the request wait for them.
+     */
     void send(RequestState state) {
         state.queried = replies.add(state);
         String function = state.function();
-        for (WorkerState worker : preferred.head(function, state.functionHash, MAX_WORKERS_ASKED)) {
+        for (WorkerState worker : preferred.head(function, state.functionHash, MAX_WORKERS_QUERIED)) {
             if (eligibility.isEligible(worker)
-                    && state.awaitedWorkers.size() < MAX_WORKERS_ASKED
+                    && state.awaitedWorkers.size() < MAX_WORKERS_QUERIED
                     && state.awaitedWorkers.add(worker)) {
                 queries.send(worker, function, state.request, false);
             }
@@ -74,7 +77,10 @@
         replies.scheduleTimeout(state);
     }
 
-    /** Learns whether the worker has a copy. Where memory is short, one that isn't assigned there is left to expire. */
+    /**
+     * Records whether the worker has a copy. Where memory is short, a copy that does not belong on the worker is not
+     * recorded, so that it is left to expire.
+     */
     void onAnswer(WorkerState worker, Request request, boolean loaded) {
         FunctionStats function = traffic.find(request.function());
         if (!loaded && function != null) {
@@ -89,7 +95,7 @@
         }
     }
 
-    /** Takes note of an answer for one waiting request; whether it need wait no longer. */
+    /** Records an answer for one waiting request. Returns whether the request need not wait any longer. */
     boolean completesWait(RequestState state, WorkerState worker, String function, boolean loaded) {
         return state.function().equals(function)
                 && state.awaitedWorkers.remove(worker)
--- a/policy/src/main/java/wharfhinge/policy/ServiceTimeEstimate.java
+++ b/policy/src/main/java/wharfhinge/policy/ServiceTimeEstimate.java
@@ -1,11 +1,11 @@
 package wharfhinge.policy;
 
 /**
- * Usual time that a loaded function takes to answer a request of one class, for each unit of reported cost where
- * costs are reported. Until the first sample it is taken for a quarter of the class's latency objective.
+ * Estimate of the time in which a loaded function serves a request of one class, per unit of reported cost where costs
+ * are reported. Until the first sample it is a quarter of the class's latency objective.
  */
 final class ServiceTimeEstimate {
-    /** Least weight of a new sample, so that the estimate follows a change of the work. */
+    /** Least weight of a new sample, so that the estimate follows changes of the workload. */
     private static final double SMOOTHING = 0.02;
 
     private static final double INITIAL_OBJECTIVE_DIVISOR = 4.0;
@@ -18,7 +18,7 @@
         initialNanos = latencyObjectiveNanos / INITIAL_OBJECTIVE_DIVISOR;
     }
 
-    void learn(double nanosPerUnitSample) {
+    void addSample(double nanosPerUnitSample) {
         samples++;
         nanosPerUnit += Math.max(1.0 / samples, SMOOTHING) * (nanosPerUnitSample - nanosPerUnit);
     }
--- a/policy/src/main/java/wharfhinge/policy/SlowStartBudget.java
+++ b/policy/src/main/java/wharfhinge/policy/SlowStartBudget.java
@@ -2,19 +2,23 @@
 
 /**
  * Token bucket of each worker that is warming up (slow start). Its rate is the configured multiple of the worker's
- * present share of what a warm worker answers to this dispatcher. It counts answers, not arrivals: summed over all
- * dispatchers these never exceed the capacity, while clients that repeat rejected requests would inflate arrivals.
+ * present share of the responses that a warm worker gives to this dispatcher. Responses are counted and not arrivals:
+ * summed over all dispatchers, responses never exceed the capacity, whereas clients that repeat rejected requests would
+ * inflate arrivals.
  */
 final class SlowStartBudget {
-    /** Part of the configured multiple that is used, since chance and unequal peers add to it. */
+    /**
+     * Share of the configured multiple that is used, since random variation and unequal traffic of peers add to the
+     * rate.
+     */
     private static final double SAFETY_MARGIN = 0.6;
 
-    private static final long ANSWER_WINDOW_NANOS = 5000 * DispatcherContext.NANOS_PER_MILLI;
+    private static final long RESPONSE_WINDOW_NANOS = 5000 * DispatcherContext.NANOS_PER_MILLI;
 
     private final DispatcherContext context;
     private final WorkerRegistry registry;
     private final ProtectionRules rules;
-    private final DecayingCounter answers = new DecayingCounter(ANSWER_WINDOW_NANOS);
+    private final DecayingCounter responses = new DecayingCounter(RESPONSE_WINDOW_NANOS);
 
     SlowStartBudget(DispatcherContext context, WorkerRegistry registry) {
         this.context = context;
@@ -22,9 +26,9 @@
         this.rules = context.settings.protectionRules();
     }
 
-    /** Counts an attempt that a worker completed, served or failed. */
-    void onAttemptJudged(boolean served) {
-        answers.add(served ? 1 : 0, context.now);
+    /** Counts an attempt whose outcome says something about the worker: served or failed. */
+    void onAttemptOutcome(boolean served) {
+        responses.add(served ? 1 : 0, context.now);
     }
 
     void onSend(WorkerState worker) {
@@ -33,13 +37,13 @@
         }
     }
 
-    /** Whether the worker may get one more request; refills its bucket. */
+    /** Refills the worker's bucket. Returns whether the worker may get one more request. */
     boolean hasToken(WorkerState worker) {
         if (!registry.isWarmingUp(worker)) {
             return true;
         }
         double ratePerNano = ratePerNano(worker);
-        // A fleet that warms up as a whole has no answers to go by: at least one token for the group.
+        // A fleet that warms up as a whole gives no responses to derive a rate from: the group gets at least one token.
         double minRatePerNano = 1.0 / rules.slowStartNanos() / Math.max(1, context.settings.groupSize());
         refill(worker, Math.max(ratePerNano, minRatePerNano), ratePerNano > minRatePerNano);
         return worker.slowStartTokens >= 1;
@@ -48,23 +52,23 @@
     private double ratePerNano(WorkerState worker) {
         double age = Math.max(0, context.now - worker.startedAt()) / (double) rules.slowStartNanos();
         double rampShare = rules.slowStartFrom() + (1 - rules.slowStartFrom()) * age;
-        // Of the mean worker's part of the answers, or of its own by capacity where it is smaller than the mean.
+        // The mean worker's share of the responses, or the worker's share by capacity where that is smaller.
         double workerShare = Math.min(1.0 / registry.upCount(), worker.capacity() / registry.upCapacity());
         return SAFETY_MARGIN
                 * rules.overloadFactor()
                 * rampShare
-                * answers.valueAt(context.now)
-                / ANSWER_WINDOW_NANOS
+                * responses.valueAt(context.now)
+                / RESPONSE_WINDOW_NANOS
                 * workerShare;
     }
 
     /**
      * Adds the tokens since the last refill.
      *
-     * <p>Departure from the source design: where this dispatcher's part of an overload window is below one token,
-     * unused tokens expire after a window. It guards against dispatchers that didn't send for seconds and then all send
-     * in one window; it may hurt where requests for the worker are rarer than a window, which then gets less than it
-     * could bear. The token of a fleet that warms up as a whole doesn't expire.
+     * <p>Departure from the source design: it acts where this dispatcher's share of an overload window is below one
+     * token. Unused tokens then expire after a window. It guards against dispatchers that sent nothing for seconds and
+     * then all send in one window. It may hurt where requests for the worker are rarer than a window: the worker then
+     * gets fewer than it could serve. The token of a fleet that warms up as a whole does not expire.
      */
     private void refill(WorkerState worker, double ratePerNano, boolean aboveMinimum) {
         double tokensPerWindow = ratePerNano * rules.overloadWindowNanos();
--- a/policy/src/main/java/wharfhinge/policy/TimerTokens.java
+++ b/policy/src/main/java/wharfhinge/policy/TimerTokens.java
@@ -1,36 +1,36 @@
 package wharfhinge.policy;
 
 /**
- * Tokens of the timers that a dispatcher schedules. Captures store them, so the strings are fixed. The timer of an
- * attempt's patience has the attempt's index, a colon and the request's id.
+ * Tokens of the timers that a dispatcher schedules. Captures store them, so the strings are fixed. The token of an
+ * attempt's overdue timer consists of the attempt's index, a colon and the request's id.
  */
 final class TimerTokens {
-    /** Looks at queued requests and pending load orders again. */
+    /** Maintenance tick: examines queued requests and pending load orders again. */
     static final String MAINTENANCE = "sweep";
 
-    /** Expires what has been idle; repeats for ever. */
+    /** Removes state that has been idle for too long; reschedules itself. */
     static final String EXPIRY = "lapse";
 
-    /** Prefix: a request's deadline is about to pass. */
+    /** Prefix of the timer for a request's deadline, due shortly before it passes. */
     static final String DEADLINE_PREFIX = "end:";
 
-    /** Prefix: the wait for replies to probes or residency queries is over. */
+    /** Prefix of the timer that ends a request's wait for replies to probes, residency queries or lease renewals. */
     static final String REPLY_TIMEOUT_PREFIX = "look:";
 
     private static final char SEPARATOR = ':';
 
     private TimerTokens() {}
 
-    static String patience(Attempt attempt) {
+    static String overdue(Attempt attempt) {
         return attempt.index() + ":" + attempt.state().request.id();
     }
 
-    /** The id of the request that a token with a request names. */
+    /** The id of the request that a token contains. */
     static String requestId(String token) {
         return token.substring(token.indexOf(SEPARATOR) + 1);
     }
 
-    /** The attempt that a patience token names. */
+    /** The index of the attempt that an overdue token contains. */
     static int attemptIndex(String token) {
         return Integer.parseInt(token.substring(0, token.indexOf(SEPARATOR)));
     }
--- a/policy/src/main/java/wharfhinge/policy/WorkerRanker.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerRanker.java
@@ -5,17 +5,20 @@
 import java.util.function.Predicate;
 
 /**
- * Ranks the eligible workers for a request in the order of the source design: believed to have the function, below the
- * limit and with a free slot; then the first preferred worker below its limit; then the fewest requests in flight.
+ * Ranks the eligible workers for a request in the order of the source design: first those believed to have the function
+ * loaded that are below their limit and have a free slot; then the first preferred worker below its limit; then those
+ * with the fewest requests in flight.
  */
 final class WorkerRanker {
-    /** Preferred workers that are worked out beside twice those needed, since some may not be eligible. */
+    /** Preferred workers computed in addition to twice those needed, since some may not be eligible. */
     private static final int EXTRA_PREFERRED = 16;
 
-    /** Preferred workers for each worker that a function's share of requests fills. Tried: 4 and 8 alike, 2 worse. */
+    /** Preferred workers used for each worker that the function's share of requests would fill. */
     private static final double PREFERRED_PER_FILLED_WORKER = 5;
 
-    /** Requests of this dispatcher that may share a slot of a copy where workers don't load another by themselves. */
+    /**
+     * Requests of this dispatcher that may share a slot of a copy where workers do not load another copy by themselves.
+     */
     private static final int REQUESTS_PER_SLOT_BY_ORDER = 2;
 
     private final DispatcherContext context;
@@ -28,10 +31,14 @@
     private final LoadReportTracker loadReports;
     private final LoadScheduler loads;
 
-    /** Eligible workers with an entry for the function of the last ranking, in the order of their first listing. */
+    /**
+     * Eligible workers with a cache entry for the function of the last ranking, in the order in which they were first
+     * listed.
+     */
     private final List<WorkerState> candidates = new ArrayList<>();
 
     private final List<WorkerState> preferredCandidates = new ArrayList<>();
+    /** Number of the last ranking, by which {@link WorkerState#preferredInRanking} marks workers. */
     private long ranking;
 
     WorkerRanker(
@@ -55,17 +62,20 @@
         this.loads = loads;
     }
 
-    /** The worker to send the request to, or null. Where only orders load it may order a copy beside. */
+    /**
+     * The worker to send the request to, or null. Where functions are loaded by order only, this may order a further
+     * copy.
+     */
     WorkerState rank(RequestState state) {
         String function = state.function();
         ranking++;
         collectCandidates(function);
         WorkerState available = availableCopy(state);
-        if (available != null && !shouldAddCopyBeside(available)) {
+        if (available != null && !shouldOrderFurtherCopy(available)) {
             return available;
         }
         if (!context.loadsOnlyByOrder) {
-            // A load was ordered for it: another preferred worker would load a second copy.
+            // A load of the function is ordered there: another preferred worker would load a second copy.
             WorkerState loading = fewestInFlight(
                     candidates, function, worker -> cache.isLoading(worker, function) && isBelowLimit(worker));
             if (loading != null) {
@@ -75,7 +85,7 @@
         WorkerState assigned = assignment.assignedWorker(function);
         WorkerState target = loadTarget(state, assigned);
         WorkerState copy = copyAtLimit(state, target);
-        return copy != null ? copy : withoutAvailableCopy(state, assigned, target);
+        return copy != null ? copy : fallbackWorker(state, assigned, target);
     }
 
     private void collectCandidates(String function) {
@@ -84,11 +94,14 @@
         candidates.removeIf(worker -> !eligibility.isEligible(worker));
     }
 
-    /** The best worker that has the function, or counts as having it, with room for one more request of it. */
+    /**
+     * The best worker that has the function loaded, or counts as having it, and can take one more request of it; or
+     * null.
+     */
     private WorkerState availableCopy(RequestState state) {
         String function = state.function();
         int preferredCount = preferredCount(state);
-        List<WorkerState> among = preferredCount == 0 ? candidates : withPreferred(state, preferredCount);
+        List<WorkerState> among = preferredCount == 0 ? candidates : candidatesAndPreferred(state, preferredCount);
         return fewestInFlight(
                 among,
                 function,
@@ -98,17 +111,19 @@
     }
 
     /**
-     * Whether a further copy is to be ordered though one is available.
+     * Whether to order a further copy although one is available.
      *
-     * <p>Departure from the source design: it acts where only orders load, none is in flight or waits, and the
-     * available worker reports more in flight than its capacity, and than most. It guards against hot functions that
-     * crowd the workers that have them; at worst a load is wasted.
+     * <p>Departure from the source design: it acts where functions are loaded by order only, no load is in flight or
+     * pending, and the available worker reports more in flight than its capacity and than most others. It guards
+     * against hot functions that overload the workers that have them. At worst a load is wasted.
      */
-    private boolean shouldAddCopyBeside(WorkerState available) {
+    private boolean shouldOrderFurtherCopy(WorkerState available) {
         return context.loadsOnlyByOrder && loads.isIdle() && isBusy(available) && loadReports.load(available) > 1;
     }
 
-    /** Where a further copy would be loaded: on the assigned worker, else on the first preferred one with memory. */
+    /**
+     * The worker to load a further copy on: the assigned worker, else the first preferred one that has memory for it.
+     */
     private WorkerState loadTarget(RequestState state, WorkerState assigned) {
         String function = state.function();
         if (assigned != null && lacksCopy(assigned, function)) {
@@ -120,22 +135,23 @@
                 worker -> lacksCopy(worker, function) && assignment.hasMemoryFor(worker, state.request.memoryMb()));
     }
 
-    /** Whether the worker may take the request but hasn't the function. */
+    /** Whether the worker may take the request but does not have the function. */
     private boolean lacksCopy(WorkerState worker, String function) {
         return eligibility.isEligible(worker) && !cache.isCached(worker, function) && isBelowLimit(worker);
     }
 
     /**
-     * The best worker with a copy, all of whose slots may be taken, where no load may be started on demand.
+     * The best worker with a copy, whether or not it has a free slot, where no load may be started on demand; otherwise
+     * null.
      *
-     * <p>Departure from the source design: where only orders load, and at the limit of loads in flight, a request that
-     * finds no free slot stays with a copy. It guards against waits for a whole load and against load storms; it may
-     * hurt where the copies are slow.
+     * <p>Departure from the source design: it acts where functions are loaded by order only, and at the limit of loads
+     * in flight. A request that finds no free slot then stays with a copy. It guards against waiting for a whole load
+     * and against load storms. It may hurt where the copies are slow.
      */
     private WorkerState copyAtLimit(RequestState state, WorkerState target) {
         String function = state.function();
         if (context.loadsOnlyByOrder) {
-            return copyBesideOrder(state, target);
+            return copyAndOrderFurther(state, target);
         }
         return loads.isAtLimit()
                 ? fewestInFlight(
@@ -143,8 +159,11 @@
                 : null;
     }
 
-    /** The best worker with a copy, while a further one is ordered; one that loads only where none is loaded. */
-    private WorkerState copyBesideOrder(RequestState state, WorkerState target) {
+    /**
+     * The best worker with a copy, for which a further copy is ordered where none is loading. If no copy is loaded, a
+     * worker that is loading one; null if copies are loaded but all are saturated.
+     */
+    private WorkerState copyAndOrderFurther(RequestState state, WorkerState target) {
         String function = state.function();
         WorkerState copy = fewestInFlight(
                 candidates, function, worker -> cache.isLoaded(worker, function) && isBelowLimit(worker));
@@ -159,8 +178,10 @@
         return fewestInFlight(candidates, function, worker -> cache.isLoading(worker, function));
     }
 
-    /** The best worker where no copy has room: one to load on, a saturated copy, the assigned one, any. */
-    private WorkerState withoutAvailableCopy(RequestState state, WorkerState assigned, WorkerState target) {
+    /**
+     * The worker to use where no copy is available: one to load on, else a saturated copy, the assigned worker, or any.
+     */
+    private WorkerState fallbackWorker(RequestState state, WorkerState assigned, WorkerState target) {
         if (target != null) {
             return target;
         }
@@ -181,7 +202,7 @@
         return candidates.stream().anyMatch(worker -> cache.isLoaded(worker, function));
     }
 
-    /** Whether one more request of the function wouldn't wait for a slot, or make the worker load another copy. */
+    /** Whether one more request of the function would neither wait for a slot nor make the worker load another copy. */
     boolean hasFreeSlot(WorkerState worker, Request request) {
         CachedFunction cached = worker.cachedFunctions.get(request.function());
         int perSlot = context.loadsOnlyByOrder ? REQUESTS_PER_SLOT_BY_ORDER : 1;
@@ -192,8 +213,9 @@
      * How many preferred workers count as having the function.
      *
      * <p>Departure from the source design: a function with a share of all requests needs that share of the workers. It
-     * acts where the share, times the part of the sends that peers make, fills two workers or more, and workers load by
-     * themselves. It guards against dispatchers that all fill one worker; a share taken too high spends memory.
+     * acts where the share, multiplied by the share of sends that peers make, fills two workers or more, and workers
+     * load on demand. It guards against dispatchers that all fill one worker. It may hurt where the share is
+     * overestimated, which wastes memory.
      */
     private int preferredCount(RequestState state) {
         double share = Math.min(1, PREFERRED_PER_FILLED_WORKER * context.peerTrafficShare * state.trafficShare);
@@ -201,8 +223,8 @@
         return context.loadsOnlyByOrder || count < 2 ? 0 : count;
     }
 
-    /** So many preferred workers, and the candidates, in the order of their first listing. */
-    private List<WorkerState> withPreferred(RequestState state, int count) {
+    /** The given number of preferred workers, and the candidates, in the order in which they were first listed. */
+    private List<WorkerState> candidatesAndPreferred(RequestState state, int count) {
         preferredCandidates.clear();
         for (int head = EXTRA_PREFERRED + 2 * count; preferredCandidates.size() < count; head *= 2) {
             for (WorkerState worker : preferred.head(state.function(), state.functionHash, head)) {
@@ -227,7 +249,10 @@
         return limiter.isBelowLimit(worker, 1);
     }
 
-    /** The eligible worker with the fewest own requests in flight that qualifies, random among equals; or null. */
+    /**
+     * The qualifying eligible worker with the fewest requests of this dispatcher in flight, or null. Workers that
+     * compare equal are chosen from at random.
+     */
     private WorkerState fewestInFlight(List<WorkerState> among, String function, Predicate<WorkerState> qualifies) {
         WorkerState best = null;
         int ties = 0;
@@ -248,12 +273,12 @@
     }
 
     /**
-     * Compares by own requests in flight.
+     * Compares workers by this dispatcher's requests in flight; the lesser one is preferred.
      *
-     * <p>Departure from the source design: among equals, as most are where there are many dispatchers, busy workers
-     * come last; then, except in small groups, which see enough by themselves, those with the function come first; then
-     * the least reported load. It guards against queues that peers made and that own sends don't show. It may hurt
-     * where functions are slow by nature, or reports lag.
+     * <p>Departure from the source design: it acts among equals, as most workers are where there are many dispatchers.
+     * Busy workers come last; then, except in small groups, which see enough of the traffic themselves, workers with
+     * the function come first; then the least reported load decides. It guards against queues that peers caused and
+     * that own sends do not show. It may hurt where functions are slow by nature, or reports lag.
      */
     private int compare(WorkerState first, WorkerState second, String function) {
         if (first.inFlight != second.inFlight) {
@@ -266,7 +291,7 @@
         return order != 0 ? order : Double.compare(loadReports.load(first), loadReports.load(second));
     }
 
-    /** By the reported load, or where none is reported by the latency. */
+    /** Whether the worker is busy by its reported load, or where none is reported by its latency. */
     private boolean isBusy(WorkerState worker) {
         return worker.reportedAt > 0 ? loadReports.isBusy(worker) : limiter.isSlowerThanMean(worker);
     }
--- a/policy/src/main/java/wharfhinge/policy/WorkerState.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerState.java
@@ -7,17 +7,17 @@
 import java.util.Set;
 
 /**
- * One incarnation of a worker: a worker that restarts under its name gets a new instance. Plain state; each group of
- * fields names the class that owns it. Used by the dispatcher's thread alone.
+ * One incarnation of a worker: a worker that restarts under its name gets a new instance. Holds state only; a comment
+ * above each group of fields names the class that owns it. Used by the dispatcher's thread alone.
  */
 final class WorkerState {
     /** Order in which workers were first listed. */
     static final Comparator<WorkerState> BY_ORDINAL = Comparator.comparingLong(worker -> worker.ordinal);
 
-    /** A time before all others. */
+    /** A time before any event. */
     static final long NEVER = 0;
 
-    /** In place of the time since when it is not observed: a connection to it is open. */
+    /** Value of {@link #unobservedSince} while the worker is observed, over an open connection. */
     static final long OBSERVED = -1;
 
     private static final double INITIAL_OBJECTIVE_DIVISOR = 4.0;
@@ -33,7 +33,7 @@
     boolean up;
 
     // EndpointLeases
-    long leaseProvenAt = NEVER;
+    long leaseRenewedAt = NEVER;
     long leaseRevokedAt = NEVER;
     long leaseRevokedUntil = NEVER;
     long leaseRevocationNanos = EndpointLeases.FIRST_REVOCATION_NANOS;
@@ -50,7 +50,7 @@
     final Set<FunctionStats> assignedFunctions = new LinkedHashSet<>();
     double assignedMemoryMb;
 
-    // EligibilityFilter, WorkerRanker, PreferredWorkers: valid for one query, identified by its generation
+    // EligibilityFilter, WorkerRanker, PreferredWorkers: valid for one selection or ranking, identified by its number
     long excludedInGeneration;
     long preferredInRanking;
     double preferenceScore;
@@ -60,14 +60,14 @@
     long lastSentAt;
     long sendIntervalNanos;
 
-    // ConcurrencyLimiter: the latency is smoothed, also as a multiple of the class's objective
+    // ConcurrencyLimiter: smoothed latency, in nanoseconds and as a multiple of the class's latency objective
     double concurrencyLimit;
     double latencyNanos;
     double latencyToObjective;
     long latencySampledAt;
-    long limitCutAt;
+    long limitDecreasedAt;
 
-    // LoadReportTracker: requests in flight from all dispatchers, for each unit of capacity
+    // LoadReportTracker: reported requests in flight from all dispatchers per unit of capacity
     double reportedLoad;
     long reportedAt;
 
@@ -89,10 +89,10 @@
             long now,
             double concurrencyLimit,
             long latencyObjectiveNanos,
-            double slowStartPhase) {
+            double initialSlowStartTokens) {
         this.id = id;
         this.ordinal = ordinal;
-        this.slowStartTokens = slowStartPhase;
+        this.slowStartTokens = initialSlowStartTokens;
         this.concurrencyLimit = concurrencyLimit;
         this.latencyNanos = latencyObjectiveNanos / INITIAL_OBJECTIVE_DIVISOR;
         this.unobservedSince = now;
@@ -106,12 +106,12 @@
         return endpoint.weight() > 0 ? endpoint.weight() : 1;
     }
 
-    /** Whether it started so recently that its share of the traffic is still ramped up. */
+    /** Whether the worker started so recently that its share of the traffic is still ramped up. */
     boolean isWarmingUp(long now, long slowStartNanos) {
         return startedAt() > 0 && now - startedAt() < slowStartNanos;
     }
 
-    /** When it started, as listed or as suspected; 0 if that was long ago. */
+    /** When the worker started, as listed or as suspected; 0 if it started long ago. */
     long startedAt() {
         return Math.max(endpoint.startedAt(), suspectedStartAt);
     }
