--- a/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
@@ -6,28 +6,31 @@
 import java.util.OptionalLong;
 
 /**
- * Admits calls or rejects them before any work is done for them, by tenant: a rate (token bucket), a number of pending calls and,
- * where the tenants together want more than the fleet bears, shares by weight. What the fleet bears is learned by
- * {@link FleetConcurrencyLimit}. Beyond it a tenant over its share is rejected while another is active; a tenant within its share
- * is admitted whatever the others do, so that a flood costs them nothing; what one leaves unused the others may have. A tenant
- * that is the only active one is never rejected for its share: then the policy sheds what is too much.
+ * Admits calls or rejects them before any work is done for them. Each tenant has a rate limit (token bucket), a limit on its
+ * pending calls and a weighted share of the fleet's concurrency limit, which {@link FleetConcurrencyLimit} learns.
  *
- * <p>Counts nothing that the policy counts: a call rejected here never reaches it, and its rejections give no token back. A
- * chain is one call; its steps are not asked about. Tenants that the settings do not name share one entry. Pure; one thread.
+ * <p>Shares apply only while the concurrency limit is nearly reached. A tenant over its share is then rejected if another tenant
+ * is active. A tenant within its share is not affected by the load of the others, so a flood from one tenant costs the others
+ * nothing. Capacity that one tenant leaves unused is available to the others. A tenant that is the only active one is never
+ * rejected for exceeding its share: in that case load shedding is left to the policy.
+ *
+ * <p>No call is counted both here and by the policy: a call rejected here never reaches the policy, and a rejection by the policy
+ * gives no token back. A chain counts as one call; its steps are not checked. Tenants that the settings do not name share one
+ * entry. No I/O, clock or thread; not thread-safe.
  */
 public final class AdmissionController {
-    /** The entry of calls without a tenant, or of a tenant that is not named. */
+    /** Name of the quota entry for calls without a tenant and for tenants that the settings do not name. */
     public static final String DEFAULT_TENANT = "";
 
     /** The decision on a call. */
     public enum Decision {
-        /** It goes on to the policy. */
+        /** The call goes on to the policy. */
         ADMITTED,
-        /** Its tenant's rate is exceeded. */
+        /** The rate limit of the tenant is exceeded. */
         OVER_RATE,
-        /** Its tenant has as many pending calls as it may. */
+        /** The tenant has reached its limit of pending calls. */
         TOO_MANY_PENDING,
-        /** The fleet is full and its tenant is over its share. */
+        /** The fleet's concurrency limit is nearly reached and the tenant exceeds its share. */
         OVER_SHARE
     }
 
@@ -35,16 +38,16 @@
     public enum CallEnd {
         /** A worker answered. */
         ANSWERED,
-        /** The policy rejected it. */
+        /** The policy rejected the call. */
         REJECTED,
-        /** Neither: it failed, or its client cancelled it. */
+        /** The call failed, or its client cancelled it. */
         OTHER
     }
 
-    /** A decision with the advice when to retry, nanoseconds from now; 0 where the call was admitted. */
+    /** A decision and the time until a retry is advised, in nanoseconds; 0 if the call was admitted. */
     public record Verdict(Decision decision, long retryAfterNanos) {}
 
-    /** Counters of a tenant since the start, and its calls pending now. */
+    /** Counters of a tenant since the start of the process, and the number of its pending calls. */
     public record TenantMetrics(
             String tenant,
             int pending,
@@ -54,11 +57,11 @@
             long rejectedByShare) {}
 
     private static final Verdict ADMITTED = new Verdict(Decision.ADMITTED, 0);
-    /** A tenant that keeps to this part of its share on average may exceed it for a moment. */
-    private static final double STEADY_PART = 0.9;
-    /** Standard deviations of Poisson arrivals that such a tenant may exceed its share by. */
+    /** A tenant whose average of pending calls is at most this fraction of its share may exceed the share briefly. */
+    private static final double STEADY_FRACTION = 0.9;
+    /** By how many standard deviations of Poisson arrivals such a tenant may exceed its share. */
     private static final double BURST_DEVIATIONS = 3;
-    /** About when some of the pending calls will have ended. */
+    /** Rough time until some of the pending calls have ended. */
     private static final long RETRY_AFTER_NANOS = 100_000_000L;
 
     private final Map<String, TenantAdmission> tenants = new LinkedHashMap<>();
@@ -66,37 +69,39 @@
     private int pending;
 
     /**
-     * A controller without any pending call.
+     * Creates a controller without pending calls.
      *
-     * @throws InvalidAdmissionSettingsException where the settings have no entry for {@link #DEFAULT_TENANT}
+     * @throws InvalidAdmissionSettingsException if the settings have no entry for {@link #DEFAULT_TENANT}
      */
     public AdmissionController(AdmissionSettings settings) {
         fleetLimit = new FleetConcurrencyLimit(settings.fullAtObjectiveShare());
         settings.tenants().forEach((name, quota) -> tenants.put(name, new TenantAdmission(name, quota)));
         if (!tenants.containsKey(DEFAULT_TENANT)) {
-            throw new InvalidAdmissionSettingsException("no entry for tenants that are not named");
+            throw new InvalidAdmissionSettingsException(
+                    "tenants: found no entry '', allowed: one for tenants that are not named");
         }
     }
 
-    /** The entry that a tenant goes by; null counts as none. */
+    /** The quota entry that applies to a tenant; null for a call without a tenant. */
     private TenantAdmission entryOf(String tenant) {
         TenantAdmission known = tenant == null ? null : tenants.get(tenant);
         return known == null ? tenants.get(DEFAULT_TENANT) : known;
     }
 
-    /** A call arrived; where it is admitted, {@link #onCallEnded} has to follow. */
+    /** Decides on a call that arrived. If the call is admitted, {@link #onCallEnded} must follow. */
     public Verdict onArrival(long nowNanos, String tenantName) {
         TenantAdmission tenant = entryOf(tenantName);
         tenant.onArrival(nowNanos);
-        if (tenant.isPendingExhausted()) {
+        if (tenant.isPendingLimitReached()) {
             return reject(tenant, Decision.TOO_MANY_PENDING, RETRY_AFTER_NANOS);
         }
         if (isOverShare(tenant, nowNanos)) {
             return reject(tenant, Decision.OVER_SHARE, RETRY_AFTER_NANOS);
         }
-        OptionalLong tokenIn = tenant.acquireToken(nowNanos); // last, so that a call rejected otherwise costs no token
-        if (tokenIn.isPresent()) {
-            return reject(tenant, Decision.OVER_RATE, tokenIn.getAsLong());
+        OptionalLong nanosUntilToken =
+                tenant.acquireToken(nowNanos); // last, so that a call rejected otherwise takes no token
+        if (nanosUntilToken.isPresent()) {
+            return reject(tenant, Decision.OVER_RATE, nanosUntilToken.getAsLong());
         }
         tenant.onAdmitted();
         pending++;
@@ -114,14 +119,14 @@
                 && !isOnlyActive(tenant, nowNanos);
     }
 
-    /** Calls that a tenant may have pending: its share, and where it keeps to that on average, what chance adds to it. */
+    /** Number of calls that a tenant may have pending: its share, plus a margin for random bursts if its average is low. */
     private double allowance(TenantAdmission tenant, long nowNanos) {
         double share = shareOf(tenant, nowNanos);
-        boolean isSteady = tenant.meanPending() <= STEADY_PART * share;
+        boolean isSteady = tenant.meanPending() <= STEADY_FRACTION * share;
         return isSteady ? share + BURST_DEVIATIONS * Math.sqrt(share) : share;
     }
 
-    /** A tenant's part, by weight among the active ones, of the calls that the fleet bears. */
+    /** A tenant's share of the fleet's concurrency limit, by its weight among the active tenants; at least 1. */
     private double shareOf(TenantAdmission tenant, long nowNanos) {
         double weights = 0;
         for (TenantAdmission other : tenants.values()) {
@@ -139,19 +144,24 @@
         return true;
     }
 
-    /** An admitted call ended so long after it arrived; {@code objectiveNanos} is the latency objective of its class. */
-    public void onCallEnded(long nowNanos, String tenantName, CallEnd end, long tookNanos, long objectiveNanos) {
+    /**
+     * Records the end of an admitted call.
+     *
+     * @param latencyNanos   time from the arrival of the call to its end
+     * @param objectiveNanos latency objective of its class
+     */
+    public void onCallEnded(long nowNanos, String tenantName, CallEnd end, long latencyNanos, long objectiveNanos) {
         entryOf(tenantName).onCallEnded(nowNanos);
-        fleetLimit.onCallEnded(nowNanos, pending, end, tookNanos, objectiveNanos);
+        fleetLimit.onCallEnded(nowNanos, pending, end, latencyNanos, objectiveNanos);
         pending--;
     }
 
-    /** Calls pending at once that the fleet is believed to bear. */
+    /** Estimated number of calls that the fleet can serve concurrently. */
     public double limit() {
         return fleetLimit.limit();
     }
 
-    /** Metrics by tenant, in the order of the settings. */
+    /** Metrics of each tenant, in the order of the settings. */
     public List<TenantMetrics> metrics() {
         return tenants.values().stream().map(TenantAdmission::metrics).toList();
     }
--- a/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionSettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionSettings.java
@@ -6,10 +6,10 @@
  * Settings of an {@link AdmissionController}.
  *
  * @param tenants              quotas by tenant, with an entry for {@link AdmissionController#DEFAULT_TENANT}
- * @param fullAtObjectiveShare part of its latency objective, 0 to 1, that an answer may take before the fleet counts as full; set
- *                             below what calls take on an idle fleet, it always does
+ * @param fullAtObjectiveShare fraction of the latency objective, 0 to 1, above which an answer indicates a full fleet; if set below
+ *                             the latency on an idle fleet, the fleet always counts as full
  */
 public record AdmissionSettings(Map<String, TenantQuota> tenants, double fullAtObjectiveShare) {
-    /** The default: an answer beyond it is close to its objective. */
+    /** Default fraction: an answer that takes longer is close to its objective. */
     public static final double DEFAULT_FULL_AT_OBJECTIVE_SHARE = 0.7;
 }
--- a/decisions/src/main/java/wharfhinge/decisions/admission/TenantAdmission.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/TenantAdmission.java
@@ -4,10 +4,10 @@
 import wharfhinge.decisions.admission.AdmissionController.Decision;
 import wharfhinge.decisions.admission.AdmissionController.TenantMetrics;
 
-/** State of one tenant at the admission: its token bucket, its pending calls and its counters. */
+/** Admission state of one tenant: its token bucket, its pending calls and its counters. */
 final class TenantAdmission {
     private static final double NANOS_PER_SECOND = 1_000_000_000;
-    /** A tenant is active for so long after its last call. */
+    /** How long a tenant counts as active after its last call. */
     private static final long ACTIVE_NANOS = 1_000_000_000L;
 
     private final String name;
@@ -37,7 +37,7 @@
         return pending;
     }
 
-    /** Pending calls, smoothed over about the time that a tenant counts as active. */
+    /** Exponential moving average of the pending calls, over about the time for which a tenant counts as active. */
     double meanPending() {
         return meanPending;
     }
@@ -46,7 +46,7 @@
         return pending > 0 || nowNanos - lastCallNanos < ACTIVE_NANOS;
     }
 
-    boolean isPendingExhausted() {
+    boolean isPendingLimitReached() {
         return quota.maxPending() > 0 && pending >= quota.maxPending();
     }
 
@@ -55,7 +55,11 @@
         updateMean(nowNanos);
     }
 
-    /** Takes a token from the bucket. Empty where there was one, or no rate is set; else nanoseconds until the next one comes. */
+    /**
+     * Takes a token from the bucket.
+     *
+     * @return nanoseconds until the next token; empty if there was a token, or the tenant has no rate limit
+     */
     OptionalLong acquireToken(long nowNanos) {
         double rate = quota.requestsPerSecond();
         if (rate <= 0) {
@@ -80,7 +84,7 @@
             case OVER_RATE -> rejectedByRate++;
             case TOO_MANY_PENDING -> rejectedByPending++;
             case OVER_SHARE -> rejectedByShare++;
-            case ADMITTED -> throw new IllegalStateException("an admitted call is not rejected");
+            case ADMITTED -> throw new IllegalStateException("an admitted call was counted as rejected");
         }
     }
 
@@ -89,7 +93,7 @@
         pending--;
     }
 
-    /** Takes what was pending since the last update into the mean. */
+    /** Adds the time since the last update, with the current number of pending calls, to the moving average. */
     private void updateMean(long nowNanos) {
         double negativeElapsed = (meanUpdatedAtNanos - nowNanos) / (double) ACTIVE_NANOS;
         meanPending += (1 - Math.exp(negativeElapsed)) * (pending - meanPending);
--- a/decisions/src/main/java/wharfhinge/decisions/admission/TenantQuota.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/TenantQuota.java
@@ -1,21 +1,25 @@
 package wharfhinge.decisions.admission;
 
 /**
- * What one tenant may have.
+ * Limits of one tenant.
  *
- * @param weight            its share against the others' where all together want too much; above 0
- * @param requestsPerSecond calls a second in the long run; 0 for no limit
- * @param burst             calls that may come at once after a pause, size of the token bucket; ignored without a rate
- * @param maxPending        calls pending at once; 0 for no limit
+ * @param weight            weight of its share when the tenants together exceed the fleet's concurrency limit; above 0
+ * @param requestsPerSecond sustained rate limit in calls per second; 0 for no limit
+ * @param burst             size of the token bucket: calls that may arrive at once after a pause; ignored without a rate limit
+ * @param maxPending        limit of pending calls; 0 for no limit
  */
 public record TenantQuota(double weight, double requestsPerSecond, double burst, int maxPending) {
-    /** Validates the values. */
+    /**
+     * Validates the limits.
+     *
+     * @throws InvalidAdmissionSettingsException if a limit is out of range
+     */
     public TenantQuota {
         if (!(weight > 0) || requestsPerSecond < 0 || requestsPerSecond > 0 && burst < 1 || maxPending < 0) {
             throw new InvalidAdmissionSettingsException(
-                    "tenant: found weight " + weight + ", " + requestsPerSecond + " a second with burst "
-                            + burst + ", most open " + maxPending
-                            + ", allowed: weight above 0, the others 0 or more, burst 1 or more with a rate");
+                    "tenant: found weight " + weight + ", " + requestsPerSecond + " calls per second with burst "
+                            + burst + ", pending limit " + maxPending
+                            + ", allowed: weight above 0, the others 0 or more, burst 1 or more with a rate limit");
         }
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
+++ b/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
@@ -3,42 +3,43 @@
 import java.util.Random;
 
 /**
- * Exponential backoff with jitter between attempts to open an endpoint list watch: none after a watch that lasted, else a pause
- * that doubles, each drawn between half of it and the whole. So a watch that breaks again and again, or a source that is down, costs
- * each process a few attempts a second at most, and many processes whose watches ended together do not reconnect together.
+ * Exponential backoff with jitter between attempts to open an endpoint list watch. A watch that lasted is reopened without a pause.
+ * Otherwise the pause doubles with each attempt up to a maximum, and the actual pause is drawn between half of it and the whole.
+ * This limits each process to a few attempts per second if watches break repeatedly or the source is down, and keeps processes whose
+ * watches ended together from reconnecting together.
  *
- * <p>Pure: durations come in, and it draws from its seed alone. One thread.
+ * <p>Deterministic: durations are passed in, and the jitter depends on the seed alone. Not thread-safe.
  */
 public final class WatchBackoff {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long MIN_PAUSE_NANOS = 20 * NANOS_PER_MILLI;
-    /** The list may be some seconds old, so a source that is back is to be found soon. */
+    /** Short, so that a source that is back is found soon: the endpoint list may already be some seconds old. */
     private static final long MAX_PAUSE_NANOS = 500 * NANOS_PER_MILLI;
-    /** A source that works sends something each second. */
-    private static final long LASTED_NANOS = 1000 * NANOS_PER_MILLI;
+    /** Minimum duration of a watch that counts as working: a working source sends data every second. */
+    private static final long MIN_WORKING_WATCH_NANOS = 1000 * NANOS_PER_MILLI;
 
     private final Random random;
     private long pauseNanos;
 
-    /** A backoff whose first pause is the shortest. */
+    /** Creates a backoff that starts with the shortest pause. */
     public WatchBackoff(long seed) {
         random = new Random(seed);
     }
 
-    /** Starts again with the shortest pause: another source is tried, and the former one's failures do not count. */
+    /** Restarts with the shortest pause. Used when another source is tried: failures of the former one do not count. */
     public void reset() {
         pauseNanos = 0;
     }
 
     /**
-     * A watch ended, or could not be opened.
+     * Returns the pause before the next attempt after a watch ended or could not be opened.
      *
-     * @param hasReceivedData     whether any data came on it
-     * @param lastedNanos time since the attempt to open it
-     * @return the pause before the next attempt, nanoseconds
+     * @param hasReceivedData whether any data was received on the watch
+     * @param lastedNanos     time since the attempt to open the watch
+     * @return the pause in nanoseconds
      */
     public long nextPauseNanos(boolean hasReceivedData, long lastedNanos) {
-        if (hasReceivedData && lastedNanos >= LASTED_NANOS) {
+        if (hasReceivedData && lastedNanos >= MIN_WORKING_WATCH_NANOS) {
             pauseNanos = 0;
             return 0;
         }
--- a/decisions/src/main/java/wharfhinge/decisions/watch/package-info.java
+++ b/decisions/src/main/java/wharfhinge/decisions/watch/package-info.java
@@ -1,2 +1,2 @@
-/** Backoff between attempts to open an endpoint list watch again. Pure: durations come in, a pause goes out; no clock or thread. */
+/** Backoff between attempts to reopen an endpoint list watch. Durations are passed in; there is no clock or thread. */
 package wharfhinge.decisions.watch;
--- a/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerGoldenTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerGoldenTest.java
@@ -15,29 +15,29 @@
 import wharfhinge.decisions.admission.AdmissionController.Verdict;
 
 /**
- * Holds the exact sequence of verdicts, limits and counters for random sequences of calls, as a digest (enums by ordinal,
- * so that a renamed constant changes nothing). A change of structure must
- * leave the digest as it is; a change of the decisions replaces it and says so in its commit.
+ * Checks the exact sequence of verdicts, limits and counters for random sequences of calls against a recorded digest. Enums enter the
+ * digest by ordinal, so renaming a constant does not change it. A refactoring must leave the digest unchanged; a change of the decisions
+ * replaces it and says so in its commit.
  */
 class AdmissionControllerGoldenTest {
     private static final String EXPECTED_DIGEST = "35ec0587991a48b5766381d554ef125aa092794884c305ddc3e0555c2c073227";
     private static final long MILLIS = 1_000_000L;
     private static final int SEEDS = 200;
-    private static final int STEPS = 1000;
+    private static final int EVENTS = 1000;
     private static final String[] TENANTS = {"a", "b", "c", "unnamed", null};
 
-    private record OpenCall(String tenant, long arrivedAt) {}
+    private record PendingCall(String tenant, long arrivedAt) {}
 
     @Test
     void verdictsOfRandomCallSequences_matchTheRecordedDigest() throws Exception {
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
         for (int seed = 0; seed < SEEDS; seed++) {
-            play(new Random(seed), digest);
+            runRandomSequence(new Random(seed), digest);
         }
         assertEquals(EXPECTED_DIGEST, HexFormat.of().formatHex(digest.digest()));
     }
 
-    private static void play(Random random, MessageDigest digest) {
+    private static void runRandomSequence(Random random, MessageDigest digest) {
         Map<String, TenantQuota> quotas = new LinkedHashMap<>();
         quotas.put("a", new TenantQuota(2, 50, 5, 0));
         quotas.put("b", new TenantQuota(1, 0, 0, 1 + random.nextInt(12)));
@@ -45,20 +45,20 @@
         quotas.put(AdmissionController.DEFAULT_TENANT, new TenantQuota(1, 0, 0, 0));
         AdmissionController controller = new AdmissionController(
                 new AdmissionSettings(quotas, AdmissionSettings.DEFAULT_FULL_AT_OBJECTIVE_SHARE));
-        ArrayDeque<OpenCall> open = new ArrayDeque<>();
+        ArrayDeque<PendingCall> pendingCalls = new ArrayDeque<>();
         long now = 0;
-        int arrivalsInTen = 4 + random.nextInt(3);
-        for (int step = 0; step < STEPS; step++) {
+        int arrivalsPerTenEvents = 4 + random.nextInt(3);
+        for (int event = 0; event < EVENTS; event++) {
             now += random.nextInt(12) * MILLIS;
-            if (random.nextInt(10) < arrivalsInTen) {
+            if (random.nextInt(10) < arrivalsPerTenEvents) {
                 String tenant = TENANTS[random.nextInt(TENANTS.length)];
                 Verdict verdict = controller.onArrival(now, tenant);
                 if (verdict.decision() == Decision.ADMITTED) {
-                    open.add(new OpenCall(tenant, now));
+                    pendingCalls.add(new PendingCall(tenant, now));
                 }
                 record(digest, verdict.decision().ordinal() + " " + verdict.retryAfterNanos());
-            } else if (!open.isEmpty()) {
-                OpenCall call = random.nextBoolean() ? open.pollFirst() : open.pollLast();
+            } else if (!pendingCalls.isEmpty()) {
+                PendingCall call = random.nextBoolean() ? pendingCalls.pollFirst() : pendingCalls.pollLast();
                 int kind = random.nextInt(20);
                 CallEnd end = kind == 0 ? CallEnd.REJECTED : kind == 1 ? CallEnd.OTHER : CallEnd.ANSWERED;
                 controller.onCallEnded(
--- a/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/admission/AdmissionControllerTest.java
@@ -15,7 +15,7 @@
 import wharfhinge.decisions.admission.AdmissionController.CallEnd;
 import wharfhinge.decisions.admission.AdmissionController.Decision;
 
-/** The controller alone, and before a simulated fleet of so many servers. */
+/** Tests the controller alone and in front of a simulated fleet with a fixed number of servers. */
 class AdmissionControllerTest {
     private static final long MILLIS = 1_000_000L;
 
@@ -38,7 +38,10 @@
         assertEquals(Decision.OVER_RATE, third.decision());
         assertEquals(100 * MILLIS, third.retryAfterNanos());
         assertEquals(Decision.ADMITTED, controller.onArrival(100 * MILLIS, "a").decision());
-        assertEquals(Decision.ADMITTED, controller.onArrival(100 * MILLIS, "b").decision(), "another has no rate");
+        assertEquals(
+                Decision.ADMITTED,
+                controller.onArrival(100 * MILLIS, "b").decision(),
+                "another tenant has no rate limit");
     }
 
     @Test
@@ -60,7 +63,7 @@
         assertEquals(
                 Decision.ADMITTED,
                 controller.onArrival(0, "b").decision(),
-                "and another is let in whatever the first has open");
+                "another tenant is admitted whatever the first one has pending");
     }
 
     @Test
@@ -75,7 +78,7 @@
         assertThrows(IllegalArgumentException.class, () -> new TenantQuota(0, 0, 0, 0));
     }
 
-    /** An answer after four tenths of its objective cuts the limit where three tenths count as full, and not by default. */
+    /** An answer at 40 % of its objective lowers the limit if the fleet counts as full at 30 %, but not by default. */
     @Test
     void fullAtObjectiveShare_decidesWhatCutsTheLimit() {
         for (double fullAt : new double[] {0.3, AdmissionSettings.DEFAULT_FULL_AT_OBJECTIVE_SHARE}) {
@@ -90,34 +93,39 @@
         }
     }
 
-    private record PendingCall(long at, String tenant, long arrivedAt) {}
+    private record PendingCall(long endsAt, String tenant, long arrivedAt) {}
 
-    /** So many servers with 50 ms a call and one queue; answers after 200 ms are late. Gives the answers in time of the last half, by tenant. */
-    private static Map<String, Integer> play(
+    /**
+     * Simulates servers with one queue that take 50 ms per call; answers after 200 ms are late.
+     *
+     * @return number of answers in time in the second half of the run, by tenant
+     */
+    private static Map<String, Integer> simulate(
             AdmissionController controller, Map<String, Double> arrivalsPerSecond, int servers, int seconds) {
         Random random = new Random(5);
         Map<String, Integer> inTime = new HashMap<>();
-        PriorityQueue<PendingCall> ends = new PriorityQueue<>((x, y) -> Long.compare(x.at, y.at));
-        PriorityQueue<Long> free = new PriorityQueue<>();
+        PriorityQueue<PendingCall> ends =
+                new PriorityQueue<>((first, second) -> Long.compare(first.endsAt, second.endsAt));
+        PriorityQueue<Long> freeAt = new PriorityQueue<>();
         for (int i = 0; i < servers; i++) {
-            free.add(0L);
+            freeAt.add(0L);
         }
         for (long now = 0; now < seconds * 1000 * MILLIS; now += MILLIS) {
-            while (!ends.isEmpty() && ends.peek().at <= now) {
+            while (!ends.isEmpty() && ends.peek().endsAt <= now) {
                 PendingCall due = ends.poll();
-                boolean good = due.at - due.arrivedAt <= 200 * MILLIS;
-                controller.onCallEnded(now, due.tenant, CallEnd.ANSWERED, due.at - due.arrivedAt, 200 * MILLIS);
-                if (good && now > seconds * 500 * MILLIS) {
+                boolean isInTime = due.endsAt - due.arrivedAt <= 200 * MILLIS;
+                controller.onCallEnded(now, due.tenant, CallEnd.ANSWERED, due.endsAt - due.arrivedAt, 200 * MILLIS);
+                if (isInTime && now > seconds * 500 * MILLIS) {
                     inTime.merge(due.tenant, 1, Integer::sum);
                 }
             }
-            for (Map.Entry<String, Double> t : arrivalsPerSecond.entrySet()) {
-                double want = t.getValue() / 1000;
-                for (; random.nextDouble() < want; want--) {
-                    if (controller.onArrival(now, t.getKey()).decision() == Decision.ADMITTED) {
-                        long begins = Math.max(now, free.poll());
-                        free.add(begins + 50 * MILLIS);
-                        ends.add(new PendingCall(begins + 50 * MILLIS, t.getKey(), now));
+            for (Map.Entry<String, Double> arrivalRate : arrivalsPerSecond.entrySet()) {
+                double expectedArrivals = arrivalRate.getValue() / 1000;
+                for (; random.nextDouble() < expectedArrivals; expectedArrivals--) {
+                    if (controller.onArrival(now, arrivalRate.getKey()).decision() == Decision.ADMITTED) {
+                        long startsAt = Math.max(now, freeAt.poll());
+                        freeAt.add(startsAt + 50 * MILLIS);
+                        ends.add(new PendingCall(startsAt + 50 * MILLIS, arrivalRate.getKey(), now));
                     }
                 }
             }
@@ -128,20 +136,22 @@
     @Test
     void flood_costsOtherTenantsNothing() {
         Map<String, Double> load = new LinkedHashMap<>(Map.of("quiet", 240.0));
-        int alone = play(
+        int alone = simulate(
                         newController("quiet", new TenantQuota(1, 0, 0, 0), "flood", new TenantQuota(1, 0, 0, 0)),
                         load,
                         40,
                         20)
                 .get("quiet");
-        load.put("flood", 3600.0); // the fleet bears 800 a second
-        Map<String, Integer> both = play(
+        load.put("flood", 3600.0); // the fleet can serve 800 calls per second
+        Map<String, Integer> both = simulate(
                 newController("quiet", new TenantQuota(1, 0, 0, 0), "flood", new TenantQuota(1, 0, 0, 0)),
                 load,
                 40,
                 20);
         assertTrue(both.get("quiet") >= 0.97 * alone, both + " against " + alone);
-        assertTrue(both.get("flood") >= 0.8 * 560 * 10, "and the flood gets most of the rest: " + both);
+        assertTrue(
+                both.get("flood") >= 0.8 * 560 * 10,
+                "the flooding tenant gets most of the remaining capacity: " + both);
     }
 
     @Test
@@ -149,38 +159,38 @@
         Map<String, Double> load = new LinkedHashMap<>();
         load.put("one", 2000.0);
         load.put("three", 2000.0);
-        Map<String, Integer> got = play(
+        Map<String, Integer> answersInTime = simulate(
                 newController("one", new TenantQuota(1, 0, 0, 0), "three", new TenantQuota(3, 0, 0, 0)), load, 40, 30);
-        double ratio = got.get("three") / (double) got.get("one");
-        assertTrue(ratio > 2.4 && ratio < 3.6, "three to one: " + got);
+        double ratio = answersInTime.get("three") / (double) answersInTime.get("one");
+        assertTrue(ratio > 2.4 && ratio < 3.6, "expected a ratio of about three to one: " + answersInTime);
     }
 
-    /** Pending counts are the calls admitted and not ended; the bounds hold. */
+    /** The pending counts equal the calls admitted and not yet ended, and the limits hold. */
     @Property(tries = 200)
     void randomCalls_keepBoundsAndPendingCounts(@ForAll long seed) {
         Random random = new Random(seed);
         AdmissionController controller =
                 newController("a", new TenantQuota(2, 50, 5, 0), "b", new TenantQuota(1, 0, 0, 7));
-        String[] names = {"a", "b", "c", null};
-        Map<String, Integer> open = new HashMap<>();
+        String[] tenants = {"a", "b", "c", null};
+        Map<String, Integer> pendingCalls = new HashMap<>();
         long now = 0;
         for (int i = 0; i < 400; i++) {
             now += random.nextInt(30) * MILLIS;
-            String name = names[random.nextInt(names.length)];
-            String entry = name == null || name.equals("c") ? "" : name;
+            String tenant = tenants[random.nextInt(tenants.length)];
+            String quotaName = tenant == null || tenant.equals("c") ? "" : tenant;
             if (random.nextInt(3) > 0) {
-                if (controller.onArrival(now, name).decision() == Decision.ADMITTED) {
-                    open.merge(entry, 1, Integer::sum);
+                if (controller.onArrival(now, tenant).decision() == Decision.ADMITTED) {
+                    pendingCalls.merge(quotaName, 1, Integer::sum);
                 }
-            } else if (open.getOrDefault(entry, 0) > 0) {
-                open.merge(entry, -1, Integer::sum);
+            } else if (pendingCalls.getOrDefault(quotaName, 0) > 0) {
+                pendingCalls.merge(quotaName, -1, Integer::sum);
                 controller.onCallEnded(
-                        now, name, CallEnd.values()[random.nextInt(3)], random.nextInt(300) * MILLIS, 200 * MILLIS);
+                        now, tenant, CallEnd.values()[random.nextInt(3)], random.nextInt(300) * MILLIS, 200 * MILLIS);
             }
             for (AdmissionController.TenantMetrics metrics : controller.metrics()) {
-                assertEquals(open.getOrDefault(metrics.tenant(), 0), metrics.pending());
+                assertEquals(pendingCalls.getOrDefault(metrics.tenant(), 0), metrics.pending());
             }
-            assertTrue(open.getOrDefault("b", 0) <= 7);
+            assertTrue(pendingCalls.getOrDefault("b", 0) <= 7);
             assertTrue(controller.limit() >= 8);
         }
     }
--- a/decisions/src/test/java/wharfhinge/decisions/watch/WatchBackoffTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/watch/WatchBackoffTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Attempts to open an endpoint list watch are paced, whatever its source does. */
+/** Checks that attempts to open an endpoint list watch are rate limited, whatever its source does. */
 class WatchBackoffTest {
     private static final long MILLIS = 1_000_000L;
 
@@ -15,7 +15,7 @@
         assertEquals(0, new WatchBackoff(1).nextPauseNanos(true, 1000 * MILLIS));
     }
 
-    /** A source that is down, one that ends each watch after a byte, one that says nothing for seconds. */
+    /** Covers a source that is down, one that ends each watch after a byte, and one that sends nothing for seconds. */
     @Test
     void watchThatDoesNotLast_costsFewAttemptsPerSecond() {
         long[][] ends = {{0, 0}, {1, MILLIS}, {0, 2200 * MILLIS}};
