--- a/decisions/src/main/java/wharfhinge/decisions/copies/CallTable.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CallTable.java
@@ -8,7 +8,7 @@
 import wharfhinge.decisions.copies.CopyScheduler.Answer;
 import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
 
-/** All calls in flight on the worker: those that wait for a copy and those that run in one. */
+/** All calls in flight on the worker: those that wait for a copy and those that run on one. */
 final class CallTable {
     private final CopyPool pool;
     private final CopyScheduler.Actions actions;
@@ -55,7 +55,7 @@
         actions.startCall(call.id(), copy.id());
     }
 
-    /** Takes a running call out; its copy is settled by the caller. */
+    /** Removes a running call. The caller must pass its copy to {@link CopyPool#onLaneFreed}. */
     void finish(ScheduledCall call, Copy copy, CallEnd end) {
         calls.remove(call.id());
         copy.onCallEnded(end);
@@ -63,7 +63,7 @@
         running--;
     }
 
-    /** Starts waiting calls of a function while copies have free lanes; calls that came too late are rejected. */
+    /** Starts waiting calls of a function while copies have free lanes. Calls whose callers have stopped waiting are rejected. */
     void startWaiting(long nowNanos, FunctionState function) {
         Optional<Copy> free = function.copyWithFreeLane();
         while (free.isPresent() && !function.waitingCalls().isEmpty()) {
@@ -81,7 +81,7 @@
     /** Answers a call that ran. */
     void answer(ScheduledCall call, CallEnd end) {
         if (end == CallEnd.SERVED) {
-            actions.completeCall(call.id(), Answer.SERVED, call.met(), call.concurrentOnArrival());
+            actions.completeCall(call.id(), Answer.SERVED, call.copyUse(), call.concurrentOnArrival());
         } else {
             actions.completeCall(call.id(), Answer.ERROR, null, call.concurrentOnArrival());
         }
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Rejects waiting calls whose callers have stopped waiting, and tells of the function of each. */
+    /** Rejects waiting calls whose callers have stopped waiting, and passes the function of each to {@code onRejected}. */
     void rejectExpired(long nowNanos, Consumer<FunctionState> onRejected) {
         for (ScheduledCall call : List.copyOf(calls.values())) {
             if (call.isWaiting() && call.isExpired(nowNanos)) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/Copy.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/Copy.java
@@ -5,25 +5,25 @@
 import wharfhinge.decisions.copies.CopyScheduler.CallEnd;
 
 /**
- * One copy of a function, from the admission of its load until its memory is free again. {@link CopyPool} alone changes its
- * state, so that the memory accounting follows.
+ * One copy of a function, from the admission of its load until its memory is free again. Only {@link CopyPool} changes its state,
+ * which keeps the memory accounting consistent with it.
  */
 final class Copy {
-    /** Where a copy is in its life. */
+    /** State in the life cycle of a copy. */
     enum State {
-        /** Its load is admitted and waits for its turn or for memory; no memory is booked yet. */
+        /** The load is admitted and waits for its turn or for memory; no memory is booked yet. */
         QUEUED,
-        /** Its load is under way. */
+        /** The load is in progress. */
         LOADING,
-        /** It can run calls. */
+        /** The copy can run calls. */
         READY,
-        /** Its memory is being given back. */
+        /** The copy is stopping and its memory is being released. */
         UNLOADING,
-        /** Its memory can't be given back: something in it does not end. */
+        /** The memory cannot be released because code in the copy does not end. */
         STUCK
     }
 
-    /** Who a load is for. */
+    /** What a copy is loaded for. */
     enum Cause {
         CALL,
         ORDER
@@ -55,7 +55,7 @@
         return function;
     }
 
-    /** What is booked for it, or is to be booked once its load starts. */
+    /** Memory booked for the copy, or to be booked when its load starts. */
     long memoryKb() {
         return memoryKb;
     }
@@ -76,7 +76,7 @@
         this.state = state;
     }
 
-    /** Runs calls now or will once it is loaded. */
+    /** Whether the copy can run calls, or will be able to once it is loaded. */
     boolean isLive() {
         return !retired && state != State.UNLOADING && state != State.STUCK;
     }
@@ -85,7 +85,8 @@
         return !retired && state == State.READY;
     }
 
-    boolean isComing() {
+    /** Whether the load of the copy waits or is in progress. */
+    boolean isLoadPending() {
         return !retired && (state == State.QUEUED || state == State.LOADING);
     }
 
@@ -97,7 +98,7 @@
         return isReady() && runningCalls < lanes;
     }
 
-    /** Takes no more calls: one of its calls broke it or did not end in time. */
+    /** Whether the copy takes no more calls: a call broke it or exceeded its time limit, or the copy is stuck. */
     boolean isRetired() {
         return retired;
     }
@@ -106,12 +107,12 @@
         retired = true;
     }
 
-    /** What it is loaded for; a load for an order is repeated also where no call waits. */
+    /** What the copy is loaded for. A load for an order is retried even if no call waits. */
     Cause cause() {
         return cause;
     }
 
-    /** An order waits for it, whatever its load was admitted for. */
+    /** Records that an order waits for the copy, whatever its load was admitted for. */
     void markOrdered() {
         cause = Cause.ORDER;
     }
@@ -124,7 +125,10 @@
         runningCalls++;
     }
 
-    /** A call left it. One that is over its limit leaves its thread, and after that or a fault no further call may run. */
+    /**
+     * Records the end of a call. A call over its time limit leaves its thread in the copy; after that, or if a call broke the copy,
+     * no further call may run.
+     */
     void onCallEnded(CallEnd end) {
         runningCalls--;
         if (end == CallEnd.OVER_LIMIT) {
@@ -135,7 +139,7 @@
         }
     }
 
-    /** Whether threads of calls that were given up on are still in it. */
+    /** Whether threads of calls that exceeded their time limit are still in the copy. */
     boolean hasOverdueThreads() {
         return overdueThreads > 0;
     }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyPool.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyPool.java
@@ -9,8 +9,8 @@
 import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
 /**
- * All copies of the worker, by id and by function. Each change of a copy's state goes through here and is booked in the
- * {@link MemoryAccounting} in the same step.
+ * All copies of the worker, by id and by function. Every change of a copy's state goes through this class and is booked in the
+ * {@link MemoryAccounting} at the same time.
  */
 final class CopyPool {
     private final MemoryAccounting memory;
@@ -34,7 +34,7 @@
 
     // ---- Functions --------------------------------------------------------------------------
 
-    /** The state of a function, made where there is none. */
+    /** The state of a function, created if absent. */
     FunctionState functionOf(String name) {
         return functions.computeIfAbsent(name, FunctionState::new);
     }
@@ -43,7 +43,7 @@
         return Optional.ofNullable(functions.get(name));
     }
 
-    /** All functions of which anything is held, as a copy that does not change with the pool. */
+    /** A snapshot of all functions that have copies, waiting calls or orders. */
     List<FunctionState> functions() {
         return List.copyOf(functions.values());
     }
@@ -60,12 +60,12 @@
         return Optional.ofNullable(copies.get(copyId));
     }
 
-    /** A copy that the caller knows to be here, since its load is under way. */
+    /** A copy that must be in the pool because its load is in progress. */
     Copy get(long copyId) {
-        return find(copyId).orElseThrow(() -> new IllegalStateException("no copy " + copyId));
+        return find(copyId).orElseThrow(() -> new IllegalStateException("unknown copy " + copyId));
     }
 
-    /** Adds a copy whose load waits; its memory is booked by {@link #markLoading}. */
+    /** Adds a copy whose load waits; {@link #markLoading} books its memory. */
     Copy add(FunctionState function, long memoryKb, Copy.Cause cause) {
         Copy copy = new Copy(nextCopyId++, function, memoryKb, cause);
         copies.put(copy.id(), copy);
@@ -98,7 +98,7 @@
         memory.move(copy.id(), Part.STUCK);
     }
 
-    /** Books the memory that the package asks for; false, and nothing changed, where that much is not free. */
+    /** Books the memory that the package needs. Returns false and changes nothing if that much is not free. */
     boolean resize(Copy copy, long memoryKb) {
         if (!memory.resize(copy.id(), memoryKb)) {
             return false;
@@ -107,7 +107,7 @@
         return true;
     }
 
-    /** Settles what becomes of a copy once a call or an overdue thread has left it; nothing while others run in it. */
+    /** Updates the state of a copy after a call or an overdue thread has left it. Does nothing while other calls run on it. */
     void onLaneFreed(Copy copy, long nowNanos) {
         if (copy.hasRunningCalls()) {
             return;
@@ -121,14 +121,14 @@
         }
     }
 
-    /** Removes a copy that holds no memory: its load never started. */
+    /** Removes a copy whose load never started, so that no memory is booked for it. */
     void remove(Copy copy) {
         copies.remove(copy.id());
         copy.function().copies().remove(copy);
         forgetIfUnused(copy.function());
     }
 
-    /** Removes a copy whose memory was given back. */
+    /** Removes a copy whose memory has been released. */
     void release(Copy copy) {
         memory.remove(copy.id());
         remove(copy);
@@ -159,9 +159,9 @@
     }
 
     /**
-     * Starts to unload idle copies until so much memory will come free.
+     * Starts to unload idle copies that together free at least {@code neededKb}.
      *
-     * @return the number of copies evicted; empty, and none was, where all idle ones together do not suffice
+     * @return the number of copies evicted; empty, with none evicted, if all idle copies together do not suffice
      */
     Optional<Integer> evict(long neededKb) {
         Optional<List<Long>> victims = EvictionPolicy.select(idleCopies(), neededKb);
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
@@ -3,60 +3,60 @@
 import java.util.Optional;
 
 /**
- * Schedules the calls and loads of one worker: a call runs on a copy with a free lane, waits for one, starts a load, is a miss,
- * or is rejected; idle copies are evicted when memory is needed. The class reads as the way of an event; what it decides on
- * stands in collaborators: {@link CallTable} (calls in flight), {@link LoadQueue} (loads admitted), {@link LoadOrders} (orders
- * for copies) and {@link CopyPool} (copies and their memory).
+ * Schedules the calls and loads of one worker. A call runs on a copy with a free lane, waits for one, starts a load, is answered as
+ * a miss, or is rejected; idle copies are evicted when memory is needed. This class handles the events; the state is kept by its
+ * collaborators: {@link CallTable} (calls in flight), {@link LoadQueue} (admitted loads), {@link LoadOrders} (orders for copies) and
+ * {@link CopyPool} (copies and their memory).
  *
- * <p>Pure: events come in with their time in nanoseconds of one monotonic clock, {@link Actions} go out and may not call back
- * in. One thread.
+ * <p>No I/O, clock or thread: events are passed in with their time in nanoseconds of one monotonic clock, and decisions are carried
+ * out by {@link Actions}, which must not call the scheduler. Not thread-safe.
  *
- * <p>Bounded are calls that wait, loads that wait and loads under way; beyond a bound the answer is {@link Answer#FULL}.
+ * <p>Waiting calls, waiting loads and loads in progress are bounded; beyond a bound the answer is {@link Answer#FULL}.
  */
 public final class CopyScheduler {
     /** How a call is answered. */
     public enum Answer {
-        /** It ran to its end. */
+        /** The call ran and was answered. */
         SERVED,
-        /** It ran and failed, or may still run. */
+        /** The call ran and failed, or may still be running. */
         ERROR,
-        /** It did not run: no lane, queue place or memory is to be had in time. */
+        /** The call did not run: no lane, queue place or memory was available in time. */
         FULL,
-        /** It did not run: no copy is loaded, and only orders load. */
+        /** The call did not run: no copy is loaded, and only orders start loads. */
         MISS,
-        /** It did not run: the load that it waited for failed. */
+        /** The call did not run: the load that it waited for failed. */
         MISS_LOAD_FAILED
     }
 
-    /** Which copy a call ran on. */
+    /** Whether a copy was loaded when the call that ran on it arrived. */
     public enum CopyUse {
-        /** One that was loaded when the call arrived. */
+        /** The copy was already loaded. */
         ALREADY_LOADED,
-        /** One that was loaded for the call: a cold start. */
+        /** The copy was loaded for the call. */
         COLD_START,
-        /** One whose load had been admitted before the call arrived. */
+        /** The load of the copy had been admitted before the call arrived. */
         AWAITED_LOAD
     }
 
     /** How an order is answered. */
     public enum OrderAnswer {
-        /** As many copies as were asked for are ready. */
+        /** As many copies as requested are ready. */
         SERVED,
-        /** Fewer could be admitted; those that could are ready. */
+        /** Fewer copies than requested could be admitted, and those are ready; or the worker is draining. */
         FULL,
         /** A load failed. */
         ERROR
     }
 
-    /** How a call ended in its copy. */
+    /** How a call ended on its copy. */
     public enum CallEnd {
-        /** With an answer. */
+        /** The call was answered. */
         SERVED,
-        /** With an error that leaves the copy usable. */
+        /** The call failed and left the copy usable. */
         ERROR,
-        /** With an error after which the copy must not run another call. */
+        /** The call failed, and the copy must not run another call. */
         COPY_BROKEN,
-        /** Not at all: it exceeded its time limit, and its thread is still in the copy. */
+        /** The call exceeded its time limit, and its thread is still in the copy. */
         OVER_LIMIT
     }
 
@@ -64,97 +64,97 @@
     public enum LoadEnd {
         /** The copy can run calls. */
         READY,
-        /** It failed and its memory was given back. */
+        /** The load failed and its memory was released. */
         FAILED,
-        /** It failed and its memory can't be given back: something in it does not end. */
+        /** The load failed and its memory cannot be released because code in the copy does not end. */
         FAILED_STUCK,
-        /** The package needs more memory than was booked; {@link CopyScheduler#onMemoryMeasured} has said how much. */
+        /** The package needs more memory than was booked; {@link CopyScheduler#onMemoryMeasured} reported how much. */
         NEEDS_MORE_MEMORY
     }
 
-    /** What the worker has to do. Called in the order of the decisions; must not call the scheduler. */
+    /** Operations that the worker carries out. Called in the order of the decisions; must not call the scheduler. */
     public interface Actions {
-        /** Starts a load for which {@code bookedKb} KiB are booked; {@link CopyScheduler#onLoadCompleted} follows. */
+        /** Starts a load with {@code bookedKb} KiB booked for it; {@link CopyScheduler#onLoadCompleted} follows. */
         void startLoad(long copy, String function, long bookedKb);
 
-        /** Runs a call; {@link CopyScheduler#onCallCompleted} follows. */
+        /** Runs a call on a copy; {@link CopyScheduler#onCallCompleted} follows. */
         void startCall(long call, long copy);
 
-        /** Asks the code that runs a cancelled call to end. */
+        /** Asks the code of a cancelled call to end. */
         void interruptCall(long call);
 
         /**
          * Answers a call.
          *
-         * @param met     which copy ran it; null where none did, or it failed
+         * @param copyUse         whether the copy that ran the call was loaded before; null if the call failed or did not run
          * @param concurrentCalls other calls of the function that ran or waited on this worker when the call arrived
          */
-        void completeCall(long call, Answer answer, CopyUse met, int concurrentCalls);
+        void completeCall(long call, Answer answer, CopyUse copyUse, int concurrentCalls);
 
         /** Answers an order with the number of copies that are ready. */
-        void completeOrder(long order, OrderAnswer answer, int ready);
+        void completeOrder(long order, OrderAnswer answer, int readyCopies);
 
-        /** Gives an idle copy's memory back; {@link CopyScheduler#onCopyUnloaded} or {@link CopyScheduler#onCopyStuck} follows. */
+        /** Unloads an idle copy; {@link CopyScheduler#onCopyUnloaded} or {@link CopyScheduler#onCopyStuck} follows. */
         void unloadCopy(long copy);
 
-        /** The graceful shutdown is complete: no call is in flight any more. */
+        /** Called when the graceful shutdown is complete: no call is in flight. */
         void onDrained();
     }
 
     private final CopySettings settings;
     private final Actions actions;
     private final CopyPool pool;
-    private final LoadQueue pendingLoads;
+    private final LoadQueue loadQueue;
     private final CallTable calls;
     private final LoadOrders orders;
     private boolean isDraining;
-    private boolean drained;
+    private boolean isDrained;
 
-    /** A scheduler of a worker that holds no copy. */
+    /** Creates a scheduler for a worker without copies. */
     public CopyScheduler(CopySettings settings, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.pool = new CopyPool(settings.totalKb(), actions);
-        this.pendingLoads = new LoadQueue(settings, pool, actions);
+        this.loadQueue = new LoadQueue(settings, pool, actions);
         this.calls = new CallTable(pool, actions);
         this.orders = new LoadOrders(actions);
     }
 
-    /** The accounting of memory; read only. */
+    /** The memory accounting, for reading only. */
     public MemoryAccounting memory() {
         return pool.memory();
     }
 
-    /** Calls in flight, running and waiting. */
+    /** Number of calls in flight, running or waiting. */
     public int callsInFlight() {
         return calls.inFlight();
     }
 
-    /** Calls that wait for a copy. */
+    /** Number of calls that wait for a copy. */
     public int queuedCalls() {
         return calls.waiting();
     }
 
-    /** Loads under way or waiting. */
+    /** Number of loads in progress or waiting. */
     public int pendingLoads() {
-        return pendingLoads.size();
+        return loadQueue.size();
     }
 
-    /** Copies in any state, those whose load waits included. */
+    /** Number of copies in any state, including those whose load waits. */
     public int copyCount() {
         return pool.size();
     }
 
-    /** Whether it accepts nothing new. */
+    /** Whether the worker is draining and accepts no new calls and orders. */
     public boolean isDraining() {
         return isDraining;
     }
 
     /**
-     * A call arrived.
+     * Handles the arrival of a call.
      *
-     * @param hint           what the caller says of the function's needs; used until its package reports them
-     * @param expiresAtNanos when its caller stops waiting; a call that still waits then is rejected
+     * @param hint           the caller's estimate of what the function needs; used until its package reports it
+     * @param expiresAtNanos when the caller stops waiting; a call that still waits then is rejected
      */
     public void onCall(long nowNanos, long callId, String functionName, MemoryEstimate hint, long expiresAtNanos) {
         if (isDraining) {
@@ -165,7 +165,7 @@
         ScheduledCall call = new ScheduledCall(callId, function, expiresAtNanos);
         Optional<Copy> free = function.copyWithFreeLane();
         if (free.isPresent()) {
-            call.setMet(CopyUse.ALREADY_LOADED);
+            call.setCopyUse(CopyUse.ALREADY_LOADED);
             calls.start(call, free.get());
             return;
         }
@@ -180,15 +180,15 @@
         pool.forgetIfUnused(function);
     }
 
-    /** Lets a call wait and, where its function lacks a copy or may have a further one, admits a load for it. */
+    /** Queues a call and admits a load if its function lacks a copy or may get another. Rejects the call if neither is available. */
     private void enqueueWithLoad(ScheduledCall call, MemoryEstimate hint) {
         FunctionState function = call.function();
         boolean isCold = !function.hasLiveCopy();
-        boolean isCopyComing = function.hasCopyComing();
-        CopyUse otherwise = isCopyComing ? CopyUse.AWAITED_LOAD : CopyUse.ALREADY_LOADED;
-        call.setMet(isCold ? CopyUse.COLD_START : otherwise);
-        boolean mayAddCopy = settings.loadsOnCall() && settings.addsCopiesOnCall() && !isCopyComing;
-        boolean isLoadAdmitted = (isCold || mayAddCopy) && pendingLoads.admit(function, hint, Copy.Cause.CALL);
+        boolean hasPendingLoad = function.hasPendingLoad();
+        CopyUse otherwise = hasPendingLoad ? CopyUse.AWAITED_LOAD : CopyUse.ALREADY_LOADED;
+        call.setCopyUse(isCold ? CopyUse.COLD_START : otherwise);
+        boolean mayAddCopy = settings.loadsOnCall() && settings.addsCopiesOnCall() && !hasPendingLoad;
+        boolean isLoadAdmitted = (isCold || mayAddCopy) && loadQueue.admit(function, hint, Copy.Cause.CALL);
         if (isCold && !isLoadAdmitted) {
             calls.reject(call, Answer.FULL);
         } else {
@@ -196,7 +196,7 @@
         }
     }
 
-    /** The caller went away: a waiting call is dropped, a running one is asked to end. */
+    /** The caller cancelled a call: a waiting call is dropped, a running one is asked to end. */
     public void onCallCancelled(long nowNanos, long callId) {
         ScheduledCall call = calls.find(callId).orElse(null);
         if (call == null || call.isCancelled()) {
@@ -205,21 +205,21 @@
         call.markCancelled();
         if (call.isWaiting()) {
             calls.dequeue(call);
-            pendingLoads.cancelUnwanted(call.function());
-            settle();
+            loadQueue.cancelUnwanted(call.function());
+            startLoadsAndCheckDrain();
         } else {
             actions.interruptCall(callId);
         }
     }
 
-    /** A call's run ended, or is given up on. */
+    /** A running call ended or exceeded its time limit. */
     public void onCallCompleted(long nowNanos, long callId, CallEnd end) {
         ScheduledCall call = calls.find(callId).orElse(null);
         if (call == null) {
             return;
         }
-        Copy copy =
-                call.copy().orElseThrow(() -> new IllegalStateException("call " + callId + " ended while it waited"));
+        Copy copy = call.copy()
+                .orElseThrow(() -> new IllegalStateException("call " + callId + " ended before it was started"));
         calls.finish(call, copy, end);
         if (!call.isCancelled()) {
             calls.answer(call, end);
@@ -227,42 +227,42 @@
         pool.onLaneFreed(copy, nowNanos);
         calls.startWaiting(nowNanos, copy.function());
         if (copy.isRetired() && !isDraining) {
-            replaceLostCopy(copy.function());
+            replaceRetiredCopy(copy.function());
         }
-        settle();
+        startLoadsAndCheckDrain();
     }
 
-    /** A thread of a call that was given up on left its copy. */
+    /** The thread of a call that exceeded its time limit has left its copy. */
     public void onOverdueThreadReturned(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             copy.onOverdueThreadReturned();
             pool.onLaneFreed(copy, nowNanos);
-            settle();
+            startLoadsAndCheckDrain();
         });
     }
 
-    /** A copy takes no more calls: a new one is loaded at the cost of others where calls wait, else only where it fits. */
-    private void replaceLostCopy(FunctionState function) {
+    /** Loads a replacement for a retired copy: with evictions if calls wait, otherwise only if it fits without them. */
+    private void replaceRetiredCopy(FunctionState function) {
         boolean hasWaitingCalls = !function.waitingCalls().isEmpty();
         if (function.hasLiveCopy() && !hasWaitingCalls) {
             return;
         }
-        boolean fitsWithoutEviction = pendingLoads.fitsWithoutEviction(function);
-        boolean isAdmitted = !function.hasCopyComing()
+        boolean fitsWithoutEviction = loadQueue.fitsWithoutEviction(function);
+        boolean isAdmitted = !function.hasPendingLoad()
                 && (hasWaitingCalls || fitsWithoutEviction)
-                && pendingLoads.admit(function, MemoryEstimate.UNKNOWN, Copy.Cause.CALL);
+                && loadQueue.admit(function, MemoryEstimate.UNKNOWN, Copy.Cause.CALL);
         if (!isAdmitted && !function.hasLiveCopy()) {
             calls.rejectWaiting(function, Answer.FULL);
         }
     }
 
-    /** An order to hold so many copies; 0 only asks. The idle time of the function's idle copies starts again. */
+    /** Handles an order for {@code count} copies; 0 only asks. The idle time of the function's idle copies restarts. */
     public void onLoadOrder(long nowNanos, long orderId, String functionName, int count, MemoryEstimate hint) {
         FunctionState function = pool.functionOf(functionName);
         function.restartIdleTimes(nowNanos);
         int wanted = 0;
         if (!isDraining) {
-            pendingLoads.admitUpTo(count, function, hint);
+            loadQueue.admitUpTo(count, function, hint);
             wanted = Math.min(count, function.liveCopies());
         }
         orders.answerOrAwait(function, new LoadOrder(orderId, wanted, count > wanted));
@@ -270,32 +270,32 @@
         pool.forgetIfUnused(function);
     }
 
-    /** Nobody waits for an order any more: its loads that have not started are left out, unless calls want them. */
+    /** Cancels an order: the function's loads that have not started are dropped unless calls or other orders need them. */
     public void onLoadOrderCancelled(long nowNanos, long orderId) {
         orders.cancel(orderId).ifPresent(function -> {
-            pendingLoads.cancelUnwanted(function);
-            settle();
+            loadQueue.cancelUnwanted(function);
+            startLoadsAndCheckDrain();
         });
     }
 
-    /** Unloads a function's idle copies. One that runs a call, or has calls waiting for it, is not idle. */
+    /** Unloads a function's idle copies. A copy that runs a call is not idle, nor is one that waiting calls need. */
     public void onUnloadOrder(long nowNanos, String functionName) {
         pool.findFunction(functionName).ifPresent(function -> {
             pool.unloadIdleCopies(function);
-            settle();
+            startLoadsAndCheckDrain();
         });
     }
 
     /**
-     * A package reported what its copies need.
+     * Handles the report of a package on what its copies need.
      *
-     * @return false where the booked memory does not suffice and no more is free: the load has then to end as
+     * @return false if the booked memory does not suffice and not enough is free: the load must then end as
      *     {@link LoadEnd#NEEDS_MORE_MEMORY}
      */
     public boolean onMemoryMeasured(long nowNanos, long copyId, MemoryEstimate measured) {
-        boolean isCovered = pendingLoads.onMeasured(pool.get(copyId), measured);
+        boolean isCovered = loadQueue.onMeasured(pool.get(copyId), measured);
         if (isCovered) {
-            settle();
+            startLoadsAndCheckDrain();
         }
         return isCovered;
     }
@@ -303,7 +303,7 @@
     /** A load ended. */
     public void onLoadCompleted(long nowNanos, long copyId, LoadEnd end) {
         Copy copy = pool.get(copyId);
-        pendingLoads.onLoadEnded();
+        loadQueue.onLoadEnded();
         if (end == LoadEnd.READY) {
             pool.markReady(copy, nowNanos);
             calls.startWaiting(nowNanos, copy.function());
@@ -311,7 +311,7 @@
         } else {
             onLoadFailed(copy, end);
         }
-        settle();
+        startLoadsAndCheckDrain();
     }
 
     private void onLoadFailed(Copy copy, LoadEnd end) {
@@ -324,13 +324,13 @@
         boolean isWanted = !isDraining && (!function.waitingCalls().isEmpty() || copy.cause() == Copy.Cause.ORDER);
         boolean isRetried = end == LoadEnd.NEEDS_MORE_MEMORY
                 && isWanted
-                && pendingLoads.admit(function, MemoryEstimate.UNKNOWN, copy.cause());
+                && loadQueue.admit(function, MemoryEstimate.UNKNOWN, copy.cause());
         if (!isRetried) {
             answerWithoutCopy(function, end == LoadEnd.NEEDS_MORE_MEMORY ? Answer.FULL : Answer.MISS_LOAD_FAILED);
         }
     }
 
-    /** A load will not come: answers calls that no other copy can run, and orders. */
+    /** A load will not complete: answers the function's orders, and its waiting calls if no other copy can run them. */
     private void answerWithoutCopy(FunctionState function, Answer answer) {
         if (!function.hasLiveCopy()) {
             calls.rejectWaiting(function, answer);
@@ -338,58 +338,59 @@
         orders.onLoadFailed(function);
     }
 
-    /** A copy that was asked to stop is gone and its memory is free. */
+    /** A copy that was asked to stop has stopped, and its memory is free. */
     public void onCopyUnloaded(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             pool.release(copy);
-            settle();
+            startLoadsAndCheckDrain();
         });
     }
 
-    /** A copy that was asked to stop does not: its memory stays booked until {@link #onCopyUnloaded} follows after all. */
+    /** A copy that was asked to stop does not stop: its memory stays booked until a later {@link #onCopyUnloaded}. */
     public void onCopyStuck(long nowNanos, long copyId) {
         pool.find(copyId).ifPresent(copy -> {
             pool.markStuck(copy);
-            settle();
+            startLoadsAndCheckDrain();
         });
     }
 
-    /** The process holds so much more memory than is booked. */
+    /** The process was found to hold {@code leakedKb} KiB more memory than is booked. */
     public void onLeakMeasured(long nowNanos, long leakedKb) {
         pool.memory().setLeakedKb(leakedKb);
-        settle();
+        startLoadsAndCheckDrain();
     }
 
-    /** Called at a steady pace: unloads copies idle for too long, rejects calls whose callers have stopped waiting. */
+    /** Called periodically: unloads copies that have been idle for too long and rejects calls whose callers have stopped waiting. */
     public void onTick(long nowNanos) {
         pool.unloadExpiredCopies(nowNanos, settings.idleRetentionNanos());
-        calls.rejectExpired(nowNanos, pendingLoads::cancelUnwanted);
-        settle();
+        calls.rejectExpired(nowNanos, loadQueue::cancelUnwanted);
+        startLoadsAndCheckDrain();
     }
 
-    /** Starts a graceful shutdown: calls in flight finish, orders and loads that only they wanted are left out. */
+    /** Starts a graceful shutdown: calls in flight finish, orders are rejected, and waiting loads that no call needs are cancelled. */
     public void onDrain(long nowNanos) {
         isDraining = true;
         for (FunctionState function : pool.functions()) {
             orders.rejectAll(function);
-            pendingLoads.cancelUnwanted(function);
+            loadQueue.cancelUnwanted(function);
         }
-        settle();
+        startLoadsAndCheckDrain();
     }
 
-    private void settle() {
+    /** Starts the loads that can start now and reports the end of a graceful shutdown. */
+    private void startLoadsAndCheckDrain() {
         startLoads();
-        if (isDraining && !drained && calls.inFlight() == 0) {
-            drained = true;
+        if (isDraining && !isDrained && calls.inFlight() == 0) {
+            isDrained = true;
             actions.onDrained();
         }
     }
 
     private void startLoads() {
-        pendingLoads.startNext(this::onLoadGivenUp);
+        loadQueue.startNext(this::onLoadAbandoned);
     }
 
-    private void onLoadGivenUp(FunctionState function) {
+    private void onLoadAbandoned(FunctionState function) {
         answerWithoutCopy(function, Answer.FULL);
         pool.forgetIfUnused(function);
     }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/EvictionPolicy.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/EvictionPolicy.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Selects the idle copies to evict when memory is needed: least recently used first, and none that need not go. */
+/** Selects the idle copies to evict when memory is needed: least recently used first, and none whose eviction is not needed. */
 final class EvictionPolicy {
     /**
      * A copy that runs no call and may be evicted.
      *
-     * @param copy           its id
-     * @param memoryKb       memory that its eviction frees, KiB
-     * @param idleSinceNanos when it last became idle
+     * @param copy           id of the copy
+     * @param memoryKb       memory that its eviction frees, in KiB
+     * @param idleSinceNanos when the copy last became idle
      */
     record IdleCopy(long copy, long memoryKb, long idleSinceNanos) {}
 
@@ -22,10 +22,10 @@
     private EvictionPolicy() {}
 
     /**
-     * Takes the copies that have been idle longest until they suffice, then spares those that the later ones made
-     * unnecessary. Takes n log n for n idle copies.
+     * Selects the copies that have been idle longest until they suffice, then drops those from the selection that the later ones
+     * made unnecessary. Runs in O(n log n) for n idle copies.
      *
-     * @return the ids to evict, longest idle first; empty where all idle copies together do not suffice
+     * @return the ids of the copies to evict, longest idle first; empty if all idle copies together do not suffice
      */
     static Optional<List<Long>> select(List<IdleCopy> idleCopies, long neededKb) {
         if (neededKb <= 0) {
@@ -44,12 +44,12 @@
         if (freedKb < neededKb) {
             return Optional.empty();
         }
-        spareUnneeded(victims, freedKb - neededKb);
+        dropUnneeded(victims, freedKb - neededKb);
         return Optional.of(victims.stream().map(IdleCopy::copy).toList());
     }
 
-    /** Spares the most recently used first. */
-    private static void spareUnneeded(List<IdleCopy> victims, long surplusKb) {
+    /** Drops copies that are not needed to free enough memory from the selection, most recently used first. */
+    private static void dropUnneeded(List<IdleCopy> victims, long surplusKb) {
         long remainingKb = surplusKb;
         for (int index = victims.size() - 1; index >= 0; index--) {
             if (victims.get(index).memoryKb <= remainingKb) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/FunctionState.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/FunctionState.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What the worker holds of one function: its copies, the calls that wait for one, the orders that wait for several. */
+/** State of one function on the worker: its copies, the calls that wait for one of them, and the orders that wait for several. */
 final class FunctionState {
     private final String name;
     private final List<Copy> copies = new ArrayList<>();
@@ -22,17 +22,17 @@
         return name;
     }
 
-    /** Its copies in the order of their admission; open to {@link CopyPool} to change. */
+    /** Copies in the order of their admission; modified only by {@link CopyPool}. */
     List<Copy> copies() {
         return copies;
     }
 
-    /** Calls that wait, first come first; open to {@link CallTable} to change. */
+    /** Waiting calls by id, in the order of their arrival; modified only by {@link CallTable}. */
     Map<Long, ScheduledCall> waitingCalls() {
         return waitingCalls;
     }
 
-    /** Orders that wait, first come first; open to {@link LoadOrders} to change. */
+    /** Waiting orders in the order of their arrival; modified only by {@link LoadOrders}. */
     List<LoadOrder> orders() {
         return orders;
     }
@@ -74,12 +74,12 @@
         return copies.stream().anyMatch(Copy::isLive);
     }
 
-    /** Whether a load waits or is under way. */
-    boolean hasCopyComing() {
-        return copies.stream().anyMatch(Copy::isComing);
+    /** Whether a load of the function waits or is in progress. */
+    boolean hasPendingLoad() {
+        return copies.stream().anyMatch(Copy::isLoadPending);
     }
 
-    /** A copy that can run a call now: the eldest, so that the others can go idle and be evicted. */
+    /** The oldest copy with a free lane. Preferring the oldest lets the others become idle, so that they can be evicted. */
     Optional<Copy> copyWithFreeLane() {
         return copies.stream().filter(Copy::hasFreeLane).findFirst();
     }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/LoadOrders.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/LoadOrders.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
 
-/** Orders that wait for copies to become ready, and their answers. */
+/** Keeps the orders that wait for copies to become ready, and answers them. */
 final class LoadOrders {
     private final CopyScheduler.Actions actions;
     private final Map<Long, FunctionState> functionByOrder = new LinkedHashMap<>();
@@ -16,7 +16,7 @@
         this.actions = actions;
     }
 
-    /** Answers an order where its copies are ready, else keeps it until they are. */
+    /** Answers an order if its copies are ready, otherwise keeps it until they are. */
     void answerOrAwait(FunctionState function, LoadOrder order) {
         if (answerIfSatisfied(function, order)) {
             return;
@@ -26,14 +26,14 @@
         function.copies().stream().filter(Copy::isLive).forEach(Copy::markOrdered);
     }
 
-    /** Takes an order out without an answer; gives its function where the order waited. */
+    /** Removes an order without answering it. Returns its function if the order was waiting. */
     Optional<FunctionState> cancel(long orderId) {
         Optional<FunctionState> function = Optional.ofNullable(functionByOrder.remove(orderId));
         function.ifPresent(state -> state.orders().removeIf(order -> order.id() == orderId));
         return function;
     }
 
-    /** A copy became ready: answers the orders that have all they wait for. */
+    /** A copy became ready: answers the orders for which enough copies are ready now. */
     void onCopyReady(FunctionState function) {
         for (Iterator<LoadOrder> orders = function.orders().iterator(); orders.hasNext(); ) {
             LoadOrder order = orders.next();
@@ -44,7 +44,7 @@
         }
     }
 
-    /** A load failed for good: answers all orders, those that lack copies with an error. */
+    /** A load failed and is not retried: answers all orders of the function, those that lack copies with an error. */
     void onLoadFailed(FunctionState function) {
         for (LoadOrder order : function.orders()) {
             if (!answerIfSatisfied(function, order)) {
@@ -55,7 +55,7 @@
         function.orders().clear();
     }
 
-    /** Rejects all orders of a function since the worker takes nothing new. */
+    /** Rejects all orders of a function because the worker is draining. */
     void rejectAll(FunctionState function) {
         for (LoadOrder order : List.copyOf(function.orders())) {
             actions.completeOrder(order.id(), OrderAnswer.FULL, function.readyCopies());
@@ -65,11 +65,11 @@
     }
 
     private boolean answerIfSatisfied(FunctionState function, LoadOrder order) {
-        int ready = function.readyCopies();
-        if (ready < order.wantedCopies()) {
+        int readyCopies = function.readyCopies();
+        if (readyCopies < order.wantedCopies()) {
             return false;
         }
-        actions.completeOrder(order.id(), order.isPartial() ? OrderAnswer.FULL : OrderAnswer.SERVED, ready);
+        actions.completeOrder(order.id(), order.isPartial() ? OrderAnswer.FULL : OrderAnswer.SERVED, readyCopies);
         return true;
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
@@ -6,10 +6,10 @@
 import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
 /**
- * Loads that are admitted and wait for their turn, first come first served. A load is admitted once free memory, memory that
- * is being given back and what may be evicted cover it beside all loads admitted before; it starts once its memory is really
- * free and fewer loads than allowed run. So memory for either of two loads but not both goes to the first, and the second is
- * rejected at once.
+ * Queue of admitted loads, in the order of their admission. A load is admitted if free memory, memory that is being released and
+ * memory of evictable copies together cover this load and all loads admitted before it. It starts once its memory is actually free
+ * and fewer loads than the maximum are in progress. If memory suffices for either of two loads but not for both, the first one gets
+ * it and the second is rejected at once.
  */
 final class LoadQueue {
     private final CopySettings settings;
@@ -27,12 +27,12 @@
         this.estimates = new MemoryEstimates(settings.defaultCopyKb());
     }
 
-    /** Loads under way or waiting. */
+    /** Number of loads in progress or waiting. */
     int size() {
         return running + queue.size();
     }
 
-    /** Admits a load and starts the evictions that it needs; false, and nothing done, where it can't be had. */
+    /** Admits a load and starts the evictions that it needs. Returns false and changes nothing if it cannot be admitted. */
     boolean admit(FunctionState function, MemoryEstimate hint, Copy.Cause cause) {
         long memoryKb = estimates.memoryKb(function.name(), hint);
         if (queue.size() >= settings.maxQueuedLoads()) {
@@ -49,7 +49,7 @@
         return true;
     }
 
-    /** Admits loads for an order until a function has so many live copies or no further one can be had. */
+    /** Admits loads for an order until a function has {@code count} live copies or no further load can be admitted. */
     void admitUpTo(int count, FunctionState function, MemoryEstimate hint) {
         int missing = count - function.liveCopies();
         boolean isAdmitted = true;
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Whether a further copy of a function fits beside all loads that wait, without any eviction. */
+    /** Whether a further copy of a function fits beside all waiting loads without any eviction. */
     boolean fitsWithoutEviction(FunctionState function) {
         MemoryAccounting memory = pool.memory();
         long availableKb = memory.freeKb() + memory.bookedKb(Part.LEAVING) - queuedKb;
@@ -66,11 +66,12 @@
     }
 
     /**
-     * Starts loads in the order of their admission. One whose memory was lost meanwhile, to a leak or a stuck copy, is given up.
+     * Starts waiting loads in the order of their admission. A load whose memory has since been lost to a leak or a stuck copy is
+     * abandoned.
      *
-     * @param onGivenUp called for each load given up, once its copy is out of the pool
+     * @param onAbandoned called for each abandoned load, after its copy was removed from the pool
      */
-    void startNext(Consumer<FunctionState> onGivenUp) {
+    void startNext(Consumer<FunctionState> onAbandoned) {
         while (!queue.isEmpty()) {
             Copy next = queue.peek();
             boolean hasMemory = pool.memory().freeKb() >= next.memoryKb();
@@ -80,7 +81,7 @@
             } else if (!hasMemory && pool.memory().bookedKb(Part.LEAVING) == 0 && !evictFor(next)) {
                 dequeue(next);
                 pool.remove(next);
-                onGivenUp.accept(next.function());
+                onAbandoned.accept(next.function());
             } else {
                 return;
             }
@@ -102,7 +103,7 @@
         queuedKb -= copy.memoryKb();
     }
 
-    /** Leaves out the waiting loads of a function that neither a call nor an order wants any more. */
+    /** Cancels the waiting loads of a function if neither a call nor an order waits for it any more. */
     void cancelUnwanted(FunctionState function) {
         if (function.isAwaited()) {
             return;
@@ -115,7 +116,7 @@
         }
     }
 
-    /** A package reported what it needs; false where that much is not to be had beside the loads that wait. */
+    /** Records what a package needs. Returns false if that much memory is not available beside the waiting loads. */
     boolean onMeasured(Copy copy, MemoryEstimate measured) {
         estimates.learn(copy.function().name(), measured);
         copy.setLanes(measured.lanes());
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * Accounts for the memory of a worker's copies, in KiB. Each copy is booked under one {@link Part}; what is not booked is free.
- * Only {@link #remove} takes a copy out, so that memory which could not be given back stays counted. All operations take
- * constant time; one thread. Changes are made by {@link CopyPool} alone.
+ * Accounts for the memory of a worker's copies, in KiB. Each copy is booked under one {@link Part}; memory that is neither booked nor
+ * leaked is free. Only {@link #remove} removes a copy, so memory that could not be released stays counted. All operations take
+ * constant time. Bookings are changed only by {@link CopyPool}. Not thread-safe.
  */
 public final class MemoryAccounting {
-    /** What the memory of a copy is used for. Operators see the names, in lower case, in the worker's status. */
+    /** What the memory of a copy is used for. The worker's status shows the names in lower case. */
     public enum Part {
-        /** A load is under way. */
+        /** The load of the copy is in progress. */
         LOADING(false),
         /** The copy runs no call and may be evicted. */
         IDLE(true),
@@ -20,7 +20,7 @@
         WORKING(false),
         /** The copy is being unloaded. */
         LEAVING(false),
-        /** The memory can't be given back: something in the copy does not end. */
+        /** The memory cannot be released because code in the copy does not end. */
         STUCK(false);
 
         private final boolean isEvictable;
@@ -37,7 +37,7 @@
     private final Map<Part, Long> bookedKbByPart = new EnumMap<>(Part.class);
     private long leakedKb;
 
-    /** Accounting over so much memory, all of it free. */
+    /** Creates an accounting in which all of the memory is free. */
     MemoryAccounting(long totalKb) {
         this.totalKb = totalKb;
         for (Part part : Part.values()) {
@@ -48,11 +48,12 @@
     /**
      * Books a copy.
      *
-     * @throws IllegalStateException where it is booked already or needs more than is free
+     * @throws IllegalStateException if the copy is booked already or needs more memory than is free
      */
     void book(long copy, long memoryKb, Part part) {
         if (memoryKb < 0 || memoryKb > freeKb() || bookings.containsKey(copy)) {
-            throw new IllegalStateException("copy " + copy + " of " + memoryKb + " KiB with " + freeKb() + " free");
+            throw new IllegalStateException("cannot book copy " + copy + " with " + memoryKb
+                    + " KiB: booked already or more than the " + freeKb() + " KiB free");
         }
         put(copy, new Booking(memoryKb, part));
     }
@@ -63,7 +64,7 @@
         put(copy, new Booking(booking.memoryKb, part));
     }
 
-    /** Changes what is booked for a copy; false, and nothing changed, where the difference is more than is free. */
+    /** Changes the memory booked for a copy. Returns false and changes nothing if the difference is more than is free. */
     boolean resize(long copy, long memoryKb) {
         Booking booking = bookings.get(copy);
         if (memoryKb - booking.memoryKb > freeKb()) {
@@ -74,12 +75,15 @@
         return true;
     }
 
-    /** The memory of a copy was given back. */
+    /** Removes the booking of a copy whose memory has been released. */
     void remove(long copy) {
         take(copy);
     }
 
-    /** Sets what the process holds beyond what is booked; not free until a lower figure is set. Below 0 counts as 0. */
+    /**
+     * Sets the memory that the process holds beyond what is booked. It does not count as free until a lower figure is set; negative
+     * figures count as 0.
+     */
     void setLeakedKb(long kb) {
         leakedKb = Math.max(0, kb);
     }
@@ -98,32 +102,32 @@
         bookedKbByPart.merge(booking.part, booking.memoryKb, Long::sum);
     }
 
-    /** What is booked under a part, KiB. */
+    /** Memory booked under a part, in KiB. */
     public long bookedKb(Part part) {
         return bookedKbByPart.get(part);
     }
 
-    /** What the process holds beyond what is booked, as last measured, KiB. */
+    /** Memory that the process holds beyond what is booked, as last measured, in KiB. */
     public long leakedKb() {
         return leakedKb;
     }
 
-    /** What is booked for all copies, KiB. */
+    /** Memory booked for all copies, in KiB. */
     public long totalBookedKb() {
         return bookedKbByPart.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** What is neither booked nor leaked, KiB; never below 0, though a leak may exceed it. */
+    /** Memory that is neither booked nor leaked, in KiB; 0 if the leak exceeds what is not booked. */
     public long freeKb() {
         return Math.max(0, totalKb - totalBookedKb() - leakedKb);
     }
 
-    /** Memory for copies in all, KiB. */
+    /** Total memory for copies, in KiB. */
     public long totalKb() {
         return totalKb;
     }
 
-    /** The share of the memory, 0 to 1, that evictions of idle copies can't free. */
+    /** Share of the memory, 0 to 1, that cannot be freed by evicting idle copies. */
     public double busyShare() {
         long busyKb = leakedKb;
         for (Part part : Part.values()) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
@@ -3,8 +3,8 @@
 /**
  * What one copy of a function needs.
  *
- * @param memoryKb    memory in KiB; 0 where it is not known
- * @param lanes calls that one copy runs concurrently; 0 where it is not known
+ * @param memoryKb memory in KiB; 0 if unknown
+ * @param lanes    number of calls that one copy runs concurrently; 0 if unknown
  */
 public record MemoryEstimate(long memoryKb, int lanes) {
     /** Nothing is known. */
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimates.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimates.java
@@ -3,9 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What packages reported of their needs when they were loaded; bounded, the functions not asked for longest are forgotten. */
+/** What packages needed when they were loaded, by function. Bounded: the least recently used functions are dropped first. */
 final class MemoryEstimates {
-    /** Functions remembered. */
+    /** Maximum number of functions remembered. */
     static final int MAX_FUNCTIONS = 4096;
 
     private final long defaultKb;
@@ -19,9 +19,9 @@
     };
 
     /**
-     * No package has reported anything yet.
+     * Creates estimates without any report of a package.
      *
-     * @param defaultKb memory of a copy where nothing is known
+     * @param defaultKb memory of a copy if nothing is known, in KiB
      */
     MemoryEstimates(long defaultKb) {
         this.defaultKb = defaultKb;
@@ -31,7 +31,7 @@
         byFunction.put(function, measured);
     }
 
-    /** Memory for one copy in KiB: as its package reported, else as the caller's hint says, else the default. */
+    /** Memory for one copy in KiB: as its package reported, otherwise the caller's hint, otherwise the default. */
     long memoryKb(String function, MemoryEstimate hint) {
         MemoryEstimate known = byFunction.get(function);
         long estimatedKb = known != null ? known.memoryKb() : hint.memoryKb();
--- a/decisions/src/main/java/wharfhinge/decisions/copies/ScheduledCall.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/ScheduledCall.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 import wharfhinge.decisions.copies.CopyScheduler.CopyUse;
 
-/** A call that waits for a copy or runs in one. */
+/** A call that waits for a copy or runs on one. */
 final class ScheduledCall {
     private final long id;
     private final FunctionState function;
     private final long expiresAtNanos;
     private final int concurrentOnArrival;
-    private CopyUse met;
+    private CopyUse copyUse;
     private Copy copy;
     private boolean cancelled;
 
     /**
-     * A call that has just arrived.
+     * Creates a call that has just arrived.
      *
-     * @param expiresAtNanos when its caller stops waiting
+     * @param expiresAtNanos when the caller stops waiting
      */
     ScheduledCall(long id, FunctionState function, long expiresAtNanos) {
         this.id = id;
@@ -37,20 +37,20 @@
         return expiresAtNanos < nowNanos;
     }
 
-    /** Other calls of its function that ran or waited when it arrived. */
+    /** Number of other calls of the function that ran or waited when this call arrived. */
     int concurrentOnArrival() {
         return concurrentOnArrival;
     }
 
-    CopyUse met() {
-        return met;
+    CopyUse copyUse() {
+        return copyUse;
     }
 
-    void setMet(CopyUse met) {
-        this.met = met;
+    void setCopyUse(CopyUse copyUse) {
+        this.copyUse = copyUse;
     }
 
-    /** The copy that runs it; empty while it waits. */
+    /** The copy that runs the call; empty while the call waits. */
     Optional<Copy> copy() {
         return Optional.ofNullable(copy);
     }
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerGoldenTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerGoldenTest.java
@@ -18,21 +18,21 @@
 import wharfhinge.decisions.copies.CopyScheduler.OrderAnswer;
 
 /**
- * Holds the exact sequence of actions for random sequences of events, as a digest (enums by ordinal,
- * so that a renamed constant changes nothing). A change of the scheduler's structure must
- * leave the digest as it is; a change of its decisions replaces it and says so in its commit.
+ * Checks the exact sequence of actions for random sequences of events against a recorded digest. Enums enter the digest by ordinal, so
+ * renaming a constant does not change it. A refactoring of the scheduler must leave the digest unchanged; a change of its decisions
+ * replaces it and says so in its commit.
  */
 class CopySchedulerGoldenTest {
     private static final String EXPECTED_DIGEST = "2dd01e1a484bc5580a3d0ce7ddb04884c9b4f4c191f285fa8213b4fc48c44419";
     private static final int SEEDS = 500;
-    private static final int STEPS = 400;
+    private static final int EVENTS = 400;
 
-    /** Records each action as text and remembers what is under way, so that events refer to what exists. */
+    /** Adds each action as text to the digest and remembers what is in progress, so that events refer to what exists. */
     private static final class FakeWorker implements CopyScheduler.Actions {
         private final MessageDigest digest;
         private final Set<Long> loading = new LinkedHashSet<>();
         private final Map<Long, Long> copyByRunningCall = new LinkedHashMap<>();
-        private final Set<Long> stopping = new LinkedHashSet<>();
+        private final Set<Long> unloading = new LinkedHashSet<>();
         private final List<Long> copiesOfOverdueThreads = new ArrayList<>();
 
         FakeWorker(MessageDigest digest) {
@@ -61,19 +61,20 @@
         }
 
         @Override
-        public void completeCall(long call, CopyScheduler.Answer answer, CopyScheduler.CopyUse met, int company) {
-            record("answer " + call + " " + answer.ordinal() + " " + (met == null ? "-" : met.ordinal()) + " "
-                    + company);
+        public void completeCall(
+                long call, CopyScheduler.Answer answer, CopyScheduler.CopyUse copyUse, int concurrentCalls) {
+            record("answer " + call + " " + answer.ordinal() + " " + (copyUse == null ? "-" : copyUse.ordinal()) + " "
+                    + concurrentCalls);
         }
 
         @Override
-        public void completeOrder(long order, OrderAnswer answer, int ready) {
-            record("order " + order + " " + answer.ordinal() + " " + ready);
+        public void completeOrder(long order, OrderAnswer answer, int readyCopies) {
+            record("order " + order + " " + answer.ordinal() + " " + readyCopies);
         }
 
         @Override
         public void unloadCopy(long copy) {
-            stopping.add(copy);
+            unloading.add(copy);
             record("stop " + copy);
         }
 
@@ -87,12 +88,12 @@
     void actionsOfRandomEventSequences_matchTheRecordedDigest() throws Exception {
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
         for (int seed = 0; seed < SEEDS; seed++) {
-            play(new Random(seed), new FakeWorker(digest));
+            runRandomSequence(new Random(seed), new FakeWorker(digest));
         }
         assertEquals(EXPECTED_DIGEST, HexFormat.of().formatHex(digest.digest()));
     }
 
-    private static void play(Random random, FakeWorker worker) {
+    private static void runRandomSequence(Random random, FakeWorker worker) {
         CopySettings settings = new CopySettings(
                 100,
                 20,
@@ -104,12 +105,12 @@
                 random.nextBoolean());
         CopyScheduler scheduler = new CopyScheduler(settings, worker);
         long now = 0;
-        for (int step = 0; step < STEPS; step++) {
+        for (int event = 0; event < EVENTS; event++) {
             now += random.nextInt(8);
             if (random.nextBoolean()) {
-                requestEvent(random, scheduler, now, step);
+                applyRequestEvent(random, scheduler, now, event);
             } else {
-                workerEvent(random, scheduler, worker, now);
+                applyWorkerEvent(random, scheduler, worker, now);
             }
             worker.record("books " + scheduler.memory().totalBookedKb() + " "
                     + scheduler.memory().freeKb() + " "
@@ -121,19 +122,19 @@
         scheduler.onTick(now + 1000);
     }
 
-    private static void requestEvent(Random random, CopyScheduler scheduler, long now, int step) {
+    private static void applyRequestEvent(Random random, CopyScheduler scheduler, long now, int event) {
         String function = "f" + random.nextInt(4);
         MemoryEstimate hint = new MemoryEstimate(random.nextInt(3) * 15, 0);
         switch (random.nextInt(9)) {
-            case 0, 1, 2, 3, 4 -> scheduler.onCall(now, step, function, hint, now + 5 + random.nextInt(60));
-            case 5 -> scheduler.onLoadOrder(now, step, function, random.nextInt(5), hint);
-            case 6 -> scheduler.onCallCancelled(now, random.nextInt(step + 1));
-            case 7 -> scheduler.onLoadOrderCancelled(now, random.nextInt(step + 1));
+            case 0, 1, 2, 3, 4 -> scheduler.onCall(now, event, function, hint, now + 5 + random.nextInt(60));
+            case 5 -> scheduler.onLoadOrder(now, event, function, random.nextInt(5), hint);
+            case 6 -> scheduler.onCallCancelled(now, random.nextInt(event + 1));
+            case 7 -> scheduler.onLoadOrderCancelled(now, random.nextInt(event + 1));
             default -> scheduler.onUnloadOrder(now, function);
         }
     }
 
-    private static void workerEvent(Random random, CopyScheduler scheduler, FakeWorker worker, long now) {
+    private static void applyWorkerEvent(Random random, CopyScheduler scheduler, FakeWorker worker, long now) {
         switch (random.nextInt(10)) {
             case 0 -> scheduler.onTick(now);
             case 1 -> scheduler.onLeakMeasured(now, Math.max(0, random.nextInt(60) - 40));
@@ -143,11 +144,11 @@
                 }
             }
             case 3, 4 -> {
-                long copy = anyOf(worker.stopping, random);
+                long copy = anyOf(worker.unloading, random);
                 if (copy > 0 && random.nextInt(4) == 0) {
                     scheduler.onCopyStuck(now, copy);
                 } else if (copy > 0) {
-                    worker.stopping.remove(copy);
+                    worker.unloading.remove(copy);
                     scheduler.onCopyUnloaded(now, copy);
                 }
             }
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerPropertiesTest.java
@@ -21,24 +21,24 @@
 import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
 /**
- * Ten thousand sequences of calls, orders, failures and hangs. A fake process sees the actions alone and knows
- * what memory a real one would hold for each copy; the accounting must agree, and each call and order gets one answer.
+ * Runs ten thousand random sequences of calls, orders, failures and hangs. A fake process sees only the actions and tracks the memory
+ * that a real one would hold for each copy; the accounting must agree with it, and each call and order must get exactly one answer.
  */
 class CopySchedulerPropertiesTest {
     private static final long TOTAL_KB = 100;
 
-    /** Stands for the process: changed by actions, and by the test where something ends. */
+    /** Stands in for the worker process: changed by actions, and by the test when something ends. */
     private static final class FakeProcess implements CopyScheduler.Actions {
-        private final Map<Long, Long> memory = new LinkedHashMap<>(); // KiB held for a copy
-        private final Map<Long, String> loading = new LinkedHashMap<>();
-        private final Map<Long, Integer> lanes = new HashMap<>();
-        private final Map<Long, Integer> running = new HashMap<>();
-        private final Map<Long, Long> runs = new LinkedHashMap<>(); // call, copy
-        private final Set<Long> stopping = new HashSet<>();
+        private final Map<Long, Long> heldKbByCopy = new LinkedHashMap<>();
+        private final Map<Long, String> functionByLoadingCopy = new LinkedHashMap<>();
+        private final Map<Long, Integer> lanesByCopy = new HashMap<>();
+        private final Map<Long, Integer> runningCallsByCopy = new HashMap<>();
+        private final Map<Long, Long> copyByRunningCall = new LinkedHashMap<>();
+        private final Set<Long> unloading = new HashSet<>();
         private final Set<Long> stuck = new HashSet<>();
-        private final List<Long> overdue = new ArrayList<>(); // copies, one for each thread
+        private final List<Long> copiesOfOverdueThreads = new ArrayList<>(); // one entry for each thread
         private final Map<Long, Answer> answers = new HashMap<>();
-        private final Set<Long> orders = new HashSet<>();
+        private final Set<Long> waitingOrders = new HashSet<>();
         private final int maxLoads;
         private boolean drained;
 
@@ -48,59 +48,59 @@
 
         @Override
         public void startLoad(long copy, String function, long kb) {
-            memory.put(copy, kb);
-            loading.put(copy, function);
-            assertTrue(loading.size() <= maxLoads, "more loads at once than allowed");
-            assertTrue(heldKb() <= TOTAL_KB, "more memory than there is");
+            heldKbByCopy.put(copy, kb);
+            functionByLoadingCopy.put(copy, function);
+            assertTrue(functionByLoadingCopy.size() <= maxLoads, "more loads in progress than allowed");
+            assertTrue(heldKb() <= TOTAL_KB, "more memory held than the worker has");
         }
 
         @Override
         public void startCall(long call, long copy) {
             assertTrue(
-                    lanes.containsKey(copy) && !stopping.contains(copy) && !stuck.contains(copy),
-                    "ran on what is no copy");
-            running.merge(copy, 1, Integer::sum);
-            assertTrue(running.get(copy) <= lanes.get(copy), "more calls than lanes");
-            runs.put(call, copy);
+                    lanesByCopy.containsKey(copy) && !unloading.contains(copy) && !stuck.contains(copy),
+                    "a call was started on a copy that is not ready");
+            runningCallsByCopy.merge(copy, 1, Integer::sum);
+            assertTrue(runningCallsByCopy.get(copy) <= lanesByCopy.get(copy), "more calls on a copy than it has lanes");
+            copyByRunningCall.put(call, copy);
         }
 
         @Override
         public void interruptCall(long call) {
-            assertTrue(runs.containsKey(call));
+            assertTrue(copyByRunningCall.containsKey(call));
         }
 
         @Override
-        public void completeCall(long call, Answer answer, CopyUse met, int company) {
-            assertTrue(answers.put(call, answer) == null, "a second answer");
-            assertEquals(answer == Answer.SERVED, met != null);
+        public void completeCall(long call, Answer answer, CopyUse copyUse, int concurrentCalls) {
+            assertTrue(answers.put(call, answer) == null, "a second answer to a call");
+            assertEquals(answer == Answer.SERVED, copyUse != null);
         }
 
         @Override
-        public void completeOrder(long order, OrderAnswer answer, int ready) {
-            assertTrue(orders.remove(order), "an answer nobody waits for");
+        public void completeOrder(long order, OrderAnswer answer, int readyCopies) {
+            assertTrue(waitingOrders.remove(order), "an answer to an order that is not waiting");
         }
 
         @Override
         public void unloadCopy(long copy) {
-            assertEquals(0, running.getOrDefault(copy, 0), "stopped while at work");
-            assertTrue(stopping.add(copy), "stopped twice");
+            assertEquals(0, runningCallsByCopy.getOrDefault(copy, 0), "a copy was unloaded while it ran calls");
+            assertTrue(unloading.add(copy), "a copy was unloaded twice");
         }
 
         @Override
         public void onDrained() {
-            assertTrue(!drained && runs.isEmpty());
+            assertTrue(!drained && copyByRunningCall.isEmpty());
             drained = true;
         }
 
         long heldKb() {
-            return memory.values().stream().mapToLong(Long::longValue).sum();
+            return heldKbByCopy.values().stream().mapToLong(Long::longValue).sum();
         }
 
         private void release(long copy) {
-            memory.remove(copy);
-            lanes.remove(copy);
-            running.remove(copy);
-            stopping.remove(copy);
+            heldKbByCopy.remove(copy);
+            lanesByCopy.remove(copy);
+            runningCallsByCopy.remove(copy);
+            unloading.remove(copy);
             stuck.remove(copy);
         }
     }
@@ -120,41 +120,41 @@
                         random.nextBoolean(),
                         random.nextBoolean()),
                 process);
-        Set<Long> waiting = new HashSet<>();
-        Set<Long> cancelled = new HashSet<>();
+        Set<Long> submittedCalls = new HashSet<>();
+        Set<Long> cancelledCalls = new HashSet<>();
         long now = 0;
-        long next = 1;
+        long nextId = 1;
         for (int step = 0; step < 60; step++) {
             now += random.nextInt(8);
             String function = "f" + random.nextInt(4);
             switch (random.nextInt(14)) {
                 case 0, 1, 2, 3 -> {
-                    waiting.add(next);
+                    submittedCalls.add(nextId);
                     scheduler.onCall(
                             now,
-                            next++,
+                            nextId++,
                             function,
                             new MemoryEstimate(random.nextInt(3) * 15, 0),
                             now + 5 + random.nextInt(60));
                 }
                 case 4 -> {
-                    process.orders.add(next);
-                    scheduler.onLoadOrder(now, next++, function, random.nextInt(6), MemoryEstimate.UNKNOWN);
+                    process.waitingOrders.add(nextId);
+                    scheduler.onLoadOrder(now, nextId++, function, random.nextInt(6), MemoryEstimate.UNKNOWN);
                 }
                 case 5 -> scheduler.onUnloadOrder(now, function);
                 case 6 -> {
-                    if (!waiting.isEmpty()) {
-                        long call = waiting.iterator().next();
-                        cancelled.add(call);
+                    if (!submittedCalls.isEmpty()) {
+                        long call = submittedCalls.iterator().next();
+                        cancelledCalls.add(call);
                         scheduler.onCallCancelled(now, call);
                     }
                 }
                 case 7 -> scheduler.onTick(now);
                 case 8 -> {
-                    if (!process.orders.isEmpty()) {
-                        long order = process.orders.iterator().next();
+                    if (!process.waitingOrders.isEmpty()) {
+                        long order = process.waitingOrders.iterator().next();
                         scheduler.onLoadOrderCancelled(now, order);
-                        process.orders.remove(order);
+                        process.waitingOrders.remove(order);
                     }
                 }
                 case 9 -> {
@@ -168,7 +168,10 @@
         }
         scheduler.onDrain(now);
         for (int round = 0;
-                round < 400 && !(process.runs.isEmpty() && process.loading.isEmpty() && scheduler.queuedCalls() == 0);
+                round < 400
+                        && !(process.copyByRunningCall.isEmpty()
+                                && process.functionByLoadingCopy.isEmpty()
+                                && scheduler.queuedCalls() == 0);
                 round++) {
             now += 5;
             scheduler.onTick(now);
@@ -176,20 +179,20 @@
             assertAccounting(scheduler, process);
         }
         assertEquals(0, scheduler.callsInFlight());
-        assertTrue(process.drained, "it never said that it had drained");
-        waiting.removeAll(cancelled);
-        for (long call : waiting) {
+        assertTrue(process.drained, "the end of the graceful shutdown was not reported");
+        submittedCalls.removeAll(cancelledCalls);
+        for (long call : submittedCalls) {
             assertTrue(process.answers.containsKey(call), "call " + call + " has no answer");
         }
-        assertTrue(process.orders.isEmpty(), "orders without an answer: " + process.orders);
-        for (long copy : List.copyOf(process.overdue)) { // at last all threads come back
+        assertTrue(process.waitingOrders.isEmpty(), "orders without an answer: " + process.waitingOrders);
+        for (long copy : List.copyOf(process.copiesOfOverdueThreads)) { // finally all overdue threads return
             scheduler.onOverdueThreadReturned(now, copy);
         }
         for (long copy : List.copyOf(process.stuck)) {
             process.release(copy);
             scheduler.onCopyUnloaded(now, copy);
         }
-        for (long copy : List.copyOf(process.stopping)) {
+        for (long copy : List.copyOf(process.unloading)) {
             process.release(copy);
             scheduler.onCopyUnloaded(now, copy);
         }
@@ -199,44 +202,47 @@
     private static void assertAccounting(CopyScheduler scheduler, FakeProcess process) {
         assertEquals(process.heldKb(), scheduler.memory().totalBookedKb(), "the accounting differs from the process");
         assertEquals(TOTAL_KB - process.heldKb(), scheduler.memory().freeKb());
-        long working = process.running.entrySet().stream()
-                .filter(e -> e.getValue() > 0)
-                .mapToLong(e -> process.memory.get(e.getKey()))
+        long working = process.runningCallsByCopy.entrySet().stream()
+                .filter(entry -> entry.getValue() > 0)
+                .mapToLong(entry -> process.heldKbByCopy.get(entry.getKey()))
                 .sum();
         assertEquals(working, scheduler.memory().bookedKb(Part.WORKING));
         assertEquals(
-                process.stuck.stream().mapToLong(process.memory::get).sum(),
+                process.stuck.stream().mapToLong(process.heldKbByCopy::get).sum(),
                 scheduler.memory().bookedKb(Part.STUCK));
         assertEquals(
-                process.loading.keySet().stream().mapToLong(process.memory::get).sum(),
+                process.functionByLoadingCopy.keySet().stream()
+                        .mapToLong(process.heldKbByCopy::get)
+                        .sum(),
                 scheduler.memory().bookedKb(Part.LOADING));
     }
 
-    /** Something that is under way ends, successfully or not. */
+    /** Ends a load, call or unload that is in progress, successfully or not. */
     private static void advance(
             long now, CopyScheduler scheduler, FakeProcess process, Random random, boolean succeeds) {
         int kind = random.nextInt(3);
-        if (kind == 0 && !process.loading.isEmpty()) {
+        if (kind == 0 && !process.functionByLoadingCopy.isEmpty()) {
             endLoad(now, scheduler, process, random, succeeds);
-        } else if (kind == 1 && !process.runs.isEmpty()) {
-            Map.Entry<Long, Long> run = process.runs.entrySet().iterator().next();
-            process.runs.remove(run.getKey());
-            process.running.merge(run.getValue(), -1, Integer::sum);
-            CallEnd how = CallEnd.values()[random.nextInt(succeeds ? 2 : 4)];
+        } else if (kind == 1 && !process.copyByRunningCall.isEmpty()) {
+            Map.Entry<Long, Long> run =
+                    process.copyByRunningCall.entrySet().iterator().next();
+            process.copyByRunningCall.remove(run.getKey());
+            process.runningCallsByCopy.merge(run.getValue(), -1, Integer::sum);
+            CallEnd end = CallEnd.values()[random.nextInt(succeeds ? 2 : 4)];
             long copy = run.getValue();
-            if (how == CallEnd.OVER_LIMIT) {
-                process.overdue.add(copy);
+            if (end == CallEnd.OVER_LIMIT) {
+                process.copiesOfOverdueThreads.add(copy);
             }
-            boolean last = process.running.get(copy) == 0;
-            boolean hung = process.overdue.contains(copy);
-            if (hung && last) {
+            boolean isLastCall = process.runningCallsByCopy.get(copy) == 0;
+            boolean hasOverdueThread = process.copiesOfOverdueThreads.contains(copy);
+            if (hasOverdueThread && isLastCall) {
                 process.stuck.add(copy);
             }
-            scheduler.onCallCompleted(now, run.getKey(), how);
-        } else if (!process.stopping.isEmpty()) {
-            long copy = process.stopping.iterator().next();
+            scheduler.onCallCompleted(now, run.getKey(), end);
+        } else if (!process.unloading.isEmpty()) {
+            long copy = process.unloading.iterator().next();
             if (!succeeds && random.nextInt(4) == 0) {
-                process.stopping.remove(copy);
+                process.unloading.remove(copy);
                 process.stuck.add(copy);
                 scheduler.onCopyStuck(now, copy);
             } else {
@@ -248,29 +254,30 @@
 
     private static void endLoad(
             long now, CopyScheduler scheduler, FakeProcess process, Random random, boolean succeeds) {
-        long copy = process.loading.keySet().iterator().next();
+        long copy = process.functionByLoadingCopy.keySet().iterator().next();
         long kb = 10 + 5L * random.nextInt(5);
         int lanes = 1 + random.nextInt(2);
-        long booked = process.memory.get(copy);
-        process.memory.put(copy, Math.min(kb, booked)); // nothing is mapped yet; what is spared may be used at once
+        long booked = process.heldKbByCopy.get(copy);
+        process.heldKbByCopy.put(
+                copy, Math.min(kb, booked)); // nothing is mapped yet, so memory that is not needed is free at once
         if (!scheduler.onMemoryMeasured(now, copy, new MemoryEstimate(kb, lanes))) {
-            process.loading.remove(copy);
+            process.functionByLoadingCopy.remove(copy);
             process.release(copy);
             scheduler.onLoadCompleted(now, copy, LoadEnd.NEEDS_MORE_MEMORY);
             return;
         }
-        process.memory.put(copy, kb);
+        process.heldKbByCopy.put(copy, kb);
         assertAccounting(scheduler, process);
-        process.loading.remove(copy);
-        int how = succeeds ? 0 : random.nextInt(5);
-        if (how == 1) {
+        process.functionByLoadingCopy.remove(copy);
+        int kind = succeeds ? 0 : random.nextInt(5);
+        if (kind == 1) {
             process.release(copy);
             scheduler.onLoadCompleted(now, copy, LoadEnd.FAILED);
-        } else if (how == 2) {
+        } else if (kind == 2) {
             process.stuck.add(copy);
             scheduler.onLoadCompleted(now, copy, LoadEnd.FAILED_STUCK);
         } else {
-            process.lanes.put(copy, lanes);
+            process.lanesByCopy.put(copy, lanes);
             scheduler.onLoadCompleted(now, copy, LoadEnd.READY);
         }
     }
--- a/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/CopySchedulerTest.java
@@ -10,16 +10,16 @@
 import wharfhinge.decisions.copies.CopyScheduler.LoadEnd;
 import wharfhinge.decisions.copies.MemoryAccounting.Part;
 
-/** Hard cases of the scheduling within a worker, one event at a time. */
+/** Edge cases of the scheduling within a worker, one event at a time. */
 class CopySchedulerTest {
     private static final MemoryEstimate TEN_KB = new MemoryEstimate(10, 1);
     private static final long NEVER_EXPIRES = 1_000_000;
     private final List<String> actions = new ArrayList<>();
     private CopyScheduler scheduler = newScheduler(true, true);
 
-    private CopyScheduler newScheduler(boolean loadsOnCall, boolean ownFurther) {
+    private CopyScheduler newScheduler(boolean loadsOnCall, boolean addsCopiesOnCall) {
         return new CopyScheduler(
-                new CopySettings(50, 10, 8, 2, 16, 1000, loadsOnCall, ownFurther), new CopyScheduler.Actions() {
+                new CopySettings(50, 10, 8, 2, 16, 1000, loadsOnCall, addsCopiesOnCall), new CopyScheduler.Actions() {
                     @Override
                     public void startLoad(long copy, String function, long bookedKb) {
                         actions.add("load " + copy + " " + function);
@@ -37,13 +37,16 @@
 
                     @Override
                     public void completeCall(
-                            long call, CopyScheduler.Answer answer, CopyScheduler.CopyUse met, int company) {
-                        actions.add("answer " + call + " " + answer + " " + met);
+                            long call,
+                            CopyScheduler.Answer answer,
+                            CopyScheduler.CopyUse copyUse,
+                            int concurrentCalls) {
+                        actions.add("answer " + call + " " + answer + " " + copyUse);
                     }
 
                     @Override
-                    public void completeOrder(long order, CopyScheduler.OrderAnswer answer, int ready) {
-                        actions.add("order " + order + " " + answer + " " + ready);
+                    public void completeOrder(long order, CopyScheduler.OrderAnswer answer, int readyCopies) {
+                        actions.add("order " + order + " " + answer + " " + readyCopies);
                     }
 
                     @Override
@@ -58,7 +61,7 @@
                 });
     }
 
-    /** The actions since the last time. */
+    /** Returns the actions recorded since the previous call. */
     private String takeActions() {
         String all = String.join(", ", actions);
         actions.clear();
@@ -75,7 +78,7 @@
         scheduler.onCall(0, 100, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("load 1 f", takeActions());
         scheduler.onCall(0, 101, "f", TEN_KB, NEVER_EXPIRES);
-        assertEquals("", takeActions(), "a load is coming: no second one");
+        assertEquals("", takeActions(), "a load is pending, so no second one starts");
         completeLoad(1, 10, 2);
         assertEquals("run 100 on 1, run 101 on 1", takeActions());
         scheduler.onCallCompleted(1, 100, CallEnd.SERVED);
@@ -93,7 +96,7 @@
         assertEquals("answer 1 MISS null", takeActions());
         scheduler.onLoadOrder(0, 2, "f", 1, TEN_KB);
         scheduler.onCall(0, 3, "f", TEN_KB, NEVER_EXPIRES);
-        assertEquals("load 1 f", takeActions(), "one that is coming is waited for");
+        assertEquals("load 1 f", takeActions(), "the call waits for the pending load");
         completeLoad(1, 10, 1);
         assertEquals("run 3 on 1, order 2 SERVED 1", takeActions());
     }
@@ -107,7 +110,7 @@
         scheduler.onCallCompleted(0, 1, CallEnd.SERVED);
         takeActions();
         scheduler.onCall(1, 3, "g", new MemoryEstimate(30, 1), NEVER_EXPIRES);
-        assertEquals("stop 1", takeActions(), "the idle one goes, and the load waits until its memory is free");
+        assertEquals("stop 1", takeActions(), "the idle copy is evicted, and the load waits until its memory is free");
         scheduler.onCopyUnloaded(2, 1);
         assertEquals("load 2 g", takeActions());
     }
@@ -134,7 +137,7 @@
         scheduler.onCallCompleted(1, 5, CallEnd.SERVED);
         assertEquals("load 3 f, answer 5 SERVED ALREADY_LOADED, run 6 on 1", takeActions());
         scheduler.onUnloadOrder(1, "f");
-        assertEquals("", takeActions(), "the copy was picked again before it could be called idle");
+        assertEquals("", takeActions(), "the copy runs the waiting call and does not become idle");
     }
 
     @Test
@@ -142,7 +145,7 @@
         scheduler.onCall(0, 1, "a", TEN_KB, NEVER_EXPIRES);
         scheduler.onCall(0, 2, "b", TEN_KB, NEVER_EXPIRES);
         scheduler.onCall(0, 3, "c", TEN_KB, NEVER_EXPIRES);
-        assertEquals("load 1 a, load 2 b", takeActions(), "two at once");
+        assertEquals("load 1 a, load 2 b", takeActions(), "at most two loads are in progress");
         scheduler.onCallCancelled(0, 3);
         scheduler.onCallCancelled(0, 1);
         scheduler.onLoadCompleted(0, 1, LoadEnd.READY);
@@ -159,9 +162,9 @@
         takeActions();
         scheduler.onCall(0, 1, "f", TEN_KB, NEVER_EXPIRES);
         assertEquals("load 3 f", takeActions());
-        assertTrue(!scheduler.onMemoryMeasured(0, 3, new MemoryEstimate(40, 1)), "30 are free");
+        assertTrue(!scheduler.onMemoryMeasured(0, 3, new MemoryEstimate(40, 1)), "the load can get only 30 KiB");
         scheduler.onLoadCompleted(0, 3, LoadEnd.NEEDS_MORE_MEMORY);
-        assertEquals("stop 1", takeActions(), "one idle copy makes room");
+        assertEquals("stop 1", takeActions(), "one idle copy is evicted for the load");
         scheduler.onCopyUnloaded(0, 1);
         assertEquals("load 4 f", takeActions());
         completeLoad(4, 40, 1);
@@ -190,7 +193,7 @@
         scheduler.onLoadCompleted(0, 1, LoadEnd.FAILED_STUCK);
         assertEquals("answer 1 MISS_LOAD_FAILED null, order 2 ERROR 0", takeActions());
         assertEquals(10, scheduler.memory().bookedKb(Part.STUCK));
-        assertEquals(0.2, scheduler.memory().busyShare(), 1e-9, "it shows in the report");
+        assertEquals(0.2, scheduler.memory().busyShare(), 1e-9, "the memory of a stuck copy counts as busy");
     }
 
     @Test
--- a/decisions/src/test/java/wharfhinge/decisions/copies/EvictionPolicyPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/copies/EvictionPolicyPropertiesTest.java
@@ -11,47 +11,47 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The selection against its definition: take the longest idle until they suffice, then spare what is not needed. */
+/** Checks the selection against its definition: the longest idle copies until they suffice, less those that are not needed. */
 class EvictionPolicyPropertiesTest {
 
     @Property(tries = 2000, seed = "5")
     void select_takesLongestIdleAndNoneUnneeded(
             @ForAll @Size(max = 12) List<@IntRange(min = 1, max = 40) Integer> sizes,
-            @ForAll @IntRange(min = -5, max = 200) int needed) {
+            @ForAll @IntRange(min = -5, max = 200) int neededKb) {
         List<EvictionPolicy.IdleCopy> idle = new ArrayList<>();
         for (int i = 0; i < sizes.size(); i++) {
             idle.add(new EvictionPolicy.IdleCopy(i, sizes.get(i), (i * 7) % 5));
         }
-        Optional<List<Long>> selection = EvictionPolicy.select(idle, needed);
-        int all = sizes.stream().mapToInt(Integer::intValue).sum();
-        if (needed > all) {
+        Optional<List<Long>> selection = EvictionPolicy.select(idle, neededKb);
+        int totalKb = sizes.stream().mapToInt(Integer::intValue).sum();
+        if (neededKb > totalKb) {
             assertEquals(Optional.empty(), selection);
             return;
         }
         List<Long> victims = selection.orElseThrow();
-        long sum = victims.stream()
+        long freedKb = victims.stream()
                 .mapToLong(c -> idle.get((int) (long) c).memoryKb())
                 .sum();
-        assertTrue(sum >= needed);
+        assertTrue(freedKb >= neededKb);
         for (long victim : victims) {
-            assertTrue(sum - idle.get((int) victim).memoryKb() < needed, victim + " went in vain");
+            assertTrue(freedKb - idle.get((int) victim).memoryKb() < neededKb, victim + " was evicted needlessly");
         }
-        // whoever stays although idle longer than one that goes was too small to spare it
+        // each evicted copy must be among the longest idle copies that are considered until they suffice
         List<EvictionPolicy.IdleCopy> longestIdleFirst = new ArrayList<>(idle);
         longestIdleFirst.sort((a, b) -> a.idleSinceNanos() != b.idleSinceNanos()
                 ? Long.compare(a.idleSinceNanos(), b.idleSinceNanos())
                 : Long.compare(a.copy(), b.copy()));
-        long taken = 0;
+        long consideredKb = 0;
         int considered = 0;
-        while (taken < needed) {
-            taken += longestIdleFirst.get(considered++).memoryKb();
+        while (consideredKb < neededKb) {
+            consideredKb += longestIdleFirst.get(considered++).memoryKb();
         }
         for (long victim : victims) {
-            int at = considered;
+            int position = considered;
             for (int i = 0; i < considered; i++) {
-                at = longestIdleFirst.get(i).copy() == victim ? i : at;
+                position = longestIdleFirst.get(i).copy() == victim ? i : position;
             }
-            assertTrue(at < considered, "a copy was evicted that is not among the longest idle");
+            assertTrue(position < considered, "a copy was evicted that is not among the longest idle");
         }
         assertEquals(victims.size(), victims.stream().distinct().count());
     }
