--- a/decisions/src/main/java/wharfhinge/decisions/chain/ActiveChain.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ActiveChain.java
@@ -6,7 +6,7 @@
 import wharfhinge.decisions.chain.ChainResult.StepState;
 import wharfhinge.policy.Effect;
 
-/** A chain that has no final answer yet: how far each of its steps is. */
+/** A chain that has no final answer yet, with the progress of each of its steps. */
 final class ActiveChain {
     private final long id;
     private final ChainPlan plan;
@@ -22,7 +22,7 @@
     private int servedSteps;
     private boolean isRejectionSample;
 
-    /** A chain that arrives at {@code nowNanos}, no step started. */
+    /** Creates a chain that arrived at {@code nowNanos}, with no step started. */
     ActiveChain(long id, ChainPlan plan, String tenant, long deadlineNanos, long nowNanos) {
         this.id = id;
         this.plan = plan;
@@ -54,7 +54,7 @@
         return plan.steps().get(step);
     }
 
-    /** The tenant, empty where the client named none. */
+    /** The tenant; empty if the client named none. */
     String tenant() {
         return tenant;
     }
@@ -68,7 +68,7 @@
         return totalTimeNanos;
     }
 
-    /** What a step is taken to need at most where nothing is known of its function. */
+    /** High estimate of the time of a step if nothing is known about its function. */
     long defaultStepNanos() {
         return defaultStepNanos;
     }
@@ -79,7 +79,7 @@
         return states[step];
     }
 
-    /** Whether it has not started and all that it needs is served. */
+    /** Whether a step has not started and all steps that it needs are served. */
     boolean isReady(int step) {
         return states[step] == StepState.NOT_STARTED && pendingNeeds[step] == 0;
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /** A step ended without an answer, as {@link StepState#REFUSED} or {@link StepState#MAY_HAVE_RUN}. */
+    /** Records that a step ended without an answer, as {@link StepState#REFUSED} or {@link StepState#MAY_HAVE_RUN}. */
     void markNotServed(int step, StepState state) {
         states[step] = state;
     }
@@ -111,12 +111,12 @@
         return startedAtNanos[step];
     }
 
-    /** Whether its function was believed to be loaded when it started. */
+    /** Whether the function of a step was believed to be loaded when the step started. */
     boolean wasBelievedWarm(int step) {
         return believedWarm[step];
     }
 
-    /** Whether the load of its function was requested before it could start, and it has not been served since. */
+    /** Whether the function of a step was prefetched and the step has not been served since. */
     boolean isPrefetched(int step) {
         return prefetched[step];
     }
@@ -125,9 +125,9 @@
         prefetched[step] = isPrefetched;
     }
 
-    // ---- The whole --------------------------------------------------------------------------
+    // ---- The chain --------------------------------------------------------------------------
 
-    /** Whether it runs although it should have been rejected, to learn how often such rejections are wrong. */
+    /** Whether the chain was found infeasible but runs as a sample, to learn how often such rejections are wrong. */
     boolean isRejectionSample() {
         return isRejectionSample;
     }
@@ -136,7 +136,7 @@
         isRejectionSample = true;
     }
 
-    /** Whether a retry of the chain does no harm: every step that may have run is idempotent. */
+    /** Whether a retry of the chain is safe: every step that may have run is idempotent. */
     boolean isRetrySafe() {
         for (int step = 0; step < states.length; step++) {
             if (mayHaveRun(step) && step(step).effect() != Effect.IDEMPOTENT) {
@@ -153,15 +153,15 @@
         };
     }
 
-    /** The share of its steps, 0 to 1, on which work was spent. */
-    double workSpent() {
+    /** Share of the steps, 0 to 1, on which work was spent. */
+    double spentWorkShare() {
         long spent = Arrays.stream(states)
                 .filter(state -> state != StepState.NOT_STARTED && state != StepState.REFUSED)
                 .count();
         return spent / (double) states.length;
     }
 
-    /** The states for its final answer: a step that still runs may have run. */
+    /** The states for the final answer, in which a step that is still running may have run. */
     List<StepState> finalStates() {
         return Arrays.stream(states)
                 .map(state -> state == StepState.RUNNING ? StepState.MAY_HAVE_RUN : state)
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainConcurrencyLimit.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainConcurrencyLimit.java
@@ -1,18 +1,18 @@
 package wharfhinge.decisions.chain;
 
 /**
- * Limits the chains that are open at once by how chains end (additive in their number, multiplicative in effect): a served one
- * raises the limit, a lost one cuts it by the share of its work that was spent. It settles where about a fifth of the work is
- * lost, whatever the chains' size; a chain whose first step is rejected has cost nothing and cuts nothing.
+ * Limits the number of open chains by how chains end: each served chain raises the limit by a constant factor, and each chain that is
+ * not served lowers it in proportion to the share of its work that was spent. The limit settles where about a fifth of the work is
+ * lost, whatever the size of the chains. A chain whose first step is rejected has cost nothing and does not lower the limit.
  *
- * <p>Guards against any shortage that loses chains half way. Costs: where steps are rejected at random, chains lose work that
- * single calls would not, and where chains are lost for reasons of their own, the limit falls without need.
+ * <p>Protects against any shortage that makes chains fail part of the way through. The costs: if steps are rejected at random, chains
+ * lose work that single calls would not lose; if chains fail for reasons other than load, the limit falls needlessly.
  */
 final class ChainConcurrencyLimit {
     private static final double INITIAL_LIMIT = 32;
     private static final double MIN_LIMIT = 2;
-    private static final double RAISE = 0.01;
-    private static final double CUT = 0.045;
+    private static final double INCREASE_PER_SERVED_CHAIN = 0.01;
+    private static final double DECREASE_PER_LOST_CHAIN = 0.045;
 
     private double limit = INITIAL_LIMIT;
 
@@ -20,15 +20,15 @@
         return openChains > limit;
     }
 
-    /** A chain was served; the limit rises only where it was at least half used. */
+    /** Records a served chain. The limit rises only if at least half of it was in use. */
     void onServed(int openChains) {
         if (openChains >= limit / 2) {
-            limit *= 1 + RAISE;
+            limit *= 1 + INCREASE_PER_SERVED_CHAIN;
         }
     }
 
-    /** A chain was lost after such a share, 0 to 1, of its work. */
-    void onLost(double workSpent) {
-        limit = Math.max(MIN_LIMIT, limit * (1 - CUT * workSpent));
+    /** Records a chain that was not served after the given share, 0 to 1, of its work was spent. */
+    void onLost(double spentWorkShare) {
+        limit = Math.max(MIN_LIMIT, limit * (1 - DECREASE_PER_LOST_CHAIN * spentWorkShare));
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainFeasibility.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainFeasibility.java
@@ -5,26 +5,30 @@
 import wharfhinge.decisions.chain.ChainSettings.Clock;
 
 /**
- * Decides whether a chain is worth starting, or continuing: not where too many are open for the fleet, nor where its chance to
- * be in time is too small. More chance is asked for where the fleet rejects or loses steps, since a lost attempt costs nothing
- * only where there is capacity to spare.
+ * Decides whether a chain is worth starting or continuing. It is not if too many chains are open for the fleet, or if the probability
+ * that it meets its deadline is too low. The required probability is higher while the fleet rejects or loses steps, since an attempt
+ * that fails costs nothing only if there is spare capacity.
  *
- * <p>One of so many rejections is let through as a sample, so that estimates that have become wrong are corrected.
+ * <p>One in {@link ChainSettings#rejectionsPerSample} rejections is let through as a sample, so that estimates that have become wrong
+ * are corrected.
  */
 final class ChainFeasibility {
-    /** Where in its life a chain is checked. */
+    /** When a chain is checked. */
     enum Stage {
         AT_START,
         LATER
     }
 
-    /** A chain with less chance than this is not worth its work, however idle the fleet is. */
-    private static final double MIN_CHANCE = 0.1;
-    /** Chance asked for beyond the minimum where the fleet rejects or loses {@link #FULL_PRESSURE} of the steps, or more. */
-    private static final double EXTRA_CHANCE_UNDER_PRESSURE = 0.2;
+    /** A chain less likely than this to meet its deadline is not worth its work, however idle the fleet is. */
+    private static final double MIN_PROBABILITY = 0.1;
+    /**
+     * Probability required in addition to the minimum if the fleet rejects or loses at least {@link #FULL_PRESSURE} of the steps;
+     * proportionally less below that.
+     */
+    private static final double EXTRA_PROBABILITY_UNDER_PRESSURE = 0.2;
 
     private static final double FULL_PRESSURE = 0.1;
-    private static final double SMOOTHING = 0.01; // some hundred steps decide
+    private static final double SMOOTHING_FACTOR = 0.01; // averages over about 100 steps
     private static final String TOO_MANY_FOR_FLEET = "too-many-for-the-fleet";
     private static final String TOO_LITTLE_TIME = "too-little-time";
 
@@ -46,12 +50,12 @@
         this.counters = counters;
     }
 
-    /** A step was served, or rejected or lost. */
+    /** Records whether a step was served, or rejected or lost. */
     void onStepEnded(boolean isServed) {
-        unservedShare += SMOOTHING * ((isServed ? 0 : 1) - unservedShare);
+        unservedShare += SMOOTHING_FACTOR * ((isServed ? 0 : 1) - unservedShare);
     }
 
-    /** Why a chain is to be rejected now; empty where it may go on, or is let through as a sample. */
+    /** The reason to reject a chain now; empty if it may proceed or is let through as a sample. */
     Optional<String> rejectionReason(long nowNanos, ActiveChain chain, int openChains, Stage stage) {
         if (!settings.earlyRejection() || settings.clock() == Clock.DEADLINE_PER_STEP || chain.isRejectionSample()) {
             return Optional.empty();
@@ -59,7 +63,7 @@
         String reason;
         if (stage == Stage.AT_START && concurrencyLimit.isExceededBy(openChains)) {
             reason = TOO_MANY_FOR_FLEET;
-        } else if (estimator.chanceInTime(nowNanos, chain) < requiredChance()) {
+        } else if (estimator.probabilityInTime(nowNanos, chain) < requiredProbability()) {
             reason = TOO_LITTLE_TIME;
         } else {
             return Optional.empty();
@@ -72,8 +76,8 @@
         return Optional.of(reason);
     }
 
-    private double requiredChance() {
-        return MIN_CHANCE + EXTRA_CHANCE_UNDER_PRESSURE * Math.min(1, unservedShare / FULL_PRESSURE);
+    private double requiredProbability() {
+        return MIN_PROBABILITY + EXTRA_PROBABILITY_UNDER_PRESSURE * Math.min(1, unservedShare / FULL_PRESSURE);
     }
 
     private boolean isSample() {
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainPlan.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 import wharfhinge.policy.Effect;
 
-/** The steps of a chain and what each needs: a directed acyclic graph, validated when it is made. Steps go by their index. */
+/** The steps of a chain and their dependencies: a directed acyclic graph, validated on creation. Steps are addressed by index. */
 public final class ChainPlan {
-    /** Most steps of a chain. */
+    /** Maximum number of steps of a chain. */
     public static final int MAX_STEPS = 64;
-    /** Most steps that wait for each other in a row. */
+    /** Maximum number of steps on a path of dependencies. */
     public static final int MAX_DEPTH = 16;
 
     /**
      * One step.
      *
      * @param id           name of the step within its chain
-     * @param function     function that it calls
-     * @param requestClass class of the request, which gives its latency objective
-     * @param effect       whether it may run twice
-     * @param needs        ids of the steps whose answers it waits for
-     * @param costNanos    expected service time, 0 unknown
-     * @param loadNanos    usual time of a load of the function, 0 unknown
+     * @param function     function that the step calls
+     * @param requestClass class of the request, which determines its latency objective
+     * @param effect       whether the step may run twice
+     * @param needs        ids of the steps whose answers the step waits for
+     * @param costNanos    expected service time; 0 if unknown
+     * @param loadNanos    typical time of a load of the function; 0 if unknown
      */
     public record Step(
             String id,
@@ -33,7 +33,7 @@
             long costNanos,
             long loadNanos) {}
 
-    /** A plan that is not valid; the message names the place, what was found there and what is allowed. */
+    /** Thrown for an invalid plan; the message names the place, what was found there and what is allowed. */
     public static final class InvalidPlanException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -92,7 +92,7 @@
         return needs;
     }
 
-    /** By step, the steps that need it, in rising order. */
+    /** By step, the steps that need it, in ascending order. */
     private static int[][] invert(int[][] needs) {
         List<List<Integer>> dependents = new ArrayList<>();
         for (int step = 0; step < needs.length; step++) {
@@ -155,7 +155,7 @@
                 "steps without a cycle");
     }
 
-    /** The steps in the order in which the client gave them. */
+    /** The steps in the order in which the client listed them. */
     public List<Step> steps() {
         return steps;
     }
@@ -165,7 +165,7 @@
         return steps.size();
     }
 
-    /** Steps on the longest path. */
+    /** Number of steps on the longest path. */
     int depth() {
         int[] depth = new int[size()];
         int deepest = 0;
@@ -178,17 +178,17 @@
         return deepest;
     }
 
-    /** The steps whose answers a step needs; not to be changed. */
+    /** The steps whose answers a step needs; must not be modified. */
     int[] needs(int step) {
         return needs[step];
     }
 
-    /** The steps that need a step; not to be changed. */
+    /** The steps that need the answer of a step; must not be modified. */
     int[] dependents(int step) {
         return dependents[step];
     }
 
-    /** All steps in topological order: each after all that it needs; not to be changed. */
+    /** All steps in topological order, each after all the steps that it needs; must not be modified. */
     int[] order() {
         return order;
     }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainResult.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainResult.java
@@ -5,31 +5,31 @@
 /**
  * The final answer of a chain.
  *
- * @param reason why it was not served, as the client gets it; empty where it was
- * @param steps  what became of each step, in the plan's order
+ * @param reason reason reported to the client, for example why the chain was not served; may be empty if it was served
+ * @param steps  state of each step, in the order of the plan
  */
 public record ChainResult(Kind kind, String reason, List<StepState> steps) {
     /** How a chain ended. */
     public enum Kind {
         /** All steps were served. */
         SERVED,
-        /** No step may have run that is not idempotent: a retry does no harm. */
+        /** The chain was not served, and no step that is not idempotent may have run: a retry is safe. */
         REFUSED,
-        /** Steps may have run that are not idempotent; the states tell which. */
+        /** The chain was not served, and steps that are not idempotent may have run; the step states tell which. */
         FAILED
     }
 
-    /** What is known of a step. */
+    /** What is known about a step. */
     public enum StepState {
-        /** It was never sent. */
+        /** The step was never sent. */
         NOT_STARTED,
-        /** Its call is in flight. */
+        /** The call of the step is in flight. */
         RUNNING,
-        /** It ran and was answered. */
+        /** The step ran and was answered. */
         SERVED,
-        /** It was rejected and did not run. */
+        /** The step was rejected and did not run. */
         REFUSED,
-        /** It may have run. */
+        /** The step may have run. */
         MAY_HAVE_RUN
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainScheduler.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainScheduler.java
@@ -10,45 +10,46 @@
 import wharfhinge.decisions.chain.StepLimiter.WaitingStep;
 
 /**
- * Schedules the steps of all chains of one gateway. The class reads as the way of an event; what it decides on stands in
- * collaborators: {@link ChainFeasibility} (is a chain worth starting or continuing), {@link StepLimiter} (may a step start now),
- * {@link ChainTimeEstimator} (how long may it take), {@link FunctionPrefetcher} (what is loaded early).
+ * Schedules the steps of all chains of one gateway. This class handles the events; its collaborators decide: {@link ChainFeasibility}
+ * (whether a chain is worth starting or continuing), {@link StepLimiter} (whether a step may start now), {@link ChainTimeEstimator}
+ * (how long a step may take) and {@link FunctionPrefetcher} (which functions are loaded early).
  *
- * <p>A step may take what is left less the least that the steps after it need (their low estimates along the longest path): a
- * slow step may use up slack, but never what makes the rest hopeless. Acts on any cause of slowness that answers show: queues,
- * loads, slow workers. It may reject too much where times change faster than they are learned; the samples that
- * {@link ChainFeasibility} lets through correct that.
+ * <p>The time budget of a step is the time left in its chain, less the minimum that the later steps need (their low estimates along
+ * the longest path). A slow step may thus use up slack, but not the time without which the rest of the chain is hopeless. This covers
+ * every cause of slowness that shows in response times: queues, loads, slow workers. If times change faster than they are learned,
+ * too many chains may be rejected; the samples that {@link ChainFeasibility} lets through correct that.
  *
- * <p>Pure: events come in with their time in nanoseconds of one monotonic clock, {@link Actions} go out and may not call back
- * in. One thread. Bounded are chains and steps open, and a tenant's share of the steps. A ready step beyond them waits within its
- * chain, which is bounded by the chain's deadline; chains beyond them are rejected.
+ * <p>No I/O, clock or thread: events are passed in with their time in nanoseconds of one monotonic clock, and decisions are carried
+ * out by {@link Actions}, which must not call the scheduler. Not thread-safe. The numbers of open chains and of running steps are
+ * bounded, and so is each tenant's share of the running steps. A ready step beyond a bound waits within its chain, at most until the
+ * chain's deadline; a chain beyond the limit of open chains is rejected.
  */
 public final class ChainScheduler {
     private static final String TOO_MANY_CHAINS = "too-many-chains";
-    private static final String FINISHED_BEFORE = "all-steps-finished-before";
+    private static final String ALL_STEPS_FINISHED_BEFORE = "all-steps-finished-before";
     private static final String OUT_OF_TIME = "out-of-time";
-    private static final String TOO_MANY_BYTES = "too-many-bytes-held";
+    private static final String TOO_MANY_BYTES_HELD = "too-many-bytes-held";
     private static final String STEP_REJECTED_PREFIX = "step-refused:";
     private static final String STEP_FAILED_PREFIX = "step-failed:";
     private static final String NO_REASON = "";
     private static final String NO_TENANT = "";
 
-    /** What the gateway has to do. Called in the order of the decisions; must not call back in. */
+    /** Operations that the gateway carries out. Called in the order of the decisions; must not call the scheduler. */
     public interface Actions {
-        /** Starts a step as a call that may take so long; {@link ChainScheduler#onStepCompleted} follows. */
-        void startStep(long chain, int step, long mayTakeNanos);
+        /** Starts a step as a call with a time budget; {@link ChainScheduler#onStepCompleted} follows. */
+        void startStep(long chain, int step, long budgetNanos);
 
-        /** Cancels the call of a step that runs. */
+        /** Cancels the call of a running step. */
         void cancelStep(long chain, int step);
 
-        /** Tells the policy that a step's function will be wanted, so that it may load it. */
+        /** Tells the policy that a step's function will be needed, so that the policy may order its load. */
         void prefetch(long chain, int step);
 
-        /** Gives the chain's final answer. */
-        void completeChain(long chain, ChainResult end);
+        /** Delivers the chain's final answer. */
+        void completeChain(long chain, ChainResult result);
     }
 
-    /** What the policy believes of the fleet. */
+    /** The policy's current view of the fleet. */
     @FunctionalInterface
     public interface FleetView {
         /** Whether some worker is believed to have the function loaded. */
@@ -57,11 +58,11 @@
 
     /** How a step's call ended. */
     public enum StepEnd {
-        /** With an answer. */
+        /** The call was answered. */
         SERVED,
-        /** It was rejected and did not run. */
+        /** The call was rejected and did not run. */
         REJECTED,
-        /** It may have run. */
+        /** The call failed and may have run. */
         FAILED
     }
 
@@ -71,35 +72,35 @@
         CHAINS,
         /** Chains whose steps were all served. */
         SERVED,
-        /** Chains of which a retry does no harm, since no step ran that is not idempotent. */
+        /** Chains not served that are safe to retry: no step that is not idempotent may have run. */
         REFUSED,
-        /** Chains that ended otherwise. */
+        /** Chains not served in which steps that are not idempotent may have run. */
         FAILED,
-        /** Chains whose client went away. */
+        /** Chains cancelled by their client. */
         LEFT,
-        /** Chains rejected since too many were open. */
+        /** Chains rejected because too many were open. */
         REFUSED_FULL,
-        /** Chains found infeasible when they arrived. */
+        /** Chains rejected as infeasible when they arrived. */
         REFUSED_AT_START,
-        /** Chains found infeasible before a later step. */
+        /** Chains rejected as infeasible before a later step. */
         REFUSED_LATER,
-        /** Chains found infeasible and let through as samples. */
+        /** Chains found infeasible but let through as samples. */
         LET_THROUGH,
-        /** Of the samples, those that were served: the rejection would have been wrong. */
+        /** Samples that were served, so that their rejection would have been wrong. */
         LET_THROUGH_SERVED,
-        /** Functions requested ahead of a step. */
+        /** Functions prefetched for a later step. */
         AHEAD_ORDERED,
-        /** Of these, those that were loaded when their step came. */
+        /** Prefetched functions that were loaded when their step ran. */
         AHEAD_USED,
-        /** Of these, those that no step used. */
+        /** Prefetched functions that no step used. */
         AHEAD_UNUSED,
-        /** Of these, those whose step still had to wait for the load. */
+        /** Prefetched functions whose step still had to wait for the load. */
         AHEAD_LATE,
-        /** Functions requested for the chains that may follow one that was rejected. */
+        /** Functions prefetched for chains that may follow a rejected one. */
         AHEAD_FOR_NEXT,
         /** Steps started. */
         STEPS,
-        /** Of these, those cancelled. */
+        /** Started steps that were cancelled. */
         STEPS_CANCELLED
     }
 
@@ -113,7 +114,7 @@
     private final StepLimiter stepLimiter;
     private final Map<Long, ActiveChain> chains = new HashMap<>();
 
-    /** A scheduler that has learned nothing yet. */
+    /** Creates a scheduler that has learned nothing yet. */
     public ChainScheduler(ChainSettings settings, Actions actions, FleetView fleet) {
         this.settings = settings;
         this.actions = actions;
@@ -124,16 +125,16 @@
     }
 
     /** The value of a counter. */
-    public long counter(Counter count) {
-        return counters.get(count);
+    public long counter(Counter counter) {
+        return counters.get(counter);
     }
 
-    /** Chains open. */
+    /** Number of open chains. */
     public int openChains() {
         return chains.size();
     }
 
-    /** Steps that run. */
+    /** Number of running steps. */
     public int runningSteps() {
         return stepLimiter.running();
     }
@@ -141,14 +142,14 @@
     // ---- Events -----------------------------------------------------------------------------
 
     /**
-     * A chain arrived.
+     * Handles the arrival of a chain.
      *
-     * @param tenant null where the client named none
-     * @param done   by step, whether an earlier attempt of the same chain left its answer, so that it does not run again; null
-     *               where there was no earlier attempt
+     * @param tenant        null if the client named none
+     * @param finishedSteps by step, whether its answer is known from an earlier attempt of the same chain, so that it does not run
+     *                      again; null if there was no earlier attempt
      */
     public void onChain(
-            long nowNanos, long chainId, ChainPlan plan, String tenant, long deadlineNanos, boolean[] done) {
+            long nowNanos, long chainId, ChainPlan plan, String tenant, long deadlineNanos, boolean[] finishedSteps) {
         counters.increment(Counter.CHAINS);
         ActiveChain chain =
                 new ActiveChain(chainId, plan, tenant == null ? NO_TENANT : tenant, deadlineNanos, nowNanos);
@@ -159,9 +160,9 @@
             return;
         }
         chains.put(chainId, chain);
-        markFinishedSteps(chain, done);
+        markFinishedSteps(chain, finishedSteps);
         if (chain.isComplete()) {
-            end(chain, Kind.SERVED, FINISHED_BEFORE);
+            end(chain, Kind.SERVED, ALL_STEPS_FINISHED_BEFORE);
         } else if (!rejectIfInfeasible(nowNanos, chain, Stage.AT_START)) {
             for (int step = 0; step < plan.size(); step++) {
                 startOrEnqueueIfReady(nowNanos, chain, step);
@@ -170,19 +171,25 @@
         }
     }
 
-    private static void markFinishedSteps(ActiveChain chain, boolean[] done) {
-        if (done == null) {
+    private static void markFinishedSteps(ActiveChain chain, boolean[] finishedSteps) {
+        if (finishedSteps == null) {
             return;
         }
         for (int step : chain.plan().order()) {
-            if (done[step]) {
+            if (finishedSteps[step]) {
                 chain.markServed(step);
             }
         }
     }
 
-    /** A step's call ended; {@code loaded} tells whether it had to wait for a load. */
-    public void onStepCompleted(long nowNanos, long chainId, int step, StepEnd end, long tookNanos, boolean loaded) {
+    /**
+     * Handles the end of a step's call.
+     *
+     * @param latencyNanos duration of the call
+     * @param isColdStart  whether the call had to wait for a load
+     */
+    public void onStepCompleted(
+            long nowNanos, long chainId, int step, StepEnd end, long latencyNanos, boolean isColdStart) {
         ActiveChain chain = chains.get(chainId);
         if (chain == null || chain.state(step) != StepState.RUNNING) {
             return;
@@ -192,8 +199,8 @@
         String stepId = chain.step(step).id();
         switch (end) {
             case SERVED -> {
-                estimator.onStepServed(nowNanos, chain, step, tookNanos, loaded);
-                prefetcher.onStepServed(chain, step, loaded);
+                estimator.onStepServed(nowNanos, chain, step, latencyNanos, isColdStart);
+                prefetcher.onStepServed(chain, step, isColdStart);
                 chain.markServed(step);
                 continueAfter(nowNanos, chain, step);
             }
@@ -209,7 +216,7 @@
         startWaitingSteps(nowNanos);
     }
 
-    /** The client went away: its chain is dropped without an answer, and steps that run are cancelled. */
+    /** The client cancelled a chain: it is dropped without an answer, and its running steps are cancelled. */
     public void onClientCancelled(long nowNanos, long chainId) {
         ActiveChain chain = chains.get(chainId);
         if (chain != null) {
@@ -219,14 +226,14 @@
         }
     }
 
-    /** The deadline came, less what the answer needs to reach the client. */
+    /** The deadline of a chain was reached, less the time that the answer needs to reach the client. */
     public void onDeadline(long nowNanos, long chainId) {
         endOpenChain(nowNanos, chainId, OUT_OF_TIME);
     }
 
-    /** The gateway can't hold the chain's answers between steps. */
+    /** The gateway cannot hold the answers of a chain's steps for the steps that need them. */
     public void onResponseBytesExhausted(long nowNanos, long chainId) {
-        endOpenChain(nowNanos, chainId, TOO_MANY_BYTES);
+        endOpenChain(nowNanos, chainId, TOO_MANY_BYTES_HELD);
     }
 
     private void endOpenChain(long nowNanos, long chainId, String reason) {
@@ -254,7 +261,7 @@
     }
 
     private void startOrEnqueueIfReady(long nowNanos, ActiveChain chain, int step) {
-        boolean isOpen = chains.containsKey(chain.id()); // not where a step started just before found no time left
+        boolean isOpen = chains.containsKey(chain.id()); // false if another step was just found to have no time left
         if (!isOpen || !chain.isReady(step)) {
             return;
         }
@@ -266,7 +273,7 @@
     }
 
     private void startWaitingSteps(long nowNanos) {
-        stepLimiter.drain(this::canStart, waiting -> {
+        stepLimiter.startWaiting(this::canStart, waiting -> {
             if (!rejectIfInfeasible(nowNanos, waiting.chain(), Stage.LATER)) {
                 start(nowNanos, waiting.chain(), waiting.step());
             }
@@ -291,9 +298,9 @@
         prefetcher.onStepStarted(nowNanos, chain, step);
     }
 
-    // ---- Ends -------------------------------------------------------------------------------
+    // ---- Ends of chains -------------------------------------------------------------------------------
 
-    /** Ends a chain that is not worth continuing; true where it did. */
+    /** Ends a chain that is not worth starting or continuing; returns whether it did. */
     private boolean rejectIfInfeasible(long nowNanos, ActiveChain chain, Stage stage) {
         Optional<String> reason = feasibility.rejectionReason(nowNanos, chain, chains.size(), stage);
         if (reason.isEmpty()) {
@@ -305,7 +312,7 @@
         return true;
     }
 
-    /** Ends a chain that is not complete: rejected only where no step may have run that must not run twice. */
+    /** Ends an incomplete chain: as rejected if every step that may have run is idempotent, otherwise as failed. */
     private void endEarly(ActiveChain chain, String reason) {
         end(chain, chain.isRetrySafe() ? Kind.REFUSED : Kind.FAILED, reason);
     }
@@ -320,7 +327,7 @@
         if (kind == Kind.SERVED) {
             concurrencyLimit.onServed(chains.size());
         } else {
-            concurrencyLimit.onLost(chain.workSpent());
+            concurrencyLimit.onLost(chain.spentWorkShare());
         }
         if (kind == Kind.SERVED && chain.isRejectionSample()) {
             counters.increment(Counter.LET_THROUGH_SERVED);
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
@@ -3,15 +3,15 @@
 /**
  * Settings of a {@link ChainScheduler}.
  *
- * @param clock        what a step's time is cut from
- * @param earlyRejection whether a chain that can't be in time is rejected before work is spent on it
- * @param rejectionsPerSample   one in so many early rejections is let through, to learn how often they are wrong; 0 for none
- * @param prefetch    whether functions of later steps are requested while earlier ones run
- * @param maxChains   chains open at most
- * @param maxSteps    steps that run at most, of all chains
- * @param tenantShare  the share of {@code mostSteps}, 0 to 1, that one tenant's chains may have
- * @param maxHeldBytes    bytes of answers held between steps at most, of all chains
- * @param reserveNanos time kept back at a deadline for the answer's way to the client
+ * @param clock               how the time budget of a step is derived
+ * @param earlyRejection      whether a chain that is unlikely to meet its deadline is rejected before work is spent on it
+ * @param rejectionsPerSample one in this many early rejections is let through, to learn how often they are wrong; 0 for none
+ * @param prefetch            whether functions of later steps are requested while earlier ones run
+ * @param maxChains           maximum number of open chains
+ * @param maxSteps            maximum number of running steps of all chains
+ * @param tenantShare         share of {@code maxSteps}, 0 to 1, that the chains of one tenant may use
+ * @param maxHeldBytes        maximum number of bytes of answers held between steps, of all chains
+ * @param reserveNanos        time reserved before a deadline for the answer to reach the client
  */
 public record ChainSettings(
         Clock clock,
@@ -23,11 +23,11 @@
         double tenantShare,
         long maxHeldBytes,
         long reserveNanos) {
-    /** What the time of a step is cut from. */
+    /** How the time budget of a step is derived. */
     public enum Clock {
-        /** The chain's deadline, which all its steps share. */
+        /** From the chain's deadline, which all its steps share. */
         SHARED_DEADLINE,
-        /** A deadline of its own, as long as the chain's; only for comparison in experiments and as a mutant for tests. */
+        /** From a separate deadline of the same length for each step; only for comparison in experiments and as a mutant in tests. */
         DEADLINE_PER_STEP
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/FunctionPrefetcher.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/FunctionPrefetcher.java
@@ -4,7 +4,7 @@
 import wharfhinge.decisions.chain.ChainScheduler.Actions;
 import wharfhinge.decisions.chain.ChainScheduler.Counter;
 
-/** Tells the policy which functions later steps will want, so that they are loaded while earlier steps run. */
+/** Tells the policy which functions later steps will need, so that they can be loaded while earlier steps run. */
 final class FunctionPrefetcher {
     private final boolean isEnabled;
     private final ChainTimeEstimator estimator;
@@ -18,7 +18,7 @@
         this.counters = counters;
     }
 
-    /** Requests the functions of the steps that come next where that makes the difference between in time and late. */
+    /** Prefetches the functions of the steps that come next if that makes the chain more likely to meet its deadline. */
     void onStepStarted(long nowNanos, ActiveChain chain, int step) {
         if (!isEnabled) {
             return;
@@ -33,9 +33,9 @@
     }
 
     /**
-     * A chain that is rejected since its functions are not loaded brings no load, so the next one would be rejected as well,
-     * and so on. Requests what it would have loaded; the policy orders that within its own limits. Costs a load for nothing
-     * where no like chain comes.
+     * Prefetches the functions that a rejected chain would have loaded; the policy orders the loads within its own limits. Without
+     * this, a chain that is rejected because its functions are not loaded would start no load, so the next chain would be rejected as
+     * well, and so on. The cost is a needless load if no similar chain follows.
      */
     void onChainRejected(ActiveChain chain) {
         if (!isEnabled) {
@@ -55,7 +55,7 @@
                 && !estimator.isBelievedWarm(chain.step(step));
     }
 
-    /** Counts whether a prefetch was in time; {@code isColdStart} tells that the step had to wait for the load. */
+    /** Counts whether a prefetch was in time; {@code isColdStart} tells whether the step still had to wait for the load. */
     void onStepServed(ActiveChain chain, int step, boolean isColdStart) {
         if (chain.isPrefetched(step)) {
             counters.increment(isColdStart ? Counter.AHEAD_LATE : Counter.AHEAD_USED);
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Counts the prefetches that no step has used. */
+    /** Counts the prefetched functions that no step has used. */
     void onChainClosed(ActiveChain chain) {
         for (int step = 0; step < chain.plan().size(); step++) {
             if (chain.isPrefetched(step)) {
--- a/decisions/src/main/java/wharfhinge/decisions/chain/LatencyHistogram.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/LatencyHistogram.java
@@ -4,21 +4,21 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Recent latencies of one kind. Two histograms take turns, so that what is older than two turns is forgotten; the quantiles are
- * computed every few samples, which keeps a look-up cheap.
+ * Recent latencies of one kind. Only the samples of the current and the previous time window are kept, each in its own histogram. The
+ * quantiles are recomputed every few samples, which keeps reading them cheap.
  */
 final class LatencyHistogram {
-    private static final long UNIT_NANOS = 100_000L;
-    private static final long MAX_UNITS = 60_000_000_000L / UNIT_NANOS;
+    private static final long RESOLUTION_NANOS = 100_000L;
+    private static final long MAX_UNITS = 60_000_000_000L / RESOLUTION_NANOS;
     private static final int SIGNIFICANT_DIGITS = 1;
-    private static final int TURN_SAMPLES = 64;
-    private static final long TURN_NANOS = 20_000_000_000L;
+    private static final int WINDOW_SAMPLES = 64;
+    private static final long WINDOW_NANOS = 20_000_000_000L;
     private static final int SAMPLES_PER_UPDATE = 4;
-    private static final int MIN_SAMPLES = 3; // fewer say less than what the call itself tells
+    private static final int MIN_SAMPLES = 3; // fewer are less reliable than what the step itself states
 
     private IntCountsHistogram current = newHistogram();
     private IntCountsHistogram previous = newHistogram();
-    private long turnStartedAtNanos;
+    private long windowStartedAtNanos;
     private int samplesSinceUpdate;
     private Optional<LatencyQuantiles> quantiles = Optional.empty();
 
@@ -27,27 +27,27 @@
     }
 
     void add(long nowNanos, long latencyNanos) {
-        if (isTurnOver(nowNanos)) {
+        if (isWindowOver(nowNanos)) {
             IntCountsHistogram oldest = previous;
             previous = current;
             current = oldest;
             current.reset();
-            turnStartedAtNanos = nowNanos;
+            windowStartedAtNanos = nowNanos;
         }
-        current.recordValue(Math.max(1, Math.min(MAX_UNITS, latencyNanos / UNIT_NANOS)));
+        current.recordValue(Math.max(1, Math.min(MAX_UNITS, latencyNanos / RESOLUTION_NANOS)));
         if (quantiles.isEmpty() || ++samplesSinceUpdate >= SAMPLES_PER_UPDATE) {
             samplesSinceUpdate = 0;
             quantiles = compute();
         }
     }
 
-    private boolean isTurnOver(long nowNanos) {
-        boolean isFull = current.getTotalCount() >= TURN_SAMPLES;
-        boolean isOld = nowNanos - turnStartedAtNanos > TURN_NANOS && current.getTotalCount() > 0;
+    private boolean isWindowOver(long nowNanos) {
+        boolean isFull = current.getTotalCount() >= WINDOW_SAMPLES;
+        boolean isOld = nowNanos - windowStartedAtNanos > WINDOW_NANOS && current.getTotalCount() > 0;
         return isFull || isOld;
     }
 
-    /** The quantiles as last computed; empty where there are too few samples. */
+    /** The quantiles as last computed; empty if there are too few samples. */
     Optional<LatencyQuantiles> quantiles() {
         return quantiles;
     }
@@ -60,8 +60,8 @@
             return Optional.empty();
         }
         return Optional.of(new LatencyQuantiles(
-                all.getValueAtPercentile(10) * UNIT_NANOS,
-                all.getValueAtPercentile(50) * UNIT_NANOS,
-                all.getValueAtPercentile(90) * UNIT_NANOS));
+                all.getValueAtPercentile(10) * RESOLUTION_NANOS,
+                all.getValueAtPercentile(50) * RESOLUTION_NANOS,
+                all.getValueAtPercentile(90) * RESOLUTION_NANOS));
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
@@ -6,13 +6,13 @@
 import wharfhinge.decisions.chain.ChainPlan.Step;
 
 /**
- * Learned service times by function, apart for warm calls and cold starts. Where a function has too few samples, what the client
- * said of the step stands in, then what other functions take, then a part of the chain's time. Bounded: the functions not heard of
- * for longest are forgotten first.
+ * Learned service times by function, separately for warm calls and cold starts. If a function has too few samples, the times that
+ * the client stated for the step are used, otherwise the times of all functions, otherwise a fraction of the chain's time. Bounded:
+ * the least recently used functions are dropped first.
  */
 final class ServiceTimeEstimates {
-    private static final double SMOOTHING = 0.05;
-    /** A quantile is that of a cold start where one is likelier than the quantile's complement. */
+    private static final double SMOOTHING_FACTOR = 0.05;
+    /** A quantile is taken from the cold starts if their share exceeds the complement of the quantile. */
     private static final double COLD_START_AT_LOW = 0.9;
 
     private static final double COLD_START_AT_MEDIAN = 0.5;
@@ -24,7 +24,7 @@
     private final LatencyHistogram anyCold = new LatencyHistogram();
     private double coldShareWhereNotBelievedWarm = 1;
 
-    /** Remembers at most so many functions. */
+    /** Creates estimates for at most {@code maxFunctions} functions. */
     ServiceTimeEstimates(int maxFunctions) {
         warmByFunction = leastRecentlyUsedMap(maxFunctions);
         coldByFunction = leastRecentlyUsedMap(maxFunctions);
@@ -41,17 +41,17 @@
         };
     }
 
-    /** A call was answered; {@code wasBelievedWarm} tells what was believed of its function when it started. */
-    void learn(long nowNanos, String function, boolean isColdStart, boolean wasBelievedWarm, long tookNanos) {
+    /** Records an answered call; {@code wasBelievedWarm} tells whether its function was believed to be loaded when it started. */
+    void learn(long nowNanos, String function, boolean isColdStart, boolean wasBelievedWarm, long latencyNanos) {
         Map<String, LatencyHistogram> byFunction = isColdStart ? coldByFunction : warmByFunction;
-        byFunction.computeIfAbsent(function, key -> new LatencyHistogram()).add(nowNanos, tookNanos);
-        (isColdStart ? anyCold : anyWarm).add(nowNanos, tookNanos);
+        byFunction.computeIfAbsent(function, key -> new LatencyHistogram()).add(nowNanos, latencyNanos);
+        (isColdStart ? anyCold : anyWarm).add(nowNanos, latencyNanos);
         if (!wasBelievedWarm) {
-            coldShareWhereNotBelievedWarm += SMOOTHING * ((isColdStart ? 1 : 0) - coldShareWhereNotBelievedWarm);
+            coldShareWhereNotBelievedWarm += SMOOTHING_FACTOR * ((isColdStart ? 1 : 0) - coldShareWhereNotBelievedWarm);
         }
     }
 
-    /** A call of a loaded function: as learned, else by the step's cost, else as for any function. */
+    /** Estimate for a call of a loaded function: as learned, otherwise from the step's cost, otherwise as for any function. */
     LatencyQuantiles warm(Step step, long defaultNanos) {
         Optional<LatencyQuantiles> learned = learned(warmByFunction, step);
         if (learned.isPresent()) {
@@ -65,7 +65,10 @@
                 .orElseGet(() -> new LatencyQuantiles(defaultNanos / 8, defaultNanos / 4, defaultNanos));
     }
 
-    /** A call that waits for a load: as learned, else a warm one and the step's time for a load, else as for any function. */
+    /**
+     * Estimate for a call that waits for a load: as learned, otherwise a warm call plus the load time of the step, otherwise as for
+     * any function.
+     */
     LatencyQuantiles cold(Step step, long defaultNanos) {
         Optional<LatencyQuantiles> learned = learned(coldByFunction, step);
         if (learned.isPresent()) {
@@ -73,15 +76,16 @@
         }
         long loadNanos = step.loadNanos();
         if (loadNanos > 0) {
-            return warm(step, defaultNanos).then(new LatencyQuantiles(loadNanos * 3 / 4, loadNanos, 2 * loadNanos));
+            return warm(step, defaultNanos).plus(new LatencyQuantiles(loadNanos * 3 / 4, loadNanos, 2 * loadNanos));
         }
         return anyCold.quantiles().orElseGet(() -> warm(step, defaultNanos)
-                .then(new LatencyQuantiles(0, defaultNanos / 8, defaultNanos))); // nothing known: worth an attempt
+                .plus(new LatencyQuantiles(
+                        0, defaultNanos / 8, defaultNanos))); // nothing is known: low enough that a chain is attempted
     }
 
     /**
-     * A call of a function that is not believed to be loaded. That does not mean a cold start: where other gateways keep
-     * functions warm, such calls are often warm, and the share that was cold of late decides.
+     * Estimate for a call of a function that is not believed to be loaded. Such a call is not always a cold start: other gateways may
+     * keep the function loaded. The recent share of cold starts among such calls decides which estimate is used.
      */
     LatencyQuantiles uncertain(Step step, long defaultNanos) {
         LatencyQuantiles warm = warm(step, defaultNanos);
--- a/decisions/src/main/java/wharfhinge/decisions/chain/StepAnswerCache.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/StepAnswerCache.java
@@ -7,8 +7,8 @@
 
 /**
  * Cache of the answers of finished steps by the idempotency key that a client gave its chain, so that a retry does not run them
- * again. Bounded by keys and bytes for each tenant: a tenant beyond its bound loses its own oldest keys, nobody else's. Only this
- * gateway knows them; another one runs the steps again.
+ * again. Keys and bytes are bounded for each tenant: a tenant beyond a bound loses its own oldest keys, never those of another
+ * tenant. The cache is local to this gateway; a retry on another gateway runs the steps again.
  */
 public final class StepAnswerCache {
     /** The answer of a step. */
@@ -25,7 +25,7 @@
             this.answers = new Answer[steps];
         }
 
-        boolean isOf(String otherDigest, int steps) {
+        boolean matches(String otherDigest, int steps) {
             return digest.equals(otherDigest) && answers.length == steps;
         }
 
@@ -41,7 +41,7 @@
     private final long maxBytesPerTenant;
     private final Map<String, LinkedHashMap<String, CachedChain>> chainsByTenant = new HashMap<>();
 
-    /** Caches answers for {@code windowNanos}, and for each tenant so many keys and bytes at most. */
+    /** Creates a cache that keeps answers for {@code windowNanos}, within limits of keys and bytes for each tenant. */
     public StepAnswerCache(long windowNanos, int maxKeysPerTenant, long maxBytesPerTenant) {
         this.windowNanos = windowNanos;
         this.maxKeysPerTenant = maxKeysPerTenant;
@@ -49,18 +49,18 @@
     }
 
     /**
-     * A step of a chain with a key was answered.
+     * Caches the answer of a step of a chain that has an idempotency key.
      *
-     * @param digest of the chain's text: the same key with another text is another chain, and replaces the former
+     * @param digest digest of the chain's text: the same key with another text is another chain, which replaces the former one
      * @param steps  number of steps of the chain
-     * @return false where the answer is too large to be cached, and the chain's earlier answers are dropped with it
+     * @return false if the chain's answers are too large to be cached; its earlier answers are then dropped as well
      */
     public boolean put(long nowNanos, String tenant, String key, String digest, int steps, int step, Answer answer) {
         LinkedHashMap<String, CachedChain> chains =
                 chainsByTenant.computeIfAbsent(tenant, absent -> new LinkedHashMap<>());
         removeExpired(nowNanos, chains);
         CachedChain known = chains.remove(key);
-        CachedChain chain = known != null && known.isOf(digest, steps) ? known : new CachedChain(digest, steps);
+        CachedChain chain = known != null && known.matches(digest, steps) ? known : new CachedChain(digest, steps);
         if (chain.bytes + answer.body().length > maxBytesPerTenant) {
             return false;
         }
@@ -72,7 +72,7 @@
         return true;
     }
 
-    /** The answers that a retry of this chain may start from; empty where there are none or the chain is another. */
+    /** The answers that a retry of a chain may start from; empty if there are none or the key belongs to another chain. */
     public Optional<Answer[]> get(long nowNanos, String tenant, String key, String digest, int steps) {
         LinkedHashMap<String, CachedChain> chains = chainsByTenant.get(tenant);
         if (chains == null) {
@@ -80,7 +80,7 @@
         }
         removeExpired(nowNanos, chains);
         return Optional.ofNullable(chains.get(key))
-                .filter(chain -> chain.isOf(digest, steps))
+                .filter(chain -> chain.matches(digest, steps))
                 .map(chain -> chain.answers.clone());
     }
 
@@ -98,7 +98,7 @@
         chains.remove(chains.keySet().iterator().next());
     }
 
-    /** Keys cached, of all tenants. */
+    /** Number of cached keys of all tenants. */
     public int size() {
         return chainsByTenant.values().stream().mapToInt(Map::size).sum();
     }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/StepLimiter.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/StepLimiter.java
@@ -9,11 +9,11 @@
 import java.util.function.Predicate;
 
 /**
- * Bounds the steps that run at once, in all and for each tenant. A ready step beyond a bound waits; tenants whose steps wait
- * take turns. What waits is bounded by the chains that are open and by their deadlines.
+ * Bounds the number of concurrently running steps, in total and for each tenant. A ready step beyond a bound waits; waiting steps are
+ * started round-robin by tenant. The waiting steps are bounded by the number of open chains and by their deadlines.
  */
 final class StepLimiter {
-    /** A step that could run but for the bounds. */
+    /** A ready step that waits for capacity. */
     record WaitingStep(ActiveChain chain, int step) {}
 
     private final int maxSteps;
@@ -52,24 +52,24 @@
     }
 
     /**
-     * Takes waiting steps while there is capacity, one for each tenant in turn.
+     * Starts waiting steps while there is capacity, one for each tenant in turn.
      *
-     * @param isCurrent whether a step may still start; others are dropped
-     * @param onTurn    starts a step, or ends its chain
+     * @param canStart  whether a step may still start; other steps are dropped
+     * @param startStep starts a step or ends its chain
      */
-    void drain(Predicate<WaitingStep> isCurrent, Consumer<WaitingStep> onTurn) {
-        boolean hasTakenAny = !waitingByTenant.isEmpty();
-        while (hasTakenAny) {
-            hasTakenAny = false;
+    void startWaiting(Predicate<WaitingStep> canStart, Consumer<WaitingStep> startStep) {
+        boolean hasStartedAny = !waitingByTenant.isEmpty();
+        while (hasStartedAny) {
+            hasStartedAny = false;
             for (String tenant : List.copyOf(waitingByTenant.keySet())) {
-                hasTakenAny |= takeOne(tenant, isCurrent, onTurn);
+                hasStartedAny |= startOne(tenant, canStart, startStep);
             }
         }
     }
 
-    private boolean takeOne(String tenant, Predicate<WaitingStep> isCurrent, Consumer<WaitingStep> onTurn) {
+    private boolean startOne(String tenant, Predicate<WaitingStep> canStart, Consumer<WaitingStep> startStep) {
         ArrayDeque<WaitingStep> queue = waitingByTenant.get(tenant);
-        while (!queue.isEmpty() && !isCurrent.test(queue.peek())) {
+        while (!queue.isEmpty() && !canStart.test(queue.peek())) {
             queue.poll();
         }
         if (queue.isEmpty()) {
@@ -79,7 +79,7 @@
         if (!hasCapacity(tenant)) {
             return false;
         }
-        onTurn.accept(queue.poll());
+        startStep.accept(queue.poll());
         return true;
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainDecisionsGoldenTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainDecisionsGoldenTest.java
@@ -19,19 +19,19 @@
 import wharfhinge.policy.Effect;
 
 /**
- * Holds the exact sequence of actions and counters for random sequences of events, as a digest (enums by ordinal,
- * so that a renamed constant changes nothing). A change of structure must leave
- * the digest as it is; a change of the decisions replaces it and says so in its commit.
+ * Checks the exact sequence of actions and counters for random sequences of events against a recorded digest. Enums enter the digest
+ * by ordinal, so renaming a constant does not change it. A refactoring must leave the digest unchanged; a change of the decisions
+ * replaces it and says so in its commit.
  */
 class ChainDecisionsGoldenTest {
     private static final String EXPECTED_DIGEST = "7bf455ee171519b5d1325431419f90a8f79d886d890db0db306bf412da5a5f2f";
     private static final long MILLIS = 1_000_000L;
     private static final int SEEDS = 200;
-    private static final int STEPS = 400;
+    private static final int EVENTS = 400;
 
     private record RunningStep(long chain, int step, long startedAt) {}
 
-    /** Records each action as text and remembers which steps run. */
+    /** Adds each action as text to the digest and remembers which steps are running. */
     private static final class FakeGateway implements ChainScheduler.Actions {
         private final MessageDigest digest;
         private final Set<RunningStep> running = new LinkedHashSet<>();
@@ -48,14 +48,14 @@
         }
 
         @Override
-        public void startStep(long chain, int step, long mayTakeNanos) {
+        public void startStep(long chain, int step, long budgetNanos) {
             running.add(new RunningStep(chain, step, now));
-            record("start " + chain + "/" + step + " " + mayTakeNanos);
+            record("start " + chain + "/" + step + " " + budgetNanos);
         }
 
         @Override
         public void cancelStep(long chain, int step) {
-            running.removeIf(r -> r.chain == chain && r.step == step);
+            running.removeIf(runningStep -> runningStep.chain == chain && runningStep.step == step);
             record("cancel " + chain + "/" + step);
         }
 
@@ -65,10 +65,10 @@
         }
 
         @Override
-        public void completeChain(long chain, ChainResult end) {
+        public void completeChain(long chain, ChainResult result) {
             open.remove(chain);
-            record("end " + chain + " " + end.kind().ordinal() + " " + end.reason() + " "
-                    + end.steps().stream().map(Enum::ordinal).toList());
+            record("end " + chain + " " + result.kind().ordinal() + " " + result.reason() + " "
+                    + result.steps().stream().map(Enum::ordinal).toList());
         }
     }
 
@@ -76,12 +76,12 @@
     void actionsOfRandomEventSequences_matchTheRecordedDigest() throws Exception {
         MessageDigest digest = MessageDigest.getInstance("SHA-256");
         for (int seed = 0; seed < SEEDS; seed++) {
-            play(new Random(seed), new FakeGateway(digest));
+            runRandomSequence(new Random(seed), new FakeGateway(digest));
         }
         assertEquals(EXPECTED_DIGEST, HexFormat.of().formatHex(digest.digest()));
     }
 
-    private static void play(Random random, FakeGateway gateway) throws Exception {
+    private static void runRandomSequence(Random random, FakeGateway gateway) throws Exception {
         ChainSettings settings = new ChainSettings(
                 random.nextInt(8) == 0 ? ChainSettings.Clock.DEADLINE_PER_STEP : ChainSettings.Clock.SHARED_DEADLINE,
                 random.nextInt(4) > 0,
@@ -93,39 +93,44 @@
                 1 << 20,
                 4 * MILLIS);
         Set<String> warm = new LinkedHashSet<>();
-        ChainScheduler decisions = new ChainScheduler(settings, gateway, warm::contains);
-        for (int step = 0; step < STEPS; step++) {
+        ChainScheduler scheduler = new ChainScheduler(settings, gateway, warm::contains);
+        for (int event = 0; event < EVENTS; event++) {
             gateway.now += random.nextInt(40) * MILLIS;
             String function = "f" + random.nextInt(6);
             if (!warm.remove(function)) {
                 warm.add(function);
             }
-            playEvent(random, decisions, gateway, step);
-            gateway.record(decisions.openChains() + " " + decisions.runningSteps());
+            applyRandomEvent(random, scheduler, gateway, event);
+            gateway.record(scheduler.openChains() + " " + scheduler.runningSteps());
         }
-        for (Counter count : Counter.values()) {
-            gateway.record(count.ordinal() + " " + decisions.counter(count));
+        for (Counter counter : Counter.values()) {
+            gateway.record(counter.ordinal() + " " + scheduler.counter(counter));
         }
     }
 
-    private static void playEvent(Random random, ChainScheduler decisions, FakeGateway gateway, int id)
+    private static void applyRandomEvent(Random random, ChainScheduler scheduler, FakeGateway gateway, int id)
             throws Exception {
         long now = gateway.now;
         switch (random.nextInt(24)) {
-            case 0 -> decisions.onClientCancelled(now, random.nextInt(id + 1));
-            case 1 -> decisions.onDeadline(now, random.nextInt(id + 1));
-            case 2 -> decisions.onResponseBytesExhausted(now, random.nextInt(id + 1));
+            case 0 -> scheduler.onClientCancelled(now, random.nextInt(id + 1));
+            case 1 -> scheduler.onDeadline(now, random.nextInt(id + 1));
+            case 2 -> scheduler.onResponseBytesExhausted(now, random.nextInt(id + 1));
             case 3, 4, 5, 6, 7, 8, 9 -> {
                 ChainPlan plan = plan(random);
-                boolean[] done = new boolean[plan.size()];
+                boolean[] finishedSteps = new boolean[plan.size()];
                 if (random.nextInt(6) == 0) {
-                    for (int step = 0; step < done.length; step++) {
-                        done[step] = random.nextBoolean();
+                    for (int step = 0; step < finishedSteps.length; step++) {
+                        finishedSteps[step] = random.nextBoolean();
                     }
                 }
                 String tenant = random.nextInt(5) == 0 ? null : "t" + random.nextInt(3);
-                decisions.onChain(
-                        now, id, plan, tenant, now + random.nextInt(3000) * MILLIS, random.nextBoolean() ? done : null);
+                scheduler.onChain(
+                        now,
+                        id,
+                        plan,
+                        tenant,
+                        now + random.nextInt(3000) * MILLIS,
+                        random.nextBoolean() ? finishedSteps : null);
             }
             default -> {
                 if (!gateway.running.isEmpty()) {
@@ -136,7 +141,7 @@
                     gateway.running.remove(ended);
                     int kind = random.nextInt(16);
                     StepEnd end = kind == 0 ? StepEnd.FAILED : kind == 1 ? StepEnd.REJECTED : StepEnd.SERVED;
-                    decisions.onStepCompleted(
+                    scheduler.onStepCompleted(
                             now, ended.chain, ended.step, end, now - ended.startedAt, random.nextInt(4) == 0);
                 }
             }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainPlanTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainPlanTest.java
@@ -25,10 +25,10 @@
                     .getMessage();
             assertTrue(text.matches("steps.*: found .*, allowed: .*"), text);
         }
-        List<Step> row = new ArrayList<>();
+        List<Step> tooDeep = new ArrayList<>();
         for (int i = 0; i <= ChainPlan.MAX_DEPTH; i++) {
-            row.add(i == 0 ? step("s0", Effect.IDEMPOTENT) : step("s" + i, Effect.IDEMPOTENT, "s" + (i - 1)));
+            tooDeep.add(i == 0 ? step("s0", Effect.IDEMPOTENT) : step("s" + i, Effect.IDEMPOTENT, "s" + (i - 1)));
         }
-        assertThrows(InvalidPlanException.class, () -> ChainPlan.of(row));
+        assertThrows(InvalidPlanException.class, () -> ChainPlan.of(tooDeep));
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/ChainPropertiesTest.java
@@ -20,116 +20,126 @@
 import wharfhinge.decisions.chain.ChainScheduler.StepEnd;
 import wharfhinge.policy.Effect;
 
-/** Random graphs, times and failures over a simulated clock. */
+/** Runs random graphs of steps with random durations and failures on a simulated clock. */
 class ChainPropertiesTest {
     private static final long MILLIS = 1_000_000L;
     private static final long RESERVE_NANOS = 4 * MILLIS;
 
-    private record Event(long at, long number, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** Steps that take random times, with the rules checked at every action. */
+    /** A fleet whose steps take random times. Checks the rules of scheduling at every action. */
     private static final class FakeFleet implements ChainScheduler.Actions {
         private final Random random;
         private final PriorityQueue<Event> events = new PriorityQueue<>();
         private final Map<Long, ChainPlan> plans = new HashMap<>();
         private final Map<Long, Long> deadlines = new HashMap<>();
-        private final Map<Long, ChainResult> ends = new HashMap<>();
-        private final Map<String, String> steps = new HashMap<>();
+        private final Map<Long, ChainResult> results = new HashMap<>();
+        private final Map<String, String> stateByStep = new HashMap<>();
         private final Map<String, Long> unsafeRuns = new HashMap<>();
-        private final ChainScheduler decisions;
-        private final int mostSteps;
+        private final ChainScheduler scheduler;
+        private final int maxSteps;
         private long now;
-        private long number;
-        private int out;
+        private long sequence;
+        private int runningSteps;
 
         FakeFleet(long seed, ChainSettings settings) {
             random = new Random(seed);
-            mostSteps = settings.maxSteps();
-            decisions = new ChainScheduler(settings, this, f -> f.hashCode() % 2 == 0);
+            maxSteps = settings.maxSteps();
+            scheduler = new ChainScheduler(settings, this, function -> function.hashCode() % 2 == 0);
         }
 
-        void at(long time, Runnable what) {
-            events.add(new Event(time, number++, what));
+        void at(long time, Runnable action) {
+            events.add(new Event(time, sequence++, action));
         }
 
         @Override
-        public void startStep(long chain, int step, long mayTakeNanos) {
-            assertNull(ends.get(chain), "a step starts after the answer");
-            assertNull(steps.put(chain + "/" + step, "out"), "a step starts twice");
+        public void startStep(long chain, int step, long budgetNanos) {
+            assertNull(results.get(chain), "a step started after the answer of its chain");
+            assertNull(stateByStep.put(chain + "/" + step, "out"), "a step started twice");
             assertTrue(
-                    mayTakeNanos > 0 && now + mayTakeNanos <= deadlines.get(chain) - RESERVE_NANOS,
-                    "a step may take more than is left");
+                    budgetNanos > 0 && now + budgetNanos <= deadlines.get(chain) - RESERVE_NANOS,
+                    "the time budget of a step exceeds the time left");
             for (int need : plans.get(chain).needs(step)) {
-                assertEquals("served", steps.get(chain + "/" + need), "a step starts before what it needs");
+                assertEquals(
+                        "served",
+                        stateByStep.get(chain + "/" + need),
+                        "a step started before a step that it needs was served");
             }
-            assertTrue(++out <= mostSteps, "more steps out than allowed");
-            long took = (long) (random.nextDouble() * random.nextDouble() * 900 * MILLIS);
-            boolean fails = random.nextInt(20) == 0;
-            boolean refused = !fails && random.nextInt(20) == 0;
-            at(now + Math.min(took, mayTakeNanos), () -> {
-                if ("out".equals(steps.get(chain + "/" + step))) {
-                    out--;
-                    boolean late = took > mayTakeNanos;
-                    steps.put(chain + "/" + step, late || fails ? "failed" : refused ? "refused" : "served");
-                    decisions.onStepCompleted(
+            assertTrue(++runningSteps <= maxSteps, "more running steps than allowed");
+            long latencyNanos = (long) (random.nextDouble() * random.nextDouble() * 900 * MILLIS);
+            boolean isFailed = random.nextInt(20) == 0;
+            boolean isRejected = !isFailed && random.nextInt(20) == 0;
+            at(now + Math.min(latencyNanos, budgetNanos), () -> {
+                if ("out".equals(stateByStep.get(chain + "/" + step))) {
+                    runningSteps--;
+                    boolean isLate = latencyNanos > budgetNanos;
+                    stateByStep.put(
+                            chain + "/" + step, isLate || isFailed ? "failed" : isRejected ? "refused" : "served");
+                    scheduler.onStepCompleted(
                             now,
                             chain,
                             step,
-                            late || fails ? StepEnd.FAILED : refused ? StepEnd.REJECTED : StepEnd.SERVED,
-                            took,
-                            took > 400 * MILLIS);
+                            isLate || isFailed ? StepEnd.FAILED : isRejected ? StepEnd.REJECTED : StepEnd.SERVED,
+                            latencyNanos,
+                            latencyNanos > 400 * MILLIS);
                 }
             });
         }
 
         @Override
         public void cancelStep(long chain, int step) {
-            assertEquals("out", steps.put(chain + "/" + step, "cancelled"), "cancelled what is not out");
-            out--;
+            assertEquals(
+                    "out",
+                    stateByStep.put(chain + "/" + step, "cancelled"),
+                    "a step was cancelled that is not running");
+            runningSteps--;
         }
 
         @Override
         public void prefetch(long chain, int step) {
-            assertNull(steps.get(chain + "/" + step), "loaded ahead for a step that has begun");
+            assertNull(stateByStep.get(chain + "/" + step), "a function was prefetched for a step that has started");
         }
 
         @Override
-        public void completeChain(long chain, ChainResult end) {
-            assertNull(ends.put(chain, end), "two answers");
-            assertTrue(now <= deadlines.get(chain), "an answer after the deadline");
+        public void completeChain(long chain, ChainResult result) {
+            assertNull(results.put(chain, result), "a second answer to a chain");
+            assertTrue(now <= deadlines.get(chain), "an answer after the deadline of the chain");
             ChainPlan plan = plans.get(chain);
             for (int i = 0; i < plan.size(); i++) {
-                String seen = steps.getOrDefault(chain + "/" + i, "none");
-                boolean exposed = !seen.equals("none") && !seen.equals("refused");
+                String observedState = stateByStep.getOrDefault(chain + "/" + i, "none");
+                boolean mayHaveRun = !observedState.equals("none") && !observedState.equals("refused");
                 assertEquals(
-                        exposed,
-                        end.steps().get(i) == StepState.SERVED || end.steps().get(i) == StepState.MAY_HAVE_RUN,
-                        "a state that is not so: " + seen);
+                        mayHaveRun,
+                        result.steps().get(i) == StepState.SERVED
+                                || result.steps().get(i) == StepState.MAY_HAVE_RUN,
+                        "the reported state contradicts the observed one: " + observedState);
                 assertTrue(
-                        end.kind() != Kind.REFUSED
-                                || !exposed
+                        result.kind() != Kind.REFUSED
+                                || !mayHaveRun
                                 || plan.steps().get(i).effect() == Effect.IDEMPOTENT,
-                        "a refusal after an unsafe step");
-                assertTrue(end.kind() != Kind.SERVED || seen.equals("served"), "served without all steps");
+                        "a chain was refused as safe to retry after a non-idempotent step may have run");
+                assertTrue(
+                        result.kind() != Kind.SERVED || observedState.equals("served"),
+                        "a chain was served without all of its steps");
             }
         }
 
-        void begin(long id) {
-            int n = 1 + random.nextInt(8);
-            List<Step> all = new ArrayList<>();
-            for (int i = 0; i < n; i++) {
+        void startChain(long id) {
+            int size = 1 + random.nextInt(8);
+            List<Step> planSteps = new ArrayList<>();
+            for (int i = 0; i < size; i++) {
                 List<String> needs = new ArrayList<>();
-                for (int k = 0; k < i; k++) {
+                for (int earlier = 0; earlier < i; earlier++) {
                     if (random.nextInt(3) == 0) {
-                        needs.add("s" + k);
+                        needs.add("s" + earlier);
                     }
                 }
-                all.add(new Step(
+                planSteps.add(new Step(
                         "s" + i,
                         "f" + random.nextInt(6),
                         "c",
@@ -139,68 +149,68 @@
                         random.nextInt(2) * 500 * MILLIS));
             }
             try {
-                plans.put(id, ChainPlan.of(all));
+                plans.put(id, ChainPlan.of(planSteps));
             } catch (ChainPlan.InvalidPlanException e) {
                 throw new AssertionError(e);
             }
             long deadline = now + (50 + random.nextInt(2000)) * MILLIS;
             deadlines.put(id, deadline);
-            at(deadline - RESERVE_NANOS / 2, () -> decisions.onDeadline(now, id));
+            at(deadline - RESERVE_NANOS / 2, () -> scheduler.onDeadline(now, id));
             if (random.nextInt(10) == 0) {
                 at(now + random.nextInt(500) * MILLIS, () -> {
-                    if (!ends.containsKey(id)) {
-                        ends.put(id, new ChainResult(Kind.FAILED, "left", List.of()));
-                        decisions.onClientCancelled(now, id);
+                    if (!results.containsKey(id)) {
+                        results.put(id, new ChainResult(Kind.FAILED, "left", List.of()));
+                        scheduler.onClientCancelled(now, id);
                     }
                 });
             }
-            decisions.onChain(now, id, plans.get(id), random.nextBoolean() ? "a" : "b", deadline, null);
+            scheduler.onChain(now, id, plans.get(id), random.nextBoolean() ? "a" : "b", deadline, null);
         }
 
         void run() {
-            for (Event e = events.poll(); e != null; e = events.poll()) {
-                now = e.at();
-                e.what().run();
+            for (Event event = events.poll(); event != null; event = events.poll()) {
+                now = event.at();
+                event.action().run();
             }
         }
     }
 
     @Property(tries = 1000, seed = "7", shrinking = ShrinkingMode.OFF)
     void eachChain_getsOneAnswerInTimeAndStartsNothingAfterIt(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int mostSteps, @ForAll boolean early) {
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int maxSteps, @ForAll boolean earlyRejection) {
         FakeFleet fleet = new FakeFleet(
                 seed,
                 new ChainSettings(
                         ChainSettings.Clock.SHARED_DEADLINE,
-                        early,
+                        earlyRejection,
                         5,
                         true,
                         30,
-                        mostSteps,
+                        maxSteps,
                         0.5,
                         1 << 20,
                         RESERVE_NANOS));
         for (long id = 0; id < 60; id++) {
             long chain = id;
-            fleet.at(id * 20 * MILLIS, () -> fleet.begin(chain));
+            fleet.at(id * 20 * MILLIS, () -> fleet.startChain(chain));
         }
         fleet.run();
-        assertEquals(60, fleet.ends.size(), "a chain without an answer");
-        assertEquals(0, fleet.decisions.openChains());
-        assertEquals(0, fleet.decisions.runningSteps());
-        assertEquals(0, fleet.out);
+        assertEquals(60, fleet.results.size(), "a chain got no answer");
+        assertEquals(0, fleet.scheduler.openChains());
+        assertEquals(0, fleet.scheduler.runningSteps());
+        assertEquals(0, fleet.runningSteps);
     }
 
     @Property(tries = 300, seed = "7")
-    void chanceInTime_neverFallsWithMoreTime(
+    void probabilityInTime_neverFallsWithMoreTime(
             @ForAll @IntRange(max = 1000) int low,
-            @ForAll @IntRange(max = 1000) int more,
-            @ForAll @IntRange(max = 1000) int most,
+            @ForAll @IntRange(max = 1000) int lowToMedian,
+            @ForAll @IntRange(max = 1000) int medianToHigh,
             @ForAll @IntRange(max = 5000) int time) {
-        LatencyQuantiles quantiles = new LatencyQuantiles(low, low + more, low + more + most);
-        double chance = quantiles.within(time);
-        assertTrue(chance >= 0 && chance <= 1);
-        assertTrue(quantiles.within(time + 1) >= chance);
-        assertTrue(quantiles.then(new LatencyQuantiles(1, 2, 3)).within(time) <= chance + 1e-9);
+        LatencyQuantiles quantiles = new LatencyQuantiles(low, low + lowToMedian, low + lowToMedian + medianToHigh);
+        double probability = quantiles.probabilityWithin(time);
+        assertTrue(probability >= 0 && probability <= 1);
+        assertTrue(quantiles.probabilityWithin(time + 1) >= probability);
+        assertTrue(quantiles.plus(new LatencyQuantiles(1, 2, 3)).probabilityWithin(time) <= probability + 1e-9);
     }
 }
--- a/decisions/src/test/java/wharfhinge/decisions/chain/FinishedStepsTest.java
+++ b/decisions/src/test/java/wharfhinge/decisions/chain/FinishedStepsTest.java
@@ -17,13 +17,13 @@
                 cache.get(500, "t", "k", "d", 2).orElseThrow());
         assertFalse(cache.get(500, "t", "k", "other", 2).isPresent(), "another chain under the same key");
         assertFalse(cache.get(500, "u", "k", "d", 2).isPresent(), "another tenant");
-        assertFalse(cache.get(1000, "t", "k", "d", 2).isPresent(), "past its window");
+        assertFalse(cache.get(1000, "t", "k", "d", 2).isPresent(), "the answer has expired");
         cache.put(0, "t", "k1", "d", 1, 0, answer);
         cache.put(0, "u", "k1", "d", 1, 0, answer);
         cache.put(0, "t", "k2", "d", 1, 0, answer);
         cache.put(0, "t", "k3", "d", 1, 0, answer);
-        assertFalse(cache.get(1, "t", "k1", "d", 1).isPresent(), "the oldest gives way");
-        assertTrue(cache.get(1, "u", "k1", "d", 1).isPresent(), "never another tenant's");
+        assertFalse(cache.get(1, "t", "k1", "d", 1).isPresent(), "the oldest key is dropped");
+        assertTrue(cache.get(1, "u", "k1", "d", 1).isPresent(), "the keys of another tenant stay");
         assertFalse(cache.put(0, "t", "k4", "d", 1, 0, new StepAnswerCache.Answer(new byte[101], null)));
     }
 }
