--- a/engine/src/main/java/wharfhinge/engine/AccessLog.java
+++ b/engine/src/main/java/wharfhinge/engine/AccessLog.java
@@ -12,7 +12,7 @@
         }
 
         @Override
-        public void onAnswered(Entry line) {}
+        public void onAnswered(Entry entry) {}
 
         @Override
         public void onDiagnostic(String text) {}
@@ -24,8 +24,8 @@
     /**
      * One final answer.
      *
-     * @param answer served, refused, failed, or or left where the client cancelled first
-     * @param trail  for each attempt its worker, result and duration
+     * @param answer           served, refused, failed, or left if the client cancelled first
+     * @param attemptSummaries worker, result and duration of each attempt, or the reason why there was none
      */
     record Entry(
             String call,
@@ -34,15 +34,15 @@
             String tenant,
             String answer,
             long tookNanos,
-            List<String> trail) {}
+            List<String> attemptSummaries) {}
 
-    /** Whether {@link #onAnswered} is worth calling: composing an entry has a cost. */
+    /** Whether entries are logged. If not, callers save the cost of composing an entry for {@link #onAnswered}. */
     default boolean isAccessLogEnabled() {
         return true;
     }
 
     /** A call got its final answer. */
-    void onAnswered(Entry line);
+    void onAnswered(Entry entry);
 
     /** The dispatcher reports a diagnostic. */
     void onDiagnostic(String text);
--- a/engine/src/main/java/wharfhinge/engine/AdmissionGate.java
+++ b/engine/src/main/java/wharfhinge/engine/AdmissionGate.java
@@ -8,13 +8,13 @@
 import wharfhinge.decisions.admission.AdmissionSettings;
 
 /**
- * Shares one {@link AdmissionController} among the I/O threads, which ask it before a call is queued, so that one tenant's flood
- * does not fill the submission queue. The lock is held for a few steps over the tenants that the settings name.
+ * Shares one {@link AdmissionController} among the I/O threads. Calls pass admission before they are queued, so that a burst of one
+ * tenant cannot fill the submission queue. The lock is held only for a short computation over the configured tenants.
  */
 final class AdmissionGate {
     private static final Verdict ADMITTED = new Verdict(AdmissionController.Decision.ADMITTED, 0);
 
-    private final AdmissionController controller; // guarded by this; null where all are let in
+    private final AdmissionController controller; // guarded by this; null if every call is admitted
 
     AdmissionGate(AdmissionSettings settings) {
         controller = settings == null ? null : new AdmissionController(settings);
@@ -43,19 +43,20 @@
             synchronized (this) {
                 put(metrics, "limit", (long) controller.limit());
                 for (AdmissionController.TenantMetrics tenant : controller.metrics()) {
-                    String of = tenant.tenant().equals(AdmissionController.DEFAULT_TENANT) ? "others" : tenant.tenant();
-                    put(metrics, of + "_open", (long) tenant.pending());
-                    put(metrics, of + "_admitted", tenant.admitted());
-                    put(metrics, of + "_refused_rate", tenant.rejectedByRate());
-                    put(metrics, of + "_refused_open", tenant.rejectedByPending());
-                    put(metrics, of + "_refused_share", tenant.rejectedByShare());
+                    String tenantKey =
+                            tenant.tenant().equals(AdmissionController.DEFAULT_TENANT) ? "others" : tenant.tenant();
+                    put(metrics, tenantKey + "_open", (long) tenant.pending());
+                    put(metrics, tenantKey + "_admitted", tenant.admitted());
+                    put(metrics, tenantKey + "_refused_rate", tenant.rejectedByRate());
+                    put(metrics, tenantKey + "_refused_open", tenant.rejectedByPending());
+                    put(metrics, tenantKey + "_refused_share", tenant.rejectedByShare());
                 }
             }
         }
         return metrics;
     }
 
-    /** Under the standard prefix, and under the deprecated one beside it. */
+    /** Adds a metric under the current prefix and under the deprecated one. */
     private static void put(Map<String, Long> metrics, String key, long value) {
         metrics.put("admission_" + key, value);
         metrics.put("door_" + key, value);
--- a/engine/src/main/java/wharfhinge/engine/ChainCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainCall.java
@@ -8,13 +8,13 @@
 /**
  * A chain as a client listener submits it.
  *
- * @param heads      of each step, in the plan's order
- * @param inputs     for each step the names that its input is made of: {@link #CLIENT} or ids of steps
- * @param input      what the client sent
- * @param key        under which finished steps are kept for a retry, or null
- * @param digest     of the chain's text; a key is valid for one text only
+ * @param heads         the call head of each step, in the plan's order
+ * @param inputs        the sources of each step's input: {@link #CLIENT} or ids of steps
+ * @param input         the input that the client sent
+ * @param key           the idempotency key under which finished steps are kept for a retry, or null
+ * @param digest        digest of the chain and its input; a key is valid for one digest only
  * @param deadlineNanos how long the client waits, counted from {@code receivedAt}
- * @param receivedAt {@link System#nanoTime} when its last byte was received
+ * @param receivedAt    {@link System#nanoTime} when its last byte was received
  */
 public record ChainCall(
         ChainPlan plan,
@@ -32,16 +32,16 @@
     /** The name of the client's input among a step's inputs. */
     public static final String CLIENT = "client";
 
-    /** The same chain of another tenant, or of none (null). */
-    public ChainCall withTenant(String other) {
+    /** A copy of this chain with another tenant; null for none. */
+    public ChainCall withTenant(String newTenant) {
         return new ChainCall(
-                plan, heads, inputs, input, id, other, key, digest, deadlineNanos, receivedAt, joiner, listener);
+                plan, heads, inputs, input, id, newTenant, key, digest, deadlineNanos, receivedAt, joiner, listener);
     }
 
-    /** Makes one input of several, by their names. */
+    /** Combines several named inputs of a step into one. */
     @FunctionalInterface
     public interface Joiner {
-        /** Both lists are of the same length. */
+        /** Joins the parts; {@code names} has a name for each of them. */
         byte[] join(List<String> names, List<byte[]> parts);
     }
 
@@ -51,7 +51,7 @@
     /** Receives the chain's one final answer, on the engine's thread. */
     @FunctionalInterface
     public interface Listener {
-        /** {@code answers} has null where a step was not served in this attempt or an earlier one. */
-        void onCompleted(ChainResult end, List<StepAnswer> answers);
+        /** The chain ended. {@code answers} holds null for each step that was served neither in this call nor in an earlier one. */
+        void onCompleted(ChainResult result, List<StepAnswer> answers);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
@@ -25,7 +25,7 @@
 
 /**
  * Executes chains: reports events to {@link ChainScheduler} and carries out its actions, each step as a call of the engine. The
- * answer of a step is queued as an event of its own, so that neither the decisions on chains nor the dispatcher are re-entered.
+ * answer of a step is queued as a separate event, so that neither the scheduler nor the dispatcher is re-entered.
  * Confined to the engine's thread.
  */
 final class ChainExecutor implements ChainScheduler.Actions {
@@ -46,26 +46,26 @@
         }
     }
 
-    private final StepTransport calls;
+    private final StepTransport transport;
     private final EngineSettings.Chains settings;
     private final Set<String> tenants;
     private final StepJournal journal;
-    private final ChainScheduler decisions;
+    private final ChainScheduler scheduler;
     private final StepAnswerCache finishedSteps;
     private final Map<Long, ChainRun> runs = new HashMap<>();
     private final Map<String, ChainRun> runsByKey = new HashMap<>();
     private long nextRunId;
     private long retainedBytes;
-    private long resumed;
-    private long joined;
-    private volatile long retainedKeys; // the table itself is confined to the engine's thread
+    private long resumedChains;
+    private long joinedChains;
+    private volatile long retainedKeys; // for metrics; finishedSteps is confined to the engine's thread
 
-    ChainExecutor(StepTransport calls, EngineSettings.Chains settings, Set<String> tenants, StepJournal journal) {
-        this.calls = calls;
+    ChainExecutor(StepTransport transport, EngineSettings.Chains settings, Set<String> tenants, StepJournal journal) {
+        this.transport = transport;
         this.settings = settings;
         this.tenants = tenants;
         this.journal = journal;
-        this.decisions = new ChainScheduler(settings.settings(), this, calls::isCached);
+        this.scheduler = new ChainScheduler(settings.settings(), this, transport::isCached);
         this.finishedSteps =
                 new StepAnswerCache(settings.resumeWindowNanos(), settings.resumeKeys(), settings.resumeBytes());
     }
@@ -74,12 +74,12 @@
     void restore() {
         journal.restore((age, tenant, key, digest, steps, step, answer) -> {
             if (age < settings.resumeWindowNanos()) {
-                finishedSteps.put(calls.now() - age, tenant, key, digest, steps, step, answer);
+                finishedSteps.put(transport.now() - age, tenant, key, digest, steps, step, answer);
             }
         });
     }
 
-    /** Unknown tenants share one name, so that invented names cannot fill the table of keys. */
+    /** Maps all unknown tenants to one name, so that arbitrary names cannot fill the table of keys. */
     private String tenantOf(ChainCall chainCall) {
         return chainCall.tenant() != null && tenants.contains(chainCall.tenant()) ? chainCall.tenant() : "";
     }
@@ -91,8 +91,9 @@
             join(running, chainCall);
             return;
         }
-        long deadline =
-                calls.now() + chainCall.deadlineNanos() - (calls.toNanoTime(calls.now()) - chainCall.receivedAt());
+        long deadline = transport.now()
+                + chainCall.deadlineNanos()
+                - (transport.toNanoTime(transport.now()) - chainCall.receivedAt());
         ChainRun run = new ChainRun(nextRunId++, chainCall);
         runs.put(run.id, run);
         boolean[] finishedBefore = null;
@@ -101,14 +102,14 @@
             finishedBefore = resume(run, chainCall);
         }
         if (settings.settings().clock() == ChainSettings.Clock.SHARED_DEADLINE) {
-            calls.schedule(
-                    deadline - calls.now() - settings.settings().reserveNanos() / 2,
-                    () -> decisions.onDeadline(calls.now(), run.id));
+            transport.schedule(
+                    deadline - transport.now() - settings.settings().reserveNanos() / 2,
+                    () -> scheduler.onDeadline(transport.now(), run.id));
         }
-        decisions.onChain(calls.now(), run.id, chainCall.plan(), tenantOf(chainCall), deadline, finishedBefore);
+        scheduler.onChain(transport.now(), run.id, chainCall.plan(), tenantOf(chainCall), deadline, finishedBefore);
     }
 
-    /** A retry under the key of a running chain gets that chain's answer, within its own deadline. */
+    /** Attaches a retry to the running chain with the same key; it gets that chain's answer within its own deadline. */
     private void join(ChainRun run, ChainCall chainCall) {
         if (!run.chainCall.digest().equals(chainCall.digest())) {
             respond(
@@ -117,12 +118,12 @@
                     run);
             return;
         }
-        joined++;
+        joinedChains++;
         run.listeners.add(chainCall);
         long remainingNanos = chainCall.deadlineNanos()
-                - (calls.toNanoTime(calls.now()) - chainCall.receivedAt())
+                - (transport.toNanoTime(transport.now()) - chainCall.receivedAt())
                 - settings.settings().reserveNanos() / 2;
-        calls.schedule(remainingNanos, () -> {
+        transport.schedule(remainingNanos, () -> {
             if (run.listeners.remove(chainCall)) {
                 respond(
                         chainCall,
@@ -135,7 +136,7 @@
     private boolean[] resume(ChainRun run, ChainCall chainCall) {
         return finishedSteps
                 .get(
-                        calls.now(),
+                        transport.now(),
                         tenantOf(chainCall),
                         chainCall.key(),
                         chainCall.digest(),
@@ -150,19 +151,19 @@
                             retainBytes(run, retained[i].body().length);
                         }
                     }
-                    resumed++;
+                    resumedChains++;
                     return finishedBefore;
                 })
                 .orElse(null);
     }
 
-    /** A client cancelled or disconnected; the chain goes on while another client waits for it. */
+    /** Handles a client that cancelled or disconnected; the chain continues while another client waits for it. */
     void onClientCancelled(ChainCall chainCall) {
         for (ChainRun run : runs.values()) {
             if (run.listeners.remove(chainCall)) {
-                calls.onChainCompleted(chainCall);
+                transport.onChainCompleted(chainCall);
                 if (run.listeners.isEmpty()) {
-                    decisions.onClientCancelled(calls.now(), run.id);
+                    scheduler.onClientCancelled(transport.now(), run.id);
                     remove(run);
                 }
                 return;
@@ -170,14 +171,14 @@
         }
     }
 
-    /** The engine stops: ends every chain with its final answer. */
+    /** Ends every chain with its final answer when the engine stops. */
     void endAll() {
         for (ChainRun run : List.copyOf(runs.values())) {
-            decisions.onDeadline(calls.now(), run.id);
+            scheduler.onDeadline(transport.now(), run.id);
         }
     }
 
-    // ---- Actions of the decisions -----------------------------------------------------------
+    // ---- Actions of the scheduler -----------------------------------------------------------
 
     @Override
     public void startStep(long chain, int step, long budgetNanos) {
@@ -193,12 +194,12 @@
                 head,
                 head.requestClass(),
                 budgetNanos,
-                calls.toNanoTime(calls.now()),
+                transport.toNanoTime(transport.now()),
                 Unpooled.wrappedBuffer(input),
                 null,
-                new StepResponseSink(run, step, calls.now()));
+                new StepResponseSink(run, step, transport.now()));
         run.stepsInFlight[step] = call;
-        calls.startStep(call);
+        transport.startStep(call);
     }
 
     private static int stepIndex(ChainRun run, String id) {
@@ -207,7 +208,7 @@
                 return i;
             }
         }
-        throw new IllegalStateException("no step " + id); // the plan was checked
+        throw new IllegalStateException("chain plan has no step " + id); // the plan was validated
     }
 
     @Override
@@ -216,14 +217,14 @@
         if (run.stepsInFlight[step] != null) {
             ClientCall call = run.stepsInFlight[step];
             run.stepsInFlight[step] = null;
-            calls.cancel(call);
+            transport.cancel(call);
         }
     }
 
     @Override
     public void prefetch(long chain, int step) {
         CallHead head = runs.get(chain).chainCall.heads().get(step);
-        calls.expectRequest(new Request(
+        transport.expectRequest(new Request(
                 head.id(),
                 head.tenant(),
                 runs.get(chain).chainCall.deadlineNanos(),
@@ -238,16 +239,16 @@
     }
 
     @Override
-    public void completeChain(long chain, ChainResult end) {
+    public void completeChain(long chain, ChainResult result) {
         ChainRun run = runs.get(chain);
         remove(run);
-        run.listeners.forEach(chainCall -> respond(chainCall, end, run));
+        run.listeners.forEach(chainCall -> respond(chainCall, result, run));
         run.listeners.clear();
     }
 
-    private void respond(ChainCall chainCall, ChainResult end, ChainRun run) {
-        chainCall.listener().onCompleted(end, Arrays.asList(run.answers));
-        calls.onChainCompleted(chainCall);
+    private void respond(ChainCall chainCall, ChainResult result, ChainRun run) {
+        chainCall.listener().onCompleted(result, Arrays.asList(run.answers));
+        transport.onChainCompleted(chainCall);
     }
 
     private void remove(ChainRun run) {
@@ -276,7 +277,7 @@
         if (chainCall.key() != null) {
             StepAnswerCache.Answer retained = new StepAnswerCache.Answer(answer.body(), answer.contentType());
             if (finishedSteps.put(
-                    calls.now(),
+                    transport.now(),
                     tenantOf(chainCall),
                     chainCall.key(),
                     chainCall.digest(),
@@ -291,8 +292,8 @@
                         chainCall.plan().size(),
                         step,
                         retained,
-                        () -> calls.execute("step-recorded", () -> continueAfterStep(run, step, answer)))) {
-                    return; // dependent steps start once the journal has it, so that a retry after a crash finds it
+                        () -> transport.execute("step-recorded", () -> continueAfterStep(run, step, answer)))) {
+                    return; // dependent steps start once this one is recorded, so that a retry after a crash finds it
                 }
             }
         }
@@ -303,17 +304,17 @@
         if (!runs.containsKey(run.id)) {
             return;
         }
-        decisions.onStepCompleted(calls.now(), run.id, step, StepEnd.SERVED, answer.tookNanos(), answer.loaded());
+        scheduler.onStepCompleted(transport.now(), run.id, step, StepEnd.SERVED, answer.tookNanos(), answer.loaded());
         if (retainedBytes > settings.settings().maxHeldBytes()) {
-            decisions.onResponseBytesExhausted(calls.now(), run.id);
+            scheduler.onResponseBytesExhausted(transport.now(), run.id);
         }
     }
 
     private void onStepEnded(ChainRun run, int step, FinalAnswer answer, long tookNanos) {
         if (runs.containsKey(run.id)) {
             run.stepsInFlight[step] = null;
-            decisions.onStepCompleted(
-                    calls.now(),
+            scheduler.onStepCompleted(
+                    transport.now(),
                     run.id,
                     step,
                     answer == FinalAnswer.REFUSED ? StepEnd.REJECTED : StepEnd.FAILED,
@@ -337,14 +338,14 @@
         public void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata metadata) {
             byte[] bytes = body == null ? new byte[0] : ByteBufUtil.getBytes(body);
             ReferenceCountUtil.release(body);
-            calls.execute(
+            transport.execute(
                     "step",
                     () -> onStepServed(
                             run,
                             step,
                             new StepAnswer(
                                     metadata.worker(),
-                                    calls.now() - startedAt,
+                                    transport.now() - startedAt,
                                     metadata.loaded(),
                                     bytes,
                                     contentType == null ? null : contentType.toString())));
@@ -352,32 +353,32 @@
 
         @Override
         public void sendError(FinalAnswer answer, long retryAfterNanos, ResponseMetadata metadata) {
-            calls.execute("step", () -> onStepEnded(run, step, answer, calls.now() - startedAt));
+            transport.execute("step", () -> onStepEnded(run, step, answer, transport.now() - startedAt));
         }
 
         @Override
         public void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata metadata) {
             stream.cancel(); // chains with streaming classes are rejected before they are accepted
-            calls.execute("step", () -> onStepEnded(run, step, FinalAnswer.FAILED, calls.now() - startedAt));
+            transport.execute("step", () -> onStepEnded(run, step, FinalAnswer.FAILED, transport.now() - startedAt));
         }
     }
 
-    /** Metrics for the status page; read by other threads, so they may be slightly stale. */
+    /** Metrics for the status page. Read by other threads without a lock, so they may be slightly stale. */
     Map<String, Long> metrics() {
         Map<String, Long> metrics = Arrays.stream(ChainScheduler.Counter.values())
                 .collect(Collectors.toMap(
-                        chainCall -> (chainCall == ChainScheduler.Counter.CHAINS
+                        counter -> (counter == ChainScheduler.Counter.CHAINS
                                 ? "chains"
-                                : "chain_" + chainCall.name().toLowerCase(Locale.ROOT)),
-                        decisions::counter,
+                                : "chain_" + counter.name().toLowerCase(Locale.ROOT)),
+                        scheduler::counter,
                         (a, b) -> a,
                         LinkedHashMap::new));
-        metrics.put("chains_open", (long) decisions.openChains());
-        metrics.put("chain_steps_open", (long) decisions.runningSteps());
+        metrics.put("chains_open", (long) scheduler.openChains());
+        metrics.put("chain_steps_open", (long) scheduler.runningSteps());
         metrics.put("chain_bytes_held", retainedBytes);
         metrics.put("chain_keys_kept", retainedKeys);
-        metrics.put("chains_resumed", resumed);
-        metrics.put("chains_joined", joined);
+        metrics.put("chains_resumed", resumedChains);
+        metrics.put("chains_joined", joinedChains);
         return metrics;
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/ClientCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ClientCall.java
@@ -7,11 +7,11 @@
 /**
  * A call as a client listener submits it.
  *
- * @param head       validated
- * @param deadlineNanos how long the client waits, counted from {@code receivedAt}
- * @param receivedAt {@link System#nanoTime} when its last byte was received
- * @param body       kept for a retry; the engine owns it once the call is accepted
- * @param clientCancelled set as soon as its client cancels or disconnects; no attempt is sent from then on
+ * @param head            the validated call head
+ * @param deadlineNanos   how long the client waits, counted from {@code receivedAt}
+ * @param receivedAt      {@link System#nanoTime} when its last byte was received
+ * @param body            kept for a retry; the engine owns it once the call is accepted
+ * @param clientCancelled set as soon as the client cancels or disconnects; no attempt is sent from then on
  */
 public record ClientCall(
         CallHead head,
@@ -23,7 +23,7 @@
         ResponseSink responseSink,
         AtomicBoolean clientCancelled) {
 
-    /** A call whose client is connected. */
+    /** Creates a call whose client has not cancelled it. */
     public ClientCall(
             CallHead head,
             String requestClass,
@@ -31,7 +31,7 @@
             long receivedAt,
             ByteBuf body,
             CharSequence contentType,
-            ResponseSink responder) {
-        this(head, requestClass, deadlineNanos, receivedAt, body, contentType, responder, new AtomicBoolean());
+            ResponseSink responseSink) {
+        this(head, requestClass, deadlineNanos, receivedAt, body, contentType, responseSink, new AtomicBoolean());
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
@@ -19,26 +19,27 @@
 import wharfhinge.protocol.CallHead;
 
 /**
- * Runs one {@link Dispatcher} on one thread: events in, actions out. An action never re-enters the dispatcher; an event that
- * it causes at once is queued. The time that the dispatcher is given never runs backwards.
+ * Runs one {@link Dispatcher} on a single thread: delivers events to it and carries out the actions that it requests. An action
+ * never re-enters the dispatcher; an event that an action causes immediately is queued. The time passed to the dispatcher never
+ * runs backwards.
  *
- * <p>Bounds: calls wait in a submission queue of fixed capacity, and only so many may be pending; a call beyond either limit is
- * rejected before it is accepted. Every other event ends something that a pending call, a probe or a load order started, so
- * these are bounded by what is pending and are never rejected: losing one would lose a call.
+ * <p>Memory is bounded: submitted calls wait in a queue of fixed capacity, and the number of pending calls is limited. A call
+ * beyond either limit is rejected before it is accepted. Every other event completes work that a pending call, a probe or a load
+ * order started. Such events are bounded by the work in progress and are never rejected, since losing one would lose a call.
  *
- * <p>If the dispatcher throws, each pending call gets its final answer (rejected where no attempt was sent, else failed), its
- * attempts are cancelled, and a new incarnation of the dispatcher starts from the endpoint list held here. Results that belong to
- * an earlier incarnation are dropped.
+ * <p>If the dispatcher throws, each pending call gets its final answer (rejected if no attempt was sent, otherwise failed), its
+ * attempts are cancelled unless their answer is already being streamed, and a new incarnation of the dispatcher starts from the
+ * endpoint list that the engine keeps. Results that belong to an earlier incarnation are dropped.
  */
 public final class DispatchEngine implements Runnable {
-    /** Whether a submitted call was accepted, or why not. */
+    /** The status of a submission: accepted, or the reason for its rejection. */
     public enum SubmissionStatus {
         ACCEPTED("taken"),
         QUEUE_FULL("hand-over-full"),
         TOO_MANY_PENDING("too-many-open"),
         SHUTTING_DOWN("closing"),
         TENANT_RATE("tenant-rate"),
-        TENANT_OPEN("tenant-open"),
+        TENANT_PENDING("tenant-open"),
         TENANT_SHARE("tenant-share");
 
         private final String word;
@@ -47,32 +48,33 @@
             this.word = word;
         }
 
-        /** As the clients' protocol names it. */
+        /** The name of this status in the client protocol. */
         public String word() {
             return word;
         }
 
-        static SubmissionStatus of(AdmissionController.Decision answer) {
-            return switch (answer) {
+        static SubmissionStatus of(AdmissionController.Decision decision) {
+            return switch (decision) {
                 case ADMITTED -> ACCEPTED;
                 case OVER_RATE -> TENANT_RATE;
-                case TOO_MANY_PENDING -> TENANT_OPEN;
+                case TOO_MANY_PENDING -> TENANT_PENDING;
                 case OVER_SHARE -> TENANT_SHARE;
             };
         }
     }
 
     /**
-     * The answer to a submission.
+     * The result of a submission.
      *
-     * @param retryAfterNanos when to come back after a rejection; 0 where nobody can say
+     * @param retryAfterNanos delay after which a rejected client may retry; 0 if unknown
      */
     public record SubmissionResult(SubmissionStatus status, long retryAfterNanos) {}
 
     private static final int MAX_KNOWN_FUNCTIONS = 16_384;
-    private static final long RESTART_DELAY_NANOS =
-            TimeUnit.SECONDS.toNanos(1); // after a dispatcher that threw in its constructor
-    private static final String CLOSE_TIMER = "close"; // these two timers outlive an incarnation of the dispatcher
+    /** Delay before the next attempt to create a dispatcher whose constructor threw. */
+    private static final long RESTART_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
+
+    private static final String SHUTDOWN_TIMER = "close"; // these two timers survive a restart of the dispatcher
     private static final String CHAIN_TIMER = "chain";
     private static final String START_INCARNATION = "start-incarnation";
 
@@ -101,7 +103,7 @@
     private Dispatcher dispatcher;
     private int incarnation;
 
-    /** An engine that starts once a thread runs it. */
+    /** Creates an engine. It starts when a thread executes {@link #run}. */
     public DispatchEngine(
             EngineSettings settings,
             DispatcherFactory factory,
@@ -129,62 +131,62 @@
         workers.setDisconnectListener(this::onWorkerDisconnected);
     }
 
-    /** Counters and latencies of this engine. Any thread. */
+    /** Counters and latencies of this engine. Safe to call from any thread. */
     public EngineMetrics metrics() {
         return metrics;
     }
 
-    /** Calls accepted and not yet answered. Any thread. */
+    /** The number of calls accepted and not yet answered. Safe to call from any thread. */
     public int pendingCalls() {
         return submissionQueue.pending();
     }
 
     // ---- From other threads -----------------------------------------------------------------
 
-    /** Submits a call. Unless it is accepted, no answer follows and the caller keeps its body. */
+    /** Submits a call. If it is not accepted, no answer follows and the caller remains the owner of its body. */
     public SubmissionResult submit(ClientCall call) {
         return submissionQueue.submit("request", call.head().tenant(), () -> startCall(call, true));
     }
 
-    /** Submits a chain. Unless it is accepted, no answer follows. It counts as one pending call beside its steps. */
+    /** Submits a chain, which counts as one pending call in addition to its steps. If it is not accepted, no answer follows. */
     public SubmissionResult submit(ChainCall chain) {
         return submissionQueue.submit("chain", chain.tenant(), () -> chains.start(chain));
     }
 
-    /** The client of an accepted chain cancelled it or disconnected. */
+    /** Reports that the client of an accepted chain cancelled it or disconnected. */
     public void onClientCancelled(ChainCall chain) {
         eventLoop.execute("chain-cancelled", () -> chains.onClientCancelled(chain));
     }
 
-    /** Counters of chains, by key of the status page. */
+    /** Chain counters by their keys on the status page. */
     public Map<String, Long> chainMetrics() {
         return chains.metrics();
     }
 
-    /** Counters of admission, by key of the status page; empty where every tenant is admitted. */
+    /** Admission counters by their keys on the status page; empty if every tenant is admitted. */
     public Map<String, Long> admissionMetrics() {
         return submissionQueue.admissionMetrics();
     }
 
-    /** The client of an accepted call cancelled it or disconnected: no further attempt is sent, however late this thread is. */
+    /** Reports that an accepted call's client cancelled or disconnected. No attempt is sent from now on, however late the event runs. */
     public void onClientCancelled(ClientCall call) {
         call.clientCancelled().set(true);
         eventLoop.execute("client-cancelled", () -> pending.onClientCancelled(call, false));
     }
 
-    /** The endpoint source has an update. */
+    /** Delivers an update of the endpoint list. */
     public void onEndpointUpdate(EndpointUpdate update) {
         eventLoop.execute("endpoint-update", () -> applyEndpointUpdate(update));
     }
 
-    /** Gets what the endpoint source tells of itself. */
+    /** The listener to which the endpoint source reports whether the endpoint list is confirmed. */
     public EndpointStatusListener endpointStatusListener() {
         return new EndpointStatusListener() {
             @Override
             public void onConfirmed(long atNanos) {
                 eventLoop.execute("endpoints-confirmed", () -> {
                     endpointStatus.confirm(eventLoop.clock().fromNanoTime(atNanos));
-                    endpointStatus.tell(dispatcher, eventLoop.now());
+                    endpointStatus.reportTo(dispatcher, eventLoop.now());
                 });
             }
 
@@ -192,7 +194,7 @@
             public void onUnconfirmed() {
                 eventLoop.execute("endpoints-unconfirmed", () -> {
                     endpointStatus.unconfirm();
-                    endpointStatus.tell(dispatcher, eventLoop.now());
+                    endpointStatus.reportTo(dispatcher, eventLoop.now());
                 });
             }
         };
@@ -202,26 +204,26 @@
         eventLoop.execute("worker-disconnected", () -> dispatcher.onWorkerDisconnected(eventLoop.now(), worker));
     }
 
-    /** Another dispatcher sent a datagram. */
+    /** Delivers a datagram from another dispatcher. */
     public void onPeerMessage(int peer, byte[] payload) {
         eventLoop.execute("peer-message", () -> dispatcher.onPeerMessage(eventLoop.now(), peer, payload));
     }
 
-    /** Hands the dispatcher's view of all workers for a function to {@code consumer}, on the engine's thread. */
+    /** Passes the dispatcher's view of all workers for a function to {@code consumer}, on the engine's thread. */
     public void workerStates(String function, Consumer<List<WorkerSnapshot>> consumer) {
         eventLoop.execute("worker-states", () -> consumer.accept(dispatcher.workerStates(eventLoop.now(), function)));
     }
 
     /**
-     * Starts a graceful shutdown: submissions are rejected from now on, and the engine stops once no call is pending, or after
-     * {@code withinNanos} by ending the calls that are left.
+     * Starts a graceful shutdown: submissions are rejected from now on, and the engine stops once no call is pending. After
+     * {@code timeoutNanos} it ends the remaining calls and stops.
      *
      * @return the number of calls that had to be ended
      */
-    public CompletableFuture<Integer> shutdown(long withinNanos) {
+    public CompletableFuture<Integer> shutdown(long timeoutNanos) {
         submissionQueue.close();
         eventLoop.execute("shutdown", () -> {
-            eventLoop.schedule(withinNanos, CLOSE_TIMER, () -> stop(endAllCalls("closing")));
+            eventLoop.schedule(timeoutNanos, SHUTDOWN_TIMER, () -> stop(endAllCalls("closing")));
             stopIfIdle();
         });
         return terminated;
@@ -246,11 +248,11 @@
                 factory.create(eventLoop.now(), settings.seed() + incarnation, settings.dispatcher(), newActions());
         dispatcher.onEndpointUpdate(
                 eventLoop.now(), EndpointUpdateMode.SNAPSHOT, endpoints.revision(), endpoints.endpoints());
-        endpointStatus.tell(dispatcher, eventLoop.now());
+        endpointStatus.reportTo(dispatcher, eventLoop.now());
     }
 
     private DispatcherActions newActions() {
-        int own = incarnation;
+        int incarnationOfActions = incarnation;
         return new EngineActions(
                 settings,
                 eventLoop,
@@ -262,13 +264,13 @@
                 peers,
                 log,
                 () -> dispatcher,
-                () -> incarnation == own);
+                () -> incarnation == incarnationOfActions);
     }
 
     private void restartDispatcher(String name, Throwable cause) {
         incarnation++;
         metrics.increment(Counter.RESTARTS);
-        eventLoop.cancelTimers(timer -> !timer.equals(CLOSE_TIMER) && !timer.equals(CHAIN_TIMER));
+        eventLoop.cancelTimers(timer -> !timer.equals(SHUTDOWN_TIMER) && !timer.equals(CHAIN_TIMER));
         int endedCalls = pending.endAll("decisions-restarted", false);
         log.onDispatcherRestarted(name, cause, endedCalls);
         try {
@@ -281,7 +283,7 @@
         stopIfIdle();
     }
 
-    /** Chains first: the answers of their steps would come after the chains' own. */
+    /** Ends the chains before the calls: the answers of their steps are queued and would arrive after the chains' own answers. */
     private int endAllCalls(String reason) {
         chains.endAll();
         return pending.endAll(reason, true);
@@ -330,15 +332,15 @@
             return;
         }
         EndpointList.Change change = endpoints.apply(update, eventLoop.now());
-        change.workersToStop()
-                .forEach(workers::stopSending); // before the dispatcher knows, so that no attempt slips out in between
+        // Before the dispatcher is notified, so that no attempt is sent to these workers in between.
+        change.workersToStop().forEach(workers::stopSending);
         change.incarnationsToStart().forEach(workers::startSending);
         dispatcher.onEndpointUpdate(eventLoop.now(), update.mode(), update.revision(), change.endpoints());
     }
 
     // ---- Steps of chains --------------------------------------------------------------------
 
-    /** Runs the steps of chains; a step is a call like any other and counts as pending. */
+    /** Runs the steps of chains. A step is an ordinary call and counts as pending. */
     private final class EngineStepTransport implements StepTransport {
         @Override
         public long now() {
@@ -379,13 +381,13 @@
         }
 
         @Override
-        public void schedule(long delayNanos, Runnable what) {
-            eventLoop.schedule(delayNanos, CHAIN_TIMER, what);
+        public void schedule(long delayNanos, Runnable task) {
+            eventLoop.schedule(delayNanos, CHAIN_TIMER, task);
         }
 
         @Override
-        public void execute(String name, Runnable what) {
-            eventLoop.execute(name, what);
+        public void execute(String name, Runnable task) {
+            eventLoop.execute(name, task);
         }
 
         @Override
--- a/engine/src/main/java/wharfhinge/engine/DispatcherFactory.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatcherFactory.java
@@ -11,9 +11,9 @@
     /** The production dispatcher. */
     DispatcherFactory CACHE_AWARE = CacheAwareDispatcher::new;
 
-    /** A dispatcher without any state. */
+    /** Creates a dispatcher without any state. */
     Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
 
-    /** The client's id of the call that the dispatcher gets next. */
-    default void onRequestNamed(long now, String id, String outer) {}
+    /** Reports the client's id of the request that the dispatcher receives next; ignored by default. */
+    default void onRequestNamed(long now, String id, String externalId) {}
 }
--- a/engine/src/main/java/wharfhinge/engine/EndpointList.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointList.java
@@ -11,20 +11,21 @@
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterEntry;
 
-/** The endpoints as last updated, with each process's start on the engine's clock. Confined to the engine's thread. */
+/** The current endpoint list, with the start time of each worker process on the engine's clock. Confined to the engine's thread. */
 final class EndpointList {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private record KnownEndpoint(Endpoint endpoint, String incarnation) {}
 
-    private final Map<String, KnownEndpoint> known = new LinkedHashMap<>();
+    private final Map<String, KnownEndpoint> knownByWorker = new LinkedHashMap<>();
     private long revision;
 
     /**
-     * What an update changes.
+     * The effect of an update.
      *
-     * @param incarnationsToStart the process by worker that requests may be sent to
-     * @param workersToStop       workers that get nothing new
+     * @param endpoints           the endpoints of the update
+     * @param incarnationsToStart by worker, the process that requests may be sent to
+     * @param workersToStop       workers that no further requests are sent to
      */
     record Change(List<Endpoint> endpoints, Map<String, String> incarnationsToStart, List<String> workersToStop) {}
 
@@ -32,32 +33,34 @@
         List<Endpoint> endpoints = new ArrayList<>();
         Map<String, String> incarnationsToStart = new LinkedHashMap<>();
         List<String> workersToStop = new ArrayList<>();
-        Set<String> named = new HashSet<>();
+        Set<String> listedWorkers = new HashSet<>();
         revision = update.revision();
         for (RosterEntry entry : update.entries()) {
             Endpoint endpoint = toEndpoint(entry, now);
             endpoints.add(endpoint);
-            named.add(entry.id());
+            listedWorkers.add(entry.id());
             if (endpoint.availability() == Availability.UP) {
                 incarnationsToStart.put(entry.id(), entry.boot());
             } else {
                 workersToStop.add(entry.id());
             }
             if (endpoint.availability() == Availability.REMOVED) {
-                known.remove(entry.id());
+                knownByWorker.remove(entry.id());
             } else {
-                known.put(entry.id(), new KnownEndpoint(endpoint, entry.boot()));
+                knownByWorker.put(entry.id(), new KnownEndpoint(endpoint, entry.boot()));
             }
         }
         if (update.mode() == EndpointUpdateMode.FULL || update.mode() == EndpointUpdateMode.SNAPSHOT) {
-            known.keySet().stream().filter(id -> !named.contains(id)).forEach(workersToStop::add);
-            known.keySet().retainAll(named);
+            knownByWorker.keySet().stream()
+                    .filter(id -> !listedWorkers.contains(id))
+                    .forEach(workersToStop::add);
+            knownByWorker.keySet().retainAll(listedWorkers);
         }
         return new Change(endpoints, incarnationsToStart, workersToStop);
     }
 
     List<Endpoint> endpoints() {
-        return known.values().stream().map(KnownEndpoint::endpoint).toList();
+        return knownByWorker.values().stream().map(KnownEndpoint::endpoint).toList();
     }
 
     long revision() {
@@ -81,15 +84,15 @@
                 startedAt(entry, now));
     }
 
-    /** Reported ages are late and jitter, so a process keeps the start computed when it was first listed. */
+    /** Reported ages are delayed and jitter, so a process keeps the start time computed when it was first listed. */
     private long startedAt(RosterEntry entry, long now) {
-        KnownEndpoint previous = known.get(entry.id());
+        KnownEndpoint previous = knownByWorker.get(entry.id());
         if (previous != null && previous.incarnation.equals(entry.boot())) {
             return previous.endpoint.startedAt();
         }
         if (entry.ageMillis() == RosterEntry.UNKNOWN_AGE) {
             return previous == null ? 0 : now; // a new process at a known address has just started
         }
-        return Math.max(0, now - entry.ageMillis() * MS);
+        return Math.max(0, now - entry.ageMillis() * NANOS_PER_MILLI);
     }
 }
--- a/engine/src/main/java/wharfhinge/engine/EndpointSource.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointSource.java
@@ -2,15 +2,15 @@
 
 import java.util.function.Consumer;
 
-/** A source of endpoint updates (a roster, a control feed). Updates are delivered in order, on any thread; no method blocks. */
+/** A source of endpoint updates (endpoint service or control feed). Updates are delivered in order, on any thread; no method blocks. */
 public interface EndpointSource extends AutoCloseable {
 
-    /** A source whose updates are pushed by somebody else: {@code started} gets the consumer; nothing is ever requested. */
-    static EndpointSource pushedBy(Consumer<Consumer<EndpointUpdate>> started) {
+    /** A source whose updates another component pushes: {@code onStart} receives their consumer, and requests are ignored. */
+    static EndpointSource pushedBy(Consumer<Consumer<EndpointUpdate>> onStart) {
         return new EndpointSource() {
             @Override
             public void start(Consumer<EndpointUpdate> updates) {
-                started.accept(updates);
+                onStart.accept(updates);
             }
 
             @Override
@@ -24,13 +24,13 @@
         };
     }
 
-    /** Starts; where updates are pushed, they are delivered from now on. */
+    /** Starts the source. Pushed updates are delivered from now on. */
     void start(Consumer<EndpointUpdate> updates);
 
-    /** Starts or ends a watch. One update answers, with mode rejected where that fails. */
+    /** Starts or ends a watch. One update follows as the answer, in mode rejected on failure. */
     void watch(boolean on);
 
-    /** Requests the full list once. One update answers, with mode rejected where that fails. */
+    /** Requests the full list once. One update follows as the answer, in mode rejected on failure. */
     void refresh();
 
     @Override
--- a/engine/src/main/java/wharfhinge/engine/EndpointStatus.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointStatus.java
@@ -2,7 +2,7 @@
 
 import wharfhinge.policy.Dispatcher;
 
-/** Whether the source of the endpoint list is heard, kept for the next incarnation of the dispatcher. Confined to the engine's thread. */
+/** Whether the endpoint list is confirmed; kept across incarnations of the dispatcher. Confined to the engine's thread. */
 final class EndpointStatus {
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -10,21 +10,21 @@
     private boolean isConfirmed;
     private long confirmedAt = NEVER;
 
-    /** The source has told everything up to this time of the engine's clock. */
+    /** The source has delivered all updates up to {@code at}, a time of the engine's clock. */
     void confirm(long at) {
         isKnown = true;
         isConfirmed = true;
         confirmedAt = Math.max(confirmedAt, at);
     }
 
-    /** The source has to be asked again. */
+    /** The source must confirm the list again; until then it may be stale. */
     void unconfirm() {
         isKnown = true;
         isConfirmed = false;
     }
 
-    /** Tells a dispatcher; nothing where the source never told whether it is heard. */
-    void tell(Dispatcher dispatcher, long now) {
+    /** Reports the status to a dispatcher, or nothing if the source has never reported one. */
+    void reportTo(Dispatcher dispatcher, long now) {
         if (isConfirmed) {
             dispatcher.onEndpointsConfirmed(now, confirmedAt);
         } else if (isKnown) {
--- a/engine/src/main/java/wharfhinge/engine/EndpointStatusListener.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointStatusListener.java
@@ -1,10 +1,10 @@
 package wharfhinge.engine;
 
-/** Told whether the source of the endpoint list is heard. Any thread. */
+/** Receives whether the endpoint list is confirmed by its source. May be called from any thread. */
 public interface EndpointStatusListener {
-    /** Everything that there was up to {@code atNanos}, a reading of {@link System#nanoTime}, has been delivered as updates. */
+    /** The source has delivered all updates up to {@code atNanos}, a reading of {@link System#nanoTime}. */
     void onConfirmed(long atNanos);
 
-    /** The source has to be asked again; the list held may be stale until it is confirmed. */
+    /** The endpoint list may be stale until its source confirms it again. */
     void onUnconfirmed();
 }
--- a/engine/src/main/java/wharfhinge/engine/EngineActions.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineActions.java
@@ -18,8 +18,8 @@
 import wharfhinge.protocol.FinalAnswer;
 
 /**
- * Carries out the actions of one incarnation of the dispatcher, on the engine's thread. An event that an action causes at once is
- * queued, never delivered within the action. Results that arrive after that incarnation has ended are dropped.
+ * Carries out the actions of one incarnation of the dispatcher, on the engine's thread. An event that an action causes immediately
+ * is queued, never delivered within the action. Results that arrive after that incarnation has ended are dropped.
  */
 final class EngineActions implements DispatcherActions {
     private final EngineSettings settings;
@@ -33,14 +33,14 @@
     private final AccessLog log;
     private final Supplier<Dispatcher> dispatcher;
     private final BooleanSupplier isCurrentIncarnation;
-    private final Set<String> streamingClasses; // names of classes
+    private final Set<String> streamingClasses; // names of request classes
 
     /**
-     * Actions for a dispatcher that is created with them.
+     * Creates the actions of a new incarnation.
      *
-     * @param functions  what is known of the functions called recently, by name
-     * @param dispatcher the current incarnation
-     * @param isCurrentIncarnation   whether these actions belong to the current incarnation
+     * @param functions            recently called functions by name
+     * @param dispatcher           supplies the current incarnation of the dispatcher
+     * @param isCurrentIncarnation whether these actions belong to the current incarnation
      */
     EngineActions(
             EngineSettings settings,
@@ -176,11 +176,11 @@
     @Override
     public void ensureLoaded(String worker, String function, int count) {
         metrics.increment(count > 0 ? Counter.LOAD_ORDERS : Counter.LOAD_QUERIES);
-        WorkerTransport.FunctionInfo known =
+        WorkerTransport.FunctionInfo functionInfo =
                 functions.getOrDefault(function, new WorkerTransport.FunctionInfo(function, 0, 0, 0));
         SendCondition.Purpose purpose = count > 0 ? SendCondition.Purpose.WORK : SendCondition.Purpose.QUERY;
         long timeoutNanos = settings.dispatcher().functionLoading().loadTimeoutNanos();
-        workers.ensureLoaded(worker, known, count, timeoutNanos, writeCondition(worker, purpose), result -> {
+        workers.ensureLoaded(worker, functionInfo, count, timeoutNanos, writeCondition(worker, purpose), result -> {
             ReferenceCountUtil.release(result.body());
             executeInIncarnation("load-completed", () -> dispatcher
                     .get()
--- a/engine/src/main/java/wharfhinge/engine/EngineMetrics.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineMetrics.java
@@ -11,7 +11,7 @@
 public final class EngineMetrics {
     private static final long MAX_RECORDED_NANOS = 60_000_000_000L;
 
-    /** What is counted since the start. The status page shows a counter under its name in lower case. */
+    /** A counter since the start. The status page shows it under its name in lower case, and under its deprecated key if it has one. */
     public enum Counter {
         ACCEPTED("taken"),
         SERVED,
@@ -49,35 +49,35 @@
     }
 
     private final Map<Counter, LongAdder> counts = new LinkedHashMap<>();
-    private final Recorder recordEventAge = new Recorder(MAX_RECORDED_NANOS, 2);
-    private final Recorder recordDecisionTime = new Recorder(MAX_RECORDED_NANOS, 2);
+    private final Recorder eventAgeRecorder = new Recorder(MAX_RECORDED_NANOS, 2);
+    private final Recorder decisionTimeRecorder = new Recorder(MAX_RECORDED_NANOS, 2);
     private final Histogram eventAges = new Histogram(MAX_RECORDED_NANOS, 2);
     private final Histogram decisionTimes = new Histogram(MAX_RECORDED_NANOS, 2);
 
     EngineMetrics() {
-        for (Counter count : Counter.values()) {
-            counts.put(count, new LongAdder());
+        for (Counter counter : Counter.values()) {
+            counts.put(counter, new LongAdder());
         }
     }
 
-    void increment(Counter count) {
-        counts.get(count).increment();
+    void increment(Counter counter) {
+        counts.get(counter).increment();
     }
 
     void recordEventAge(long nanos) {
-        recordEventAge.recordValue(Math.max(0, Math.min(MAX_RECORDED_NANOS, nanos)));
+        eventAgeRecorder.recordValue(Math.max(0, Math.min(MAX_RECORDED_NANOS, nanos)));
     }
 
     void recordDecisionTime(long nanos) {
-        recordDecisionTime.recordValue(Math.max(0, Math.min(MAX_RECORDED_NANOS, nanos)));
+        decisionTimeRecorder.recordValue(Math.max(0, Math.min(MAX_RECORDED_NANOS, nanos)));
     }
 
     /** The value of a counter. */
-    public long count(Counter count) {
-        return counts.get(count).sum();
+    public long count(Counter counter) {
+        return counts.get(counter).sum();
     }
 
-    /** All metrics by key: counters, and in microseconds quantiles of the delay of events and of the dispatcher's time on them. */
+    /** All metrics by key: counters, and quantiles in microseconds of the queueing delay of events and of the time to handle them. */
     public synchronized Map<String, Long> snapshot() {
         Map<String, Long> snapshot = new LinkedHashMap<>();
         counts.forEach((counter, count) -> {
@@ -86,8 +86,8 @@
                 snapshot.put(counter.deprecatedKey, count.sum());
             }
         });
-        eventAges.add(recordEventAge.getIntervalHistogram());
-        decisionTimes.add(recordDecisionTime.getIntervalHistogram());
+        eventAges.add(eventAgeRecorder.getIntervalHistogram());
+        decisionTimes.add(decisionTimeRecorder.getIntervalHistogram());
         addQuantiles("event_age_us", eventAges, snapshot);
         addQuantiles("decision_us", decisionTimes, snapshot);
         return snapshot;
--- a/engine/src/main/java/wharfhinge/engine/EventLoop.java
+++ b/engine/src/main/java/wharfhinge/engine/EventLoop.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * Runs tasks of other threads and its own timers, in turns, on one thread, against a clock that never runs backwards.
- * {@link #execute} is safe for any thread; all other methods are confined to the loop's own.
+ * Runs queued tasks and timers on a single thread, alternating between the two, with a clock that never runs backwards.
+ * {@link #execute} may be called from any thread; all other methods are confined to the loop's own thread.
  */
 final class EventLoop {
     private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -31,9 +31,9 @@
     private boolean stopped;
 
     /**
-     * A loop that starts with {@link #run}.
+     * Creates a loop. It starts with {@link #run}.
      *
-     * @param onFailure gets the name of a task that threw, and the exception
+     * @param onFailure receives the name of a task that threw, and the exception
      */
     EventLoop(LongSupplier nanoTime, EngineMetrics metrics, BiConsumer<String, Throwable> onFailure) {
         this.nanoTime = nanoTime;
@@ -42,7 +42,7 @@
         this.onFailure = onFailure;
     }
 
-    /** Queues a task behind those queued before. */
+    /** Appends a task to the queue. Safe to call from any thread. */
     void execute(String name, Runnable task) {
         events.add(new Event(name, nanoTime.getAsLong(), task));
     }
@@ -56,7 +56,7 @@
         return clock;
     }
 
-    /** Reads the clock before the first task. */
+    /** Sets {@link #now} before the first task runs. */
     void advanceClock() {
         now = clock.now();
     }
@@ -66,11 +66,11 @@
         timers.add(new Timer(now + Math.max(0, delayNanos), nextTimerSequence++, name, task));
     }
 
-    void cancelTimers(Predicate<String> names) {
-        timers.removeIf(timer -> names.test(timer.name()));
+    void cancelTimers(Predicate<String> nameFilter) {
+        timers.removeIf(timer -> nameFilter.test(timer.name()));
     }
 
-    /** Starts no further task. */
+    /** Stops the loop after the current task. */
     void stop() {
         stopped = true;
     }
@@ -102,12 +102,12 @@
             metrics.recordEventAge(now - next.dueAt());
             runGuarded(next.name(), next.task());
             if (!events.isEmpty()) {
-                return; // timers and queued tasks take turns, so that neither starves the other
+                return; // timers and queued tasks alternate, so that neither starves the other
             }
         }
     }
 
-    /** Runs a task, reports what it throws and records how long it took. */
+    /** Runs a task, reports an exception that it throws, and records its duration. */
     void runGuarded(String name, Runnable task) {
         long startedAt = nanoTime.getAsLong();
         try {
--- a/engine/src/main/java/wharfhinge/engine/PeerTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/PeerTransport.java
@@ -1,11 +1,11 @@
 package wharfhinge.engine;
 
-/** Sends datagrams to other dispatchers; may lose them, never blocks. */
+/** Sends datagrams to other dispatchers. A datagram may be lost; sending never blocks. */
 @FunctionalInterface
 public interface PeerTransport {
-    /** No peers. */
+    /** The transport of a dispatcher without peers. */
     PeerTransport NONE = (peer, payload) -> {};
 
-    /** Sends to the dispatcher with that number, or to all with -1. */
+    /** Sends {@code payload} to the dispatcher with the number {@code peer}, or to all if {@code peer} is -1. */
     void send(int peer, byte[] payload);
 }
--- a/engine/src/main/java/wharfhinge/engine/PendingCall.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCall.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import wharfhinge.engine.ResponseSink.ResponseMetadata;
 
-/** An accepted call until it is answered and its last attempt has ended. Confined to the engine's thread. */
+/** An accepted call that is not yet answered or has attempts that have not ended. Confined to the engine's thread. */
 final class PendingCall {
     final String id;
     final ClientCall clientCall;
@@ -13,7 +13,7 @@
     final List<PendingAttempt> attempts = new ArrayList<>(2);
     int attemptsInFlight;
     boolean answered;
-    boolean admitted; // by the admission gate; the steps of a chain are not, their chain is
+    boolean admitted; // by the admission gate; false for a step of a chain, since the chain was admitted
 
     PendingCall(String id, ClientCall clientCall, long acceptedAt, long deadline) {
         this.id = id;
@@ -22,23 +22,23 @@
         this.deadline = deadline;
     }
 
-    /** The id under which workers and logs know the call: the client's own where it gave one. */
+    /** The id that workers and logs use for the call: the client's own if it provided one. */
     String externalId() {
         return clientCall.head().id() != null ? clientCall.head().id() : id;
     }
 
-    /** Whether a streamed answer is on its way from a worker to the client. */
+    /** Whether an answer is being streamed from a worker to the client. */
     boolean isStreaming() {
         return attempts.stream().anyMatch(attempt -> attempt.stream != null && !attempt.completed);
     }
 
-    ResponseMetadata metadata(String worker, String withoutAttempts, boolean loaded) {
+    ResponseMetadata metadata(String worker, String summaryWithoutAttempts, boolean loaded) {
         List<String> summaries = new ArrayList<>(attempts.size());
         for (PendingAttempt attempt : attempts) {
             summaries.add(attempt.worker + ':' + (attempt.reason == null ? "open" : attempt.reason));
         }
         return new ResponseMetadata(
-                worker, summaries.isEmpty() ? List.of(withoutAttempts) : summaries, attempts.size(), loaded);
+                worker, summaries.isEmpty() ? List.of(summaryWithoutAttempts) : summaries, attempts.size(), loaded);
     }
 
     List<String> accessLogSummaries() {
--- a/engine/src/main/java/wharfhinge/engine/PendingCalls.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCalls.java
@@ -19,8 +19,8 @@
 import wharfhinge.protocol.FinalAnswer;
 
 /**
- * All pending calls: gives each its one final answer and reports the ends of its attempts to the dispatcher. A call stays until
- * it is answered and its last attempt has ended. Confined to the engine's thread.
+ * The table of pending calls. Sends each call its one final answer and reports the results of its attempts to the dispatcher. A
+ * call is removed once it is answered and its last attempt has ended. Confined to the engine's thread.
  */
 final class PendingCalls {
     private final EventLoop eventLoop;
@@ -29,17 +29,17 @@
     private final AccessLog log;
     private final Supplier<Dispatcher> dispatcher;
     private final Runnable onCallEnded;
-    private final Map<String, Long> latencyObjectives = new HashMap<>(); // by class, nanoseconds
+    private final Map<String, Long> latencyObjectives = new HashMap<>(); // nanoseconds by request class
     private final Map<String, PendingCall> callsById = new HashMap<>();
     private final Map<ClientCall, PendingCall> callsByClientCall = new IdentityHashMap<>();
     private long nextCallNumber;
     private boolean endingAll;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param dispatcher the current incarnation
-     * @param onCallEnded  run after a call was answered or its last attempt ended
+     * @param dispatcher  supplies the current incarnation of the dispatcher
+     * @param onCallEnded run after a call was answered or its last attempt ended
      */
     PendingCalls(
             EngineSettings settings,
@@ -57,10 +57,11 @@
         this.onCallEnded = onCallEnded;
         settings.dispatcher()
                 .classes()
-                .forEach(call -> latencyObjectives.put(call.name(), call.latencyObjectiveNanos()));
+                .forEach(requestClass ->
+                        latencyObjectives.put(requestClass.name(), requestClass.latencyObjectiveNanos()));
     }
 
-    /** Adds a call taken from the submission queue; its deadline counts from when its last byte was received. */
+    /** Adds a call; its deadline is measured from the time its last byte was received. */
     PendingCall add(ClientCall clientCall, boolean admitted) {
         long deadline = eventLoop.clock().fromNanoTime(clientCall.receivedAt()) + clientCall.deadlineNanos();
         String id = Long.toString(nextCallNumber++, Character.MAX_RADIX);
@@ -76,7 +77,7 @@
         return callsById.get(id);
     }
 
-    /** Whether no call is pending, no streamed answer is on its way and {@link #endAll} is not running. */
+    /** Whether no call is pending, no answer is being streamed and {@link #endAll} is not running. */
     boolean isIdle() {
         return !endingAll
                 && submissionQueue.pending() == 0
@@ -85,7 +86,7 @@
 
     // ---- Attempts ---------------------------------------------------------------------------
 
-    /** The transport reports the result of an attempt. */
+    /** Handles the result of an attempt, as reported by the transport. */
     void onAttemptCompleted(PendingAttempt attempt, ExchangeResult result) {
         if (attempt.completed) {
             metrics.increment(Counter.LATE_ANSWERS);
@@ -136,7 +137,7 @@
         removeIfDone(attempt.pendingCall);
     }
 
-    /** Ends an attempt from this side: cancels it at the transport and reports the outcome to the dispatcher. */
+    /** Ends an attempt on the engine's initiative: cancels it at the transport and reports the outcome to the dispatcher. */
     void endAttempt(PendingAttempt attempt, Outcome outcome) {
         if (!attempt.completed) {
             attempt.handle.cancel();
@@ -159,12 +160,12 @@
         }
     }
 
-    /** The word of the workers' protocol page, as clients and logs get it. */
+    /** The name of an outcome in the worker protocol, as used in answers to clients and in logs. */
     private static String reason(Outcome outcome) {
         return outcome == Outcome.SUPERSEDED ? "moot" : outcome.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The worker has started a streamed answer. */
+    /** Handles the start of a streamed answer. */
     void onStreamStarted(PendingAttempt attempt, WorkerTransport.ResponseStream stream) {
         PendingCall call = attempt.pendingCall;
         if (attempt.completed || call.answered) {
@@ -183,15 +184,15 @@
     // ---- Final answers ----------------------------------------------------------------------
 
     /**
-     * The client of a call cancelled it or disconnected. With {@code cancelAll} its attempts are cancelled, otherwise only those of
-     * which nothing was sent.
+     * Handles a client that cancelled its call or disconnected. With {@code cancelAll} all attempts are cancelled, otherwise only
+     * those of which nothing was sent.
      */
     void onClientCancelled(ClientCall clientCall, boolean cancelAll) {
         PendingCall call = callsByClientCall.get(clientCall);
         if (call == null) {
             return;
         }
-        if (call.answered) { // a streamed answer may still be on its way, for nobody
+        if (call.answered) { // the answer may still be streaming with no client to receive it
             call.attempts.stream()
                     .filter(attempt -> !attempt.completed && attempt.stream != null)
                     .forEach(attempt -> attempt.stream.cancel());
@@ -203,13 +204,13 @@
             if (!attempt.completed && (cancelAll || attempt.stream != null)) {
                 endAttempt(attempt, Outcome.CANCELLED);
             } else if (!attempt.completed) {
-                attempt.handle.cancelIfUnsent(); // it may still wait for a connection
+                attempt.handle.cancelIfUnsent(); // the attempt may still be waiting for a connection
             }
         }
         removeIfDone(call);
     }
 
-    /** The dispatcher rejects or fails a call. */
+    /** Answers a call that the dispatcher rejects or fails. */
     void endCall(String id, FinalAnswer answer, long retryAfterNanos, Counter counter) {
         PendingCall call = callsById.get(id);
         if (call != null && !call.answered) {
@@ -219,20 +220,25 @@
         }
     }
 
-    /** Gives every pending call its final answer and cancels its attempts; started streams go on unless {@code streamsToo}. */
-    int endAll(String reason, boolean streamsToo) {
+    /**
+     * Sends every pending call its final answer and cancels its attempts. Streams that have started continue unless
+     * {@code cancelStreams} is set.
+     *
+     * @return the number of calls that had not been answered
+     */
+    int endAll(String reason, boolean cancelStreams) {
         List<PendingCall> all = new ArrayList<>(callsById.values());
-        int ended = 0;
+        int endedCalls = 0;
         endingAll = true;
         for (PendingCall call : all) {
             for (PendingAttempt attempt : call.attempts) {
-                if (!attempt.completed && (attempt.stream == null || streamsToo)) {
+                if (!attempt.completed && (attempt.stream == null || cancelStreams)) {
                     attempt.completed = true;
                     attempt.handle.cancel();
                 }
             }
             if (!call.answered) {
-                ended++;
+                endedCalls++;
                 FinalAnswer answer = call.attempts.isEmpty() ? FinalAnswer.REFUSED : FinalAnswer.FAILED;
                 call.clientCall.responseSink().sendError(answer, 0, call.metadata(null, reason, false));
                 Counter counter = answer == FinalAnswer.REFUSED ? Counter.REJECTED : Counter.FAILED;
@@ -242,7 +248,7 @@
         callsById.clear();
         callsByClientCall.clear();
         endingAll = false;
-        return ended;
+        return endedCalls;
     }
 
     private void onAnswered(PendingCall call, Counter counter, String answer, String reason) {
--- a/engine/src/main/java/wharfhinge/engine/ResponseSink.java
+++ b/engine/src/main/java/wharfhinge/engine/ResponseSink.java
@@ -8,21 +8,21 @@
 public interface ResponseSink {
 
     /**
-     * What accompanies an answer.
+     * The metadata of an answer.
      *
-     * @param worker   the worker that answered, or null
-     * @param attemptSummaries    worker and result of each attempt, or why there was none
-     * @param attempts the number of attempts
-     * @param loaded   whether the worker had to load the function first
+     * @param worker           the worker that answered, or null
+     * @param attemptSummaries worker and result of each attempt, or the reason why there was none
+     * @param attempts         the number of attempts
+     * @param loaded           whether the worker had to load the function first
      */
     record ResponseMetadata(String worker, List<String> attemptSummaries, int attempts, boolean loaded) {}
 
-    /** A worker's answer. Takes ownership of {@code body}, which may be null. */
+    /** Sends a worker's answer. Takes ownership of {@code body}, which may be null. */
     void sendResponse(ByteBuf body, CharSequence contentType, ResponseMetadata metadata);
 
-    /** The call was rejected ({@link FinalAnswer#REFUSED}) or failed ({@link FinalAnswer#FAILED}). */
+    /** Reports that the call was rejected ({@link FinalAnswer#REFUSED}) or failed ({@link FinalAnswer#FAILED}). */
     void sendError(FinalAnswer answer, long retryAfterNanos, ResponseMetadata metadata);
 
-    /** A streamed answer starts; its parts come from {@code stream}, not through the engine. */
+    /** Starts a streamed answer. {@code stream} delivers its parts directly, bypassing the engine. */
     void startStream(WorkerTransport.ResponseStream stream, ResponseMetadata metadata);
 }
--- a/engine/src/main/java/wharfhinge/engine/Slf4jAccessLog.java
+++ b/engine/src/main/java/wharfhinge/engine/Slf4jAccessLog.java
@@ -9,7 +9,7 @@
     private static final Logger ANSWERS = LoggerFactory.getLogger("wharfhinge.answers");
     private static final Logger DIAGNOSTICS = LoggerFactory.getLogger("wharfhinge.remarks");
     private static final Logger ENGINE = LoggerFactory.getLogger("wharfhinge.loop");
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private final int diagnosticsPerSecond;
     private final LongAdder dropped = new LongAdder();
@@ -17,12 +17,12 @@
     private int loggedInSecond;
     private int droppedInSecond;
 
-    /** Logs at most {@code diagnosticsPerSecond} diagnostics a second. */
+    /** Creates a log that writes at most {@code diagnosticsPerSecond} diagnostics per second. */
     public Slf4jAccessLog(int diagnosticsPerSecond) {
         this.diagnosticsPerSecond = diagnosticsPerSecond;
     }
 
-    /** Diagnostics that were over the rate and so not logged. */
+    /** The number of diagnostics that were not logged because they exceeded the rate. */
     public long dropped() {
         return dropped.sum();
     }
@@ -33,24 +33,24 @@
     }
 
     @Override
-    public void onAnswered(Entry line) {
+    public void onAnswered(Entry entry) {
         ANSWERS.atInfo()
-                .addKeyValue("call", line.call())
-                .addKeyValue("function", line.function())
-                .addKeyValue("class", line.requestClass())
-                .addKeyValue("tenant", line.tenant())
-                .addKeyValue("answer", line.answer())
-                .addKeyValue("took_us", line.tookNanos() / 1000)
-                .addKeyValue("attempts", line.trail())
+                .addKeyValue("call", entry.call())
+                .addKeyValue("function", entry.function())
+                .addKeyValue("class", entry.requestClass())
+                .addKeyValue("tenant", entry.tenant())
+                .addKeyValue("answer", entry.answer())
+                .addKeyValue("took_us", entry.tookNanos() / 1000)
+                .addKeyValue("attempts", entry.attemptSummaries())
                 .log("answer");
     }
 
     @Override
     public void onDiagnostic(String text) {
-        long now = System.nanoTime() / SECOND;
+        long now = System.nanoTime() / NANOS_PER_SECOND;
         if (now != currentSecond) {
             if (droppedInSecond > 0) {
-                DIAGNOSTICS.info("{} more diagnostics in that second", droppedInSecond);
+                DIAGNOSTICS.info("dropped {} diagnostics within one second: over the rate limit", droppedInSecond);
             }
             currentSecond = now;
             loggedInSecond = 0;
--- a/engine/src/main/java/wharfhinge/engine/SteadyWallClock.java
+++ b/engine/src/main/java/wharfhinge/engine/SteadyWallClock.java
@@ -4,23 +4,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * Unix time that runs on with the monotonic clock: it reads the wall clock once, so that a step of the wall clock, forward or back, changes
- * no age that is measured in this process. Such a step makes a worker that has just started count as warm, or a warm one as new, and a
- * record that was just written as expired.
+ * Unix time derived from the monotonic clock. The wall clock is read only once, so that a later step of it, forward or back, changes no
+ * age measured in this process. Otherwise such a step would make a worker that has just started count as warm, a warm one as new, or
+ * a record that was just written as expired.
  *
- * <p>A wall clock that is wrong at the start stays wrong here, as it would without this class. Any thread.
+ * <p>An error of the wall clock at the start persists, as it would without this class. Safe for use by any thread.
  */
 public final class SteadyWallClock implements LongSupplier {
     private final LongSupplier nanoTime;
     private final long startMillis;
     private final long startNanos;
 
-    /** A clock of this process. */
+    /** Creates a clock from the system's wall clock and monotonic clock. */
     public SteadyWallClock() {
         this(System::currentTimeMillis, System::nanoTime);
     }
 
-    /** A clock that starts at what {@code wallMillis} says now and runs on with {@code nanoTime}. */
+    /** Creates a clock that starts at the current value of {@code wallMillis} and advances with {@code nanoTime}. */
     public SteadyWallClock(LongSupplier wallMillis, LongSupplier nanoTime) {
         this.nanoTime = nanoTime;
         this.startMillis = wallMillis.getAsLong();
--- a/engine/src/main/java/wharfhinge/engine/StepJournal.java
+++ b/engine/src/main/java/wharfhinge/engine/StepJournal.java
@@ -2,7 +2,7 @@
 
 import wharfhinge.decisions.chain.StepAnswerCache;
 
-/** Records finished steps of chains across restarts. Called on the engine's thread; never blocks. */
+/** Stores finished steps of chains, so that they survive a restart. Called on the engine's thread; never blocks. */
 public interface StepJournal extends AutoCloseable {
     /** Records nothing. */
     StepJournal NONE = new StepJournal() {
@@ -11,21 +11,21 @@
                 String tenant,
                 String key,
                 String digest,
-                int steps,
+                int stepCount,
                 int step,
                 StepAnswerCache.Answer answer,
-                Runnable kept) {
+                Runnable onCompleted) {
             return false;
         }
 
         @Override
-        public void restore(RestoredStepListener to) {}
+        public void restore(RestoredStepListener listener) {}
 
         @Override
         public void close() {}
     };
 
-    /** Receives what an earlier process recorded. */
+    /** Receives the steps that an earlier process recorded. */
     @FunctionalInterface
     interface RestoredStepListener {
         /** A step that finished {@code ageNanos} ago. */
@@ -34,7 +34,7 @@
                 String tenant,
                 String key,
                 String digest,
-                int steps,
+                int stepCount,
                 int step,
                 StepAnswerCache.Answer answer);
     }
@@ -42,20 +42,20 @@
     /**
      * Records a finished step.
      *
-     * @param kept run on another thread once the record survives a crash, or once it is known that it cannot be written
-     * @return false where it is not recorded; {@code kept} is then never run
+     * @param onCompleted run on another thread once the record survives a crash, or once it is known that it cannot be written
+     * @return false if the step is not recorded; {@code onCompleted} is then never run
      */
     boolean recordStep(
             String tenant,
             String key,
             String digest,
-            int steps,
+            int stepCount,
             int step,
             StepAnswerCache.Answer answer,
-            Runnable kept);
+            Runnable onCompleted);
 
-    /** Restores all records, before the first chain. */
-    void restore(RestoredStepListener to);
+    /** Passes all records to {@code listener}, before the first chain starts. */
+    void restore(RestoredStepListener listener);
 
     @Override
     void close();
--- a/engine/src/main/java/wharfhinge/engine/StepTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/StepTransport.java
@@ -2,7 +2,7 @@
 
 import wharfhinge.policy.Request;
 
-/** What a {@link ChainExecutor} needs of its engine. Confined to the engine's thread. */
+/** The engine's services that a {@link ChainExecutor} uses. Confined to the engine's thread. */
 interface StepTransport {
     long now();
 
@@ -16,9 +16,9 @@
 
     boolean isCached(String function);
 
-    void schedule(long delayNanos, Runnable what);
+    void schedule(long delayNanos, Runnable task);
 
-    void execute(String name, Runnable what);
+    void execute(String name, Runnable task);
 
     void onChainCompleted(ChainCall chain);
 }
--- a/engine/src/main/java/wharfhinge/engine/SubmissionQueue.java
+++ b/engine/src/main/java/wharfhinge/engine/SubmissionQueue.java
@@ -18,7 +18,7 @@
     private final EngineMetrics metrics;
     private final LongSupplier nanoTime;
     private final EventLoop eventLoop;
-    private final AtomicInteger queued = new AtomicInteger(); // not yet taken by the event loop
+    private final AtomicInteger queued = new AtomicInteger(); // submitted and not yet started by the event loop
     private final AtomicInteger pending = new AtomicInteger();
     private volatile boolean closed;
 
@@ -30,7 +30,7 @@
         this.eventLoop = eventLoop;
     }
 
-    /** Queues {@code start} for the event loop as one pending call, or tells why it is rejected. */
+    /** Queues {@code start} for the event loop as one pending call, or returns the reason why it is rejected. */
     SubmissionResult submit(String name, String tenant, Runnable start) {
         if (closed) {
             metrics.increment(Counter.REJECTED_SHUTTING_DOWN);
@@ -66,22 +66,22 @@
         return SubmissionStatus.ACCEPTED;
     }
 
-    /** The engine itself started a call, the step of a chain. */
+    /** Counts a call that the engine itself started for a step of a chain. */
     void onStarted() {
         pending.incrementAndGet();
     }
 
-    /** A call that was accepted or started has its final answer. */
+    /** Counts an accepted or started call as answered. */
     void onCompleted() {
         pending.decrementAndGet();
     }
 
-    /** Returns an admitted call's place at the admission gate. */
+    /** Reports the end of an admitted call to the admission gate. */
     void release(String tenant, AdmissionController.CallEnd callEnd, long tookNanos, long latencyObjectiveNanos) {
         admissionGate.onCallEnded(nanoTime.getAsLong(), tenant, callEnd, tookNanos, latencyObjectiveNanos);
     }
 
-    /** Calls accepted or started and not yet answered. */
+    /** The number of calls accepted or started and not yet answered. */
     int pending() {
         return pending.get();
     }
--- a/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
@@ -12,22 +12,22 @@
 public interface WorkerTransport extends AutoCloseable {
 
     /**
-     * What a worker gets to know of a function.
+     * The properties of a function that a worker receives; each number is 0 if unknown.
      *
-     * @param loadMillis the usual time of a load; 0 where unknown, as are the others
+     * @param loadMillis the usual duration of a load
      */
     record FunctionInfo(String name, double memoryMb, int concurrencyPerCopy, double loadMillis) {}
 
     /**
-     * Under which condition a message may be written.
+     * The condition under which a message may be written to a worker.
      *
      * @param isLimited       whether {@code notAfterNanos} applies
-     * @param notAfterNanos   {@link System#nanoTime} from which on the first byte may not be written any more; the result is then
+     * @param notAfterNanos   {@link System#nanoTime} from which on the first byte must not be written; the result is then
      *                        {@link Outcome#LEASE_EXPIRED}
-     * @param onNewConnection whether it has to go over a connection that is opened for it
+     * @param onNewConnection whether the message must use a connection that is opened for it
      */
     record WriteCondition(boolean isLimited, long notAfterNanos, boolean onNewConnection) {
-        /** At any time, over any connection. */
+        /** No restriction: at any time, over any connection. */
         public static final WriteCondition NONE = new WriteCondition(false, 0, false);
 
         /** Whether the first byte may be written at this {@link System#nanoTime}. */
@@ -39,11 +39,11 @@
     /**
      * One attempt to be sent. The transport retains {@code body} as long as it needs it.
      *
-     * @param deadlineAt   {@link System#nanoTime} at which the engine stops waiting. The worker gets what is left of it when the
-     *                   attempt is written, not when it is requested
-     * @param idempotencyKey the client's, passed on unchanged; null where there is none
+     * @param deadlineAt      {@link System#nanoTime} at which the engine stops waiting. The worker is sent the time that remains when
+     *                        the attempt is written, not when it is requested
+     * @param idempotencyKey  the client's key, passed on unchanged; null if there is none
      * @param clientCancelled whether the client has cancelled or disconnected; read on I/O threads before a byte is written
-     * @param condition  under which it may be written
+     * @param condition       the condition under which the attempt may be written
      */
     record AttemptRequest(
             String worker,
@@ -64,9 +64,9 @@
     /**
      * The result of an attempt, probe or load order.
      *
-     * @param reason   the outcome in the words of the workers' protocol
-     * @param loadedCopies loaded copies, for load orders
-     * @param body  the receiver releases it; may be null
+     * @param loadedCopies the number of loaded copies, for load orders
+     * @param body         released by the receiver; may be null
+     * @param reason       the outcome as named in the worker protocol
      */
     record ExchangeResult(
             Outcome outcome,
@@ -81,11 +81,11 @@
 
     /** Controls an attempt in flight. */
     interface AttemptHandle {
-        /** Cancels it: what was not written never is, what was gets a stream reset. No result follows. */
+        /** Cancels the attempt: an unwritten one is never written, a written one has its stream reset. No result follows. */
         void cancel();
 
         /**
-         * Cancels it if none of it was written yet; the result is then {@link Outcome#CANCELLED}. What was written goes on.
+         * Cancels the attempt if nothing of it was written yet; the result is then {@link Outcome#CANCELLED}. Otherwise it continues.
          */
         void cancelIfUnsent();
 
@@ -104,14 +104,14 @@
         /** The attempt ended. Called at most once, and not after a cancel. */
         void onCompleted(ExchangeResult result);
 
-        /** A streamed answer started; no part is delivered until somebody subscribes. */
+        /** A streamed answer started. No part is delivered before {@link ResponseStream#subscribe}. */
         void onStreamStarted(ResponseStream stream);
     }
 
     /** A streamed answer on its way to one client. */
     interface ResponseStream {
         /** Delivers all parts to a consumer. Any thread. */
-        void subscribe(StreamConsumer sink);
+        void subscribe(StreamConsumer consumer);
 
         /** Cancels the stream at the worker. */
         void cancel();
@@ -122,46 +122,52 @@
 
     /** Consumes a streamed answer; called on one I/O thread. */
     interface StreamConsumer {
-        /** A part, which the consumer releases. It runs {@code taken} once the part is written, which lets the next one come. */
-        void onData(ByteBuf part, Runnable taken);
+        /**
+         * Receives a part, which the consumer releases. The consumer runs {@code onWritten} once the part is written, which allows
+         * the next part to be delivered.
+         */
+        void onData(ByteBuf part, Runnable onWritten);
 
-        /** The stream ended; {@code complete} is false where the worker broke off. */
-        void onEnd(boolean whole);
+        /** The stream ended; {@code complete} is false if the worker aborted it. */
+        void onEnd(boolean complete);
     }
 
     /** Sends an attempt. */
-    AttemptHandle sendAttempt(AttemptRequest order, AttemptListener listener);
+    AttemptHandle sendAttempt(AttemptRequest request, AttemptListener listener);
 
     /** Probes a worker. */
-    void probe(String worker, Consumer<ExchangeResult> ended);
+    void probe(String worker, Consumer<ExchangeResult> onCompleted);
 
-    /** Orders a worker to keep {@code count} copies loaded; 0 only queries how many are. */
+    /** Orders a worker to keep {@code count} copies of a function loaded; 0 only queries how many are loaded. */
     void ensureLoaded(
             String worker,
             FunctionInfo function,
             int count,
-            long waitNanos,
+            long timeoutNanos,
             WriteCondition condition,
-            Consumer<ExchangeResult> ended);
+            Consumer<ExchangeResult> onCompleted);
 
-    /** Names the listener to be told, on an I/O thread, of a worker whose last open connection was closed; not all transports do. */
+    /**
+     * Sets the listener that is called, on an I/O thread, when the last open connection to a worker was closed. A transport that does
+     * not support this ignores the listener.
+     */
     default void setDisconnectListener(Consumer<String> listener) {}
 
-    /** Orders a worker to unload idle copies; no result follows. */
+    /** Orders a worker to unload idle copies of a function; no result follows. */
     void unload(String worker, String function);
 
     /** Closes idle connections to a worker. */
     void closeIdleConnections(String worker);
 
-    /** Sends nothing new to a worker; what was not yet written ends as a failed connect. */
+    /** Stops sending to a worker; messages that are not yet written end as a failed connect. */
     void stopSending(String worker);
 
     /**
-     * A worker may be sent to, from now on or again.
+     * Allows sending to a worker, for the first time or again.
      *
-     * @param boot the process that requests are meant for; {@link RosterEntry#NO_BOOT} where unknown
+     * @param incarnation the worker process that requests are meant for; {@link RosterEntry#NO_BOOT} if unknown
      */
-    void startSending(String worker, String boot);
+    void startSending(String worker, String incarnation);
 
     @Override
     void close();
