--- a/config/src/main/java/wharfhinge/config/AdmissionSettingsXml.java
+++ b/config/src/main/java/wharfhinge/config/AdmissionSettingsXml.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Element {@code door} of the settings file: admission control by tenant. Each attribute is a field of the same meaning; settings.xsd has the units, defaults and ranges. */
+/**
+ * Binds element {@code door} of the settings file: admission control by tenant.
+ * Each field has the meaning of the attribute that its annotation names; settings.xsd has the units, defaults and ranges.
+ */
 final class AdmissionSettingsXml {
     @XmlAttribute(name = "full-at")
     double fullAtObjectiveShare = 0.7;
@@ -16,7 +19,7 @@
     @XmlElement(name = "tenant")
     List<QuotaOfTenant> tenants = new ArrayList<>();
 
-    /** Attributes of a quota; element {@code others} by itself. */
+    /** A tenant's quota; element {@code others} holds the one that all tenants without an entry share. */
     static class Quota {
         @XmlAttribute(name = "weight")
         double weight = 1;
@@ -31,7 +34,7 @@
         int maxPending;
     }
 
-    /** Element {@code tenant} of the door. */
+    /** Element {@code tenant} of {@code door}: the quota of the named tenant. */
     static final class QuotaOfTenant extends Quota {
         @XmlAttribute(name = "name")
         String name;
--- a/config/src/main/java/wharfhinge/config/ChainConfig.java
+++ b/config/src/main/java/wharfhinge/config/ChainConfig.java
@@ -6,14 +6,14 @@
 import wharfhinge.decisions.chain.ChainSettings;
 
 /**
- * The configuration of chains. Times are nanoseconds, sizes bytes.
+ * The configuration of chains. Times are in nanoseconds, sizes in bytes.
  *
- * @param settings          settings of the decisions on chains
- * @param maxDeadlineNanos       longest deadline of a chain, and its default
+ * @param settings          settings of the chain scheduler
+ * @param maxDeadlineNanos  longest deadline of a chain, and its default
  * @param resumeWindowNanos how long answers of finished steps are cached for a retry
- * @param resumeKeys        idempotency keys cached for each tenant at most
- * @param resumeBytes       bytes of answers cached for each tenant at most
- * @param resumeFile        file that keeps finished steps over restarts, or null
+ * @param resumeKeys        maximum number of idempotency keys cached for each tenant
+ * @param resumeBytes       maximum size of the answers cached for each tenant
+ * @param resumeFile        file that keeps finished steps across restarts, or null
  * @param named             chains that clients call by name
  */
 public record ChainConfig(
@@ -31,14 +31,14 @@
     /**
      * A step of such a chain.
      *
-     * @param id           name of the step
-     * @param function     function that it calls
-     * @param requestClass class of its requests
-     * @param input        whose answers are its input, in order: {@code client} or ids of steps
-     * @param memoryMb     memory of a copy, 0 where unknown
-     * @param lanes        calls that one copy runs concurrently, 0 where unknown
-     * @param loadMillis   usual time of a load, 0 where unknown
-     * @param costMicros       expected service time in microseconds, 0 where unknown
+     * @param id                 id of the step
+     * @param function           function that it calls
+     * @param requestClass       class of its requests
+     * @param input              sources of its input, in order: {@code client} or ids of steps
+     * @param memoryMb           memory of a copy, 0 if unknown
+     * @param concurrencyPerCopy calls that one copy runs concurrently, 0 if unknown
+     * @param loadMillis         usual duration of a load, 0 if unknown
+     * @param costMicros         expected service time in microseconds, 0 if unknown
      */
     public record NamedStep(
             String id,
@@ -46,7 +46,7 @@
             String requestClass,
             List<String> input,
             double memoryMb,
-            int lanes,
+            int concurrencyPerCopy,
             double loadMillis,
             long costMicros) {}
 
--- a/config/src/main/java/wharfhinge/config/ChainSettingsXml.java
+++ b/config/src/main/java/wharfhinge/config/ChainSettingsXml.java
@@ -6,13 +6,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Element {@code chains} of the settings file: limits on chains of calls, and chains that clients call by name. Each attribute is a field of the same meaning; settings.xsd has the units, defaults and ranges. */
+/**
+ * Binds element {@code chains} of the settings file: limits on chains of calls, and chains that clients call by name.
+ * Each field has the meaning of the attribute that its annotation names; settings.xsd has the units, defaults and ranges.
+ */
 final class ChainSettingsXml {
     @XmlElement(name = "chain")
     List<Chain> chains = new ArrayList<>();
 
     @XmlAttribute(name = "max-open")
-    int maxOpen = 2000;
+    int maxPendingChains = 2000;
 
     @XmlAttribute(name = "max-steps")
     int maxSteps = 4000;
@@ -47,7 +50,7 @@
     @XmlAttribute(name = "resume-file")
     String resumeFile = "";
 
-    /** Element {@code chain}. */
+    /** Element {@code chain}: a chain that clients call by name. */
     static final class Chain {
         @XmlAttribute(name = "name")
         String name;
@@ -81,7 +84,7 @@
         double memoryMb;
 
         @XmlAttribute(name = "lanes")
-        int lanes;
+        int concurrencyPerCopy;
 
         @XmlAttribute(name = "load-ms")
         double loadMillis;
--- a/config/src/main/java/wharfhinge/config/ChainValidator.java
+++ b/config/src/main/java/wharfhinge/config/ChainValidator.java
@@ -10,19 +10,19 @@
 import wharfhinge.decisions.chain.ChainPlan;
 import wharfhinge.policy.Effect;
 
-/** Checks the chains that clients call by name: their classes, their graph, and whether their least times fit. */
+/** Validates the chains that clients call by name: their classes, their graph, and the sum of their minimum step times. */
 final class ChainValidator {
     private static final String CLIENT_INPUT = "client";
 
-    private final XmlFile.Faults faults;
+    private final XmlFile.FaultListener faults;
     private final Map<String, CallClass> classes = new HashMap<>();
 
-    private ChainValidator(SettingsXml settings, XmlFile.Faults faults) {
+    private ChainValidator(SettingsXml settings, XmlFile.FaultListener faults) {
         this.faults = faults;
         settings.classes.classes.forEach(callClass -> classes.put(callClass.name, callClass));
     }
 
-    static void validate(SettingsXml settings, XmlFile.Faults faults) {
+    static void validate(SettingsXml settings, XmlFile.FaultListener faults) {
         ChainValidator validator = new ChainValidator(settings, faults);
         settings.chains.chains.forEach(validator::validateChain);
     }
@@ -39,11 +39,11 @@
             faults.accept(chain, "chain " + chain.name + ": " + e.getMessage());
             return;
         }
-        long leastMillis = longestPathMillis(chain);
-        if (leastMillis > chain.latencyObjectiveMillis) {
+        long minTotalMillis = longestPathMillis(chain);
+        if (minTotalMillis > chain.latencyObjectiveMillis) {
             faults.accept(
                     chain,
-                    "chain " + chain.name + ": found least times that add up to " + leastMillis
+                    "chain " + chain.name + ": found least times that add up to " + minTotalMillis
                             + " ms along its longest path, allowed: at most aim-ms, " + chain.latencyObjectiveMillis);
         }
     }
@@ -64,7 +64,10 @@
         return new ChainPlan.Step(step.id, step.function, step.requestClass, Effect.IDEMPOTENT, needs, 0, 0);
     }
 
-    /** Longest path by least times. The order of steps in the file is free, so each round settles one more step of a path. */
+    /**
+     * The longest path of a chain, by the minimum times of its steps. The file may list steps in any order, so each round fixes the
+     * end time of at least one more step of a path.
+     */
     private static long longestPathMillis(Chain chain) {
         Map<String, Long> endMillis = new HashMap<>();
         long longestMillis = 0;
--- a/config/src/main/java/wharfhinge/config/ClientSettingsXml.java
+++ b/config/src/main/java/wharfhinge/config/ClientSettingsXml.java
@@ -2,7 +2,10 @@
 
 import jakarta.xml.bind.annotation.XmlAttribute;
 
-/** The elements of the settings file on clients and how they prove who they are. Each attribute is a field of the same meaning; settings.xsd has the units, defaults and ranges. */
+/**
+ * Binds the elements of the settings file that configure the client listeners, TLS and authentication.
+ * Each field has the meaning of the attribute that its annotation names; settings.xsd has the units, defaults and ranges.
+ */
 final class ClientSettingsXml {
     private ClientSettingsXml() {}
 
@@ -30,7 +33,7 @@
         int maxHeaderKb = 16;
 
         @XmlAttribute(name = "max-open")
-        int maxOpen = 20000;
+        int maxPendingCalls = 20000;
 
         @XmlAttribute(name = "hand-over")
         int submissionQueueSize = 4096;
@@ -63,7 +66,7 @@
         boolean reflection;
     }
 
-    /** Element {@code tls}: the certificate of the gateway and those of clients. */
+    /** Element {@code tls}: the gateway's certificate and the verification of client certificates. */
     static final class Tls {
         @XmlAttribute(name = "certificates")
         String certificateChain;
@@ -81,8 +84,8 @@
         String revocationList = "";
     }
 
-    /** Element {@code proof}: how a call proves its tenant. */
-    static final class Proof {
+    /** Element {@code proof}: how calls authenticate their tenant. */
+    static final class Authentication {
         @XmlAttribute(name = "needed")
         boolean required = true;
 
--- a/config/src/main/java/wharfhinge/config/DispatcherSettingsMapper.java
+++ b/config/src/main/java/wharfhinge/config/DispatcherSettingsMapper.java
@@ -121,7 +121,7 @@
                 workers.hedging,
                 clients.acceptsRetryAfter,
                 workers.maxAttempts,
-                clients.maxOpen,
+                clients.maxPendingCalls,
                 clients.maxRetryAfterMillis * NANOS_PER_MILLI,
                 workers.connectTimeoutMillis * NANOS_PER_MILLI,
                 workers.idleTimeoutMillis * NANOS_PER_MILLI,
--- a/config/src/main/java/wharfhinge/config/GatewayConfig.java
+++ b/config/src/main/java/wharfhinge/config/GatewayConfig.java
@@ -8,22 +8,22 @@
 import wharfhinge.policy.DispatcherSettings;
 
 /**
- * The configuration of one gateway, valid. Times are nanoseconds, sizes bytes; an optional part that is absent is null.
+ * The validated configuration of one gateway. Times are in nanoseconds, sizes in bytes; an optional part that is absent is null.
  *
- * @param name     name of this gateway
- * @param seed     seed of the policy's random choices
+ * @param name               name of this gateway
+ * @param seed               seed of the policy's random choices
  * @param dispatcherSettings settings of the policy
- * @param clients  the HTTP listener
- * @param workers  connections to workers
- * @param endpointSource   the source of the endpoint list
- * @param peers    addresses of other gateways by their number; empty where they exchange nothing
- * @param chains   settings of chains
- * @param capture  null where nothing is captured
- * @param grpc     null where gRPC is not served
- * @param admission     admission quotas by tenant, with an entry for others; null where all are admitted
- * @param tls      null where calls come in plain text
- * @param proof    what a call must prove of its tenant; null where its word is taken
- * @param log      log output
+ * @param clients            the HTTP listener
+ * @param workers            connections to workers
+ * @param endpointSource     the source of the endpoint list
+ * @param peers              addresses of other gateways by their number; empty if gateways exchange no messages
+ * @param chains             settings of chains
+ * @param capture            null if nothing is captured
+ * @param grpc               null if gRPC is not served
+ * @param admission          admission quotas by tenant, with an entry for other tenants; null if every call is admitted
+ * @param tls                null if the listeners use plain text
+ * @param authentication     how calls authenticate their tenant; null if the tenant that a call names is trusted
+ * @param log                log output
  */
 public record GatewayConfig(
         String name,
@@ -38,7 +38,7 @@
         Grpc grpc,
         AdmissionSettings admission,
         Tls tls,
-        Proof proof,
+        Authentication authentication,
         Log log) {
     /** A copy with other settings of chains. */
     public GatewayConfig withChains(UnaryOperator<ChainSettings> changed) {
@@ -55,11 +55,11 @@
                 grpc,
                 admission,
                 tls,
-                proof,
+                authentication,
                 log);
     }
 
-    /** A copy for tests: on any free port of loopback, without admission control, TLS, proof of tenants and warm-up. */
+    /** A copy for warm-up: on any free loopback port, without admission control, TLS, authentication and a warm-up of its own. */
     public GatewayConfig onAnyPort() {
         return new GatewayConfig(
                 name,
@@ -81,17 +81,17 @@
     /**
      * The HTTP listener.
      *
-     * @param address         address that it binds
-     * @param port            0 for any free one
-     * @param maxConnections  connections from clients at most
-     * @param idleNanos       idle time after which a connection is closed
-     * @param maxBodyBytes    largest body of a request
-     * @param maxHeaderBytes  largest header of a request
-     * @param maxOpen         requests pending at most
-     * @param submissionQueueSize        capacity of the queue from the I/O threads to the event loop
+     * @param address              address that the listener binds
+     * @param port                 0 for any free port
+     * @param maxConnections       maximum number of connections from clients
+     * @param idleNanos            idle time after which a connection is closed
+     * @param maxBodyBytes         largest body of a request
+     * @param maxHeaderBytes       largest header of a request
+     * @param maxPendingCalls      maximum number of pending calls
+     * @param submissionQueueSize  capacity of the queue from the I/O threads to the event loop
      * @param shutdownTimeoutNanos time that a graceful shutdown may take
-     * @param reusePort       whether another process may listen on the same port
-     * @param warmUpNanos   time at most for warming up the process before the port opens
+     * @param reusePort            whether another process may listen on the same port
+     * @param warmUpNanos          maximum duration of the warm-up before the port opens
      */
     public record Clients(
             String address,
@@ -100,7 +100,7 @@
             long idleNanos,
             int maxBodyBytes,
             int maxHeaderBytes,
-            int maxOpen,
+            int maxPendingCalls,
             int submissionQueueSize,
             long shutdownTimeoutNanos,
             boolean reusePort,
@@ -114,7 +114,7 @@
                     idleNanos,
                     maxBodyBytes,
                     maxHeaderBytes,
-                    maxOpen,
+                    maxPendingCalls,
                     submissionQueueSize,
                     shutdownTimeoutNanos,
                     false,
@@ -125,11 +125,11 @@
     /**
      * TLS of both listeners.
      *
-     * @param certificateChain the gateway's certificate chain, PEM
-     * @param privateKey          its private key, PKCS 8
-     * @param clientAuthorities      the authorities of clients' certificates; null where none is requested
-     * @param clientCertificateRequired       whether a client without a certificate is rejected
-     * @param revocationList      list of revoked certificates, or null
+     * @param certificateChain          the gateway's certificate chain, PEM
+     * @param privateKey                the gateway's private key, PKCS 8
+     * @param clientAuthorities         the certificate authorities of clients; null if no client certificate is requested
+     * @param clientCertificateRequired whether a client without a certificate is rejected
+     * @param revocationList            list of revoked certificates, or null
      */
     public record Tls(
             Path certificateChain,
@@ -139,17 +139,17 @@
             Path revocationList) {}
 
     /**
-     * How calls prove their tenant.
+     * How calls authenticate their tenant.
      *
-     * @param required   whether a call without proof is rejected
-     * @param tokenKey the key of tokens, or null where none are accepted
+     * @param required whether a call without a client certificate or token is rejected
+     * @param tokenKey the key that tokens are verified with, or null if no tokens are accepted
      */
-    public record Proof(boolean required, Path tokenKey) {}
+    public record Authentication(boolean required, Path tokenKey) {}
 
     /** The gRPC listener. */
     public record Grpc(String address, int port, boolean reflection) {}
 
-    /** Connections to workers; sizes and connections are bounds for each worker. */
+    /** Connections to workers; connection counts and sizes are limits per worker. */
     public record Workers(
             long connectTimeoutNanos,
             long idleNanos,
@@ -158,7 +158,7 @@
             int maxConnections,
             int maxResponseBytes) {}
 
-    /** The source of the endpoint list, the file that keeps its last state, and the range of the reconnect backoff. */
+    /** The source of the endpoint list, the endpoint snapshot file, and the range of the reconnect backoff. */
     public record EndpointSourceConfig(
             String host,
             int port,
@@ -168,22 +168,22 @@
             long maxReconnectNanos) {}
 
     /**
-     * The record of events and decisions.
+     * The capture of events and decisions.
      *
-     * @param folder        folder of the segments
-     * @param hashKey       key that names are hashed with, or null where they are stored as they are
-     * @param segmentBytes  size of a segment
-     * @param maxBytes     size of all segments at most; the oldest go first
-     * @param maxAgeMillis age of a segment at most
+     * @param folder       folder of the segments
+     * @param hashKey      key that names are hashed with, or null if they are stored unhashed
+     * @param segmentBytes size of a segment
+     * @param maxBytes     maximum total size of all segments; the oldest are deleted first
+     * @param maxAgeMillis maximum age of a segment
      */
     public record Capture(Path folder, Path hashKey, long segmentBytes, long maxBytes, long maxAgeMillis) {}
 
     /**
      * Log output.
      *
-     * @param json       JSON lines in place of plain text
-     * @param level      lowest level that is written
-     * @param diagnosticsPerSecond diagnostic lines of the policy a second at most
+     * @param json                 JSON lines instead of plain text
+     * @param level                lowest level that is written
+     * @param diagnosticsPerSecond maximum number of the policy's diagnostic lines per second
      */
     public record Log(boolean json, String level, int diagnosticsPerSecond) {}
 
--- a/config/src/main/java/wharfhinge/config/InvalidConfigurationException.java
+++ b/config/src/main/java/wharfhinge/config/InvalidConfigurationException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file that can't be used; carries all that is wrong with it at once, and the message has a line for each. */
+/** Thrown for a file that can't be used. Carries every fault of the file; the message has one line per fault. */
 public final class InvalidConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<Fault> faults;
@@ -18,7 +18,7 @@
         this.faults = faults.stream().sorted().toList();
     }
 
-    /** What is wrong, in the order of the file. */
+    /** All faults, ordered by their position in the file. */
     public List<Fault> faults() {
         return faults;
     }
--- a/config/src/main/java/wharfhinge/config/PolicySettingsXml.java
+++ b/config/src/main/java/wharfhinge/config/PolicySettingsXml.java
@@ -5,11 +5,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The elements of the settings file that the policy alone reads: what requests and tenants are worth, and the rules it keeps. Each attribute is a field of the same meaning; settings.xsd has the units, defaults and ranges. */
+/**
+ * Binds the elements of the settings file that only the policy reads: request classes, tenants, protection rules and prices.
+ * Each field has the meaning of the attribute that its annotation names; settings.xsd has the units, defaults and ranges.
+ */
 final class PolicySettingsXml {
     private PolicySettingsXml() {}
 
-    /** Element {@code classes}. */
+    /** Element {@code classes}: the request classes. */
     static final class Classes {
         @XmlAttribute(name = "worth-by")
         String priorityUnit = "request";
@@ -18,7 +21,7 @@
         List<CallClass> classes = new ArrayList<>();
     }
 
-    /** Element {@code class}: requests of one kind. */
+    /** Element {@code class}: a request class. */
     static final class CallClass {
         @XmlAttribute(name = "name")
         String name;
@@ -51,7 +54,7 @@
         double latencyObjectiveStretch;
     }
 
-    /** Element {@code tenants}. */
+    /** Element {@code tenants}: the tenants and the priority weight of calls over quota. */
     static final class Tenants {
         @XmlAttribute(name = "over-share-worth")
         double overQuotaPriorityWeight = 0.1;
@@ -60,7 +63,7 @@
         List<Tenant> tenants = new ArrayList<>();
     }
 
-    /** Element {@code tenant} of the policy. */
+    /** Element {@code tenant} of {@code tenants}: a tenant's share and quota. */
     static final class Tenant {
         @XmlAttribute(name = "name")
         String name;
@@ -72,7 +75,7 @@
         double quotaPerSecond;
     }
 
-    /** Element {@code rules}: what protects workers. */
+    /** Element {@code rules}: limits that protect workers. */
     static final class Rules {
         @XmlAttribute(name = "stop-sending-within-ms")
         long drainWithinMillis;
@@ -96,7 +99,7 @@
         long pollWithinMillis = 10000;
     }
 
-    /** Element {@code goal}: weights of the objectives. */
+    /** Element {@code goal}: weights of the objectives of the policy. */
     static final class Goal {
         @XmlAttribute(name = "whole")
         double overall = 0.7;
@@ -111,7 +114,7 @@
         double worstTenant;
     }
 
-    /** Element {@code prices}. */
+    /** Element {@code prices}: the cost of each unit of use, in points of the objective. */
     static final class PriceList {
         @XmlAttribute(name = "cross-zone")
         double crossZone;
--- a/config/src/main/java/wharfhinge/config/SchemaFault.java
+++ b/config/src/main/java/wharfhinge/config/SchemaFault.java
@@ -5,7 +5,7 @@
 import java.util.regex.Pattern;
 import org.xml.sax.SAXParseException;
 
-/** Rewrites the JDK's message on a broken schema rule into the form of all faults here: what was found, what is allowed. */
+/** Converts the JDK's schema validation messages to the common form of faults: what was found and what is allowed. */
 final class SchemaFault {
     /** A message of the JDK and its replacement, which may refer to groups of the pattern. */
     private record Rewrite(Pattern pattern, String replacement) {}
@@ -19,11 +19,11 @@
                     "found '$2', allowed: $3imum $4 ($1clusive)"),
             rewrite(
                     "cvc-pattern-valid: Value '(.*)' is not .*pattern '(.*)' for.*",
-                    "found '$1', allowed: what matches $2"),
+                    "found '$1', allowed: a value that matches $2"),
             rewrite("cvc-datatype-valid.1.2.1: '(.*)' is not a valid value for '(.*)'.*", "found '$1', allowed: $2"),
             rewrite(
                     "cvc-complex-type.3.2.2: Attribute '(.*)' is not allowed to appear in element '(.*)'.*",
-                    "found attribute '$1' in $2, allowed: the attributes that the schema names"),
+                    "found attribute '$1' in $2, allowed: the attributes that the schema declares"),
             rewrite(
                     "cvc-complex-type.4: Attribute '(.*)' must appear on element '(.*)'.*",
                     "found no attribute '$1' in $2, allowed: $2 with $1"),
@@ -33,10 +33,10 @@
                     "found element $1, allowed: $2"),
             rewrite(
                     "cvc-complex-type.2.4.[a-z]+: The content of element '(.*)' is not complete. One of '\\{(.*)}' is.*",
-                    "found the end of $1, allowed: first $2"),
+                    "found the end of $1, allowed: $2 before it"),
             rewrite(
                     "cvc-elt.1.a: Cannot find the declaration of element '(.*)'.*",
-                    "found root element $1, allowed: another"));
+                    "found root element $1, allowed: the root element that the schema declares"));
 
     private SchemaFault() {}
 
--- a/config/src/main/java/wharfhinge/config/SchemaValidator.java
+++ b/config/src/main/java/wharfhinge/config/SchemaValidator.java
@@ -16,7 +16,7 @@
 import org.xml.sax.SAXException;
 import org.xml.sax.SAXParseException;
 
-/** Validates XML by a schema and collects all faults in place of stopping at the first. */
+/** Validates XML against a schema and collects all faults instead of stopping at the first. */
 final class SchemaValidator {
     private SchemaValidator() {}
 
@@ -24,7 +24,7 @@
     static List<Fault> validate(byte[] bytes, URL schema) {
         FaultCollector collector = new FaultCollector();
         try {
-            readToEnd(bytes); // first, since the validator would hide where a file is not well formed
+            checkWellFormed(bytes); // first, since the validator does not report the position of a syntax error
             Validator validator = newValidator(schema);
             validator.setErrorHandler(collector);
             validator.validate(new StAXSource(XmlFile.newReader(bytes)));
@@ -32,13 +32,13 @@
             collector.faults.add(XmlFile.faultAt(e.getLocation(), "not well formed: " + lastLine(e.getMessage())));
         } catch (SAXException | IOException e) {
             if (collector.faults.isEmpty()) {
-                collector.faults.add(Fault.withoutPlace(e.getMessage()));
+                collector.faults.add(Fault.withoutPosition(e.getMessage()));
             }
         }
         return collector.faults;
     }
 
-    private static void readToEnd(byte[] bytes) throws XMLStreamException {
+    private static void checkWellFormed(byte[] bytes) throws XMLStreamException {
         XMLStreamReader reader = XmlFile.newReader(bytes);
         while (reader.hasNext()) {
             reader.next();
@@ -73,8 +73,8 @@
         @Override
         public void error(SAXParseException e) {
             Fault fault = SchemaFault.of(e);
-            boolean isRepeated =
-                    SchemaFault.repeatsEarlierFault(e) && faults.stream().anyMatch(known -> known.isAtPlaceOf(fault));
+            boolean isRepeated = SchemaFault.repeatsEarlierFault(e)
+                    && faults.stream().anyMatch(known -> known.isAtPositionOf(fault));
             if (!isRepeated) {
                 faults.add(fault);
             }
--- a/config/src/main/java/wharfhinge/config/SettingsMapper.java
+++ b/config/src/main/java/wharfhinge/config/SettingsMapper.java
@@ -18,7 +18,7 @@
 
 /** Maps a valid settings file to the gateway's configuration; paths are resolved against the file's folder. */
 final class SettingsMapper {
-    /** Ticks kept back at a chain's deadline for the answer's way to the client. */
+    /** Ticks reserved before a chain's deadline for sending the answer to the client. */
     private static final int RESERVE_TICKS = 2;
 
     private final SettingsXml settings;
@@ -47,7 +47,7 @@
                 settings.grpc == null ? null : grpc(settings.grpc),
                 settings.admission == null ? null : admission(settings.admission),
                 settings.tls == null ? null : tls(settings.tls),
-                settings.proof == null ? null : proof(settings.proof),
+                settings.authentication == null ? null : authentication(settings.authentication),
                 log(settings.log));
     }
 
@@ -59,7 +59,7 @@
                 clients.idleTimeoutMillis * NANOS_PER_MILLI,
                 clients.maxBodyKb * BYTES_PER_KB,
                 clients.maxHeaderKb * BYTES_PER_KB,
-                clients.maxOpen,
+                clients.maxPendingCalls,
                 clients.submissionQueueSize,
                 clients.shutdownTimeoutMillis * NANOS_PER_MILLI,
                 clients.reusePort,
@@ -101,7 +101,7 @@
                 chains.earlyRejection,
                 chains.rejectionsPerSample,
                 chains.prefetch,
-                chains.maxOpen,
+                chains.maxPendingChains,
                 chains.maxSteps,
                 chains.tenantShare,
                 chains.maxHeldMb * BYTES_PER_MB,
@@ -129,7 +129,7 @@
                 step.requestClass,
                 List.copyOf(step.input),
                 step.memoryMb,
-                step.lanes,
+                step.concurrencyPerCopy,
                 step.loadMillis,
                 (long) step.costMicros);
     }
@@ -167,15 +167,15 @@
                 optionalPath(tls.revocationList));
     }
 
-    private GatewayConfig.Proof proof(ClientSettingsXml.Proof proof) {
-        return new GatewayConfig.Proof(proof.required, optionalPath(proof.tokenKeyFile));
+    private GatewayConfig.Authentication authentication(ClientSettingsXml.Authentication authentication) {
+        return new GatewayConfig.Authentication(authentication.required, optionalPath(authentication.tokenKeyFile));
     }
 
     private static GatewayConfig.Log log(SettingsXml.Log log) {
         return new GatewayConfig.Log(log.format.equals("json"), log.level, log.diagnosticsPerSecond);
     }
 
-    /** Null where no file is named, as the records of {@link GatewayConfig} have it. */
+    /** The path of an optional file, or null if the setting is empty. */
     private Path optionalPath(String name) {
         return name.isEmpty() ? null : folder.resolve(name);
     }
--- a/config/src/main/java/wharfhinge/config/SettingsValidator.java
+++ b/config/src/main/java/wharfhinge/config/SettingsValidator.java
@@ -7,7 +7,7 @@
 import java.util.function.Function;
 import wharfhinge.config.PolicySettingsXml.CallClass;
 
-/** Checks what the schema can't say: fields that must fit each other. Reports every fault at the element that holds it. */
+/** Validates rules that the schema cannot express: constraints between fields. Reports each fault at its element. */
 final class SettingsValidator {
     private static final double SHARE_TOLERANCE = 0.001;
     private static final double GOAL_TOLERANCE = 1e-6;
@@ -15,14 +15,14 @@
     private static final int MIN_TICKS_PER_DEADLINE = 4;
 
     private final SettingsXml settings;
-    private final XmlFile.Faults faults;
+    private final XmlFile.FaultListener faults;
 
-    private SettingsValidator(SettingsXml settings, XmlFile.Faults faults) {
+    private SettingsValidator(SettingsXml settings, XmlFile.FaultListener faults) {
         this.settings = settings;
         this.faults = faults;
     }
 
-    static void validate(SettingsXml settings, XmlFile.Faults faults) {
+    static void validate(SettingsXml settings, XmlFile.FaultListener faults) {
         new SettingsValidator(settings, faults).validate();
     }
 
@@ -135,11 +135,11 @@
         }
     }
 
-    private <T> void validateUnique(List<T> elements, Function<T, String> name, String what) {
+    private <T> void validateUnique(List<T> elements, Function<T, String> name, String elementName) {
         Set<String> seen = new HashSet<>();
         for (T element : elements) {
             if (!seen.add(name.apply(element))) {
-                report(element, what + " " + name.apply(element) + " twice", "once");
+                report(element, elementName + " " + name.apply(element) + " twice", "once");
             }
         }
     }
--- a/config/src/main/java/wharfhinge/config/SettingsXml.java
+++ b/config/src/main/java/wharfhinge/config/SettingsXml.java
@@ -8,8 +8,9 @@
 import java.util.List;
 
 /**
- * The settings file as it stands: the root element, and those that concern the gateway as a process. Each attribute is a field of the same meaning; settings.xsd has the units, defaults and ranges. docs/operate/settings.md says
- * what each is for. {@link GatewayConfig} is what the rest of the code uses.
+ * Binds the root element of the settings file and the elements that configure the gateway process. Each field has the meaning of the
+ * attribute that its annotation names; settings.xsd has the units, defaults and ranges, and docs/operate/settings.md describes each
+ * setting. The rest of the code uses {@link GatewayConfig}.
  */
 @XmlRootElement(name = "wharfhinge")
 final class SettingsXml {
@@ -62,12 +63,12 @@
     ClientSettingsXml.Tls tls;
 
     @XmlElement(name = "proof")
-    ClientSettingsXml.Proof proof;
+    ClientSettingsXml.Authentication authentication;
 
     @XmlElement(name = "log")
     Log log = new Log();
 
-    /** Element {@code gateway}: which of the gateways this is. */
+    /** Element {@code gateway}: identity and zone of this gateway. */
     static final class Gateway {
         @XmlAttribute(name = "name")
         String name;
@@ -88,7 +89,7 @@
         long tickMillis = 2;
     }
 
-    /** Element {@code zones}. */
+    /** Element {@code zones}: the names of all zones. */
     static final class Zones {
         @XmlList
         @XmlAttribute(name = "names")
@@ -122,7 +123,7 @@
         List<Peer> peers = new ArrayList<>();
     }
 
-    /** Element {@code peer}. */
+    /** Element {@code peer}: number and address of another gateway. */
     static final class Peer {
         @XmlAttribute(name = "number")
         int number;
@@ -131,7 +132,7 @@
         String address;
     }
 
-    /** Element {@code capture}: the record of events and decisions. */
+    /** Element {@code capture}: the capture of events and decisions. */
     static final class Capture {
         @XmlAttribute(name = "folder")
         String folder;
@@ -149,7 +150,7 @@
         int maxHours = 48;
     }
 
-    /** Element {@code log}. */
+    /** Element {@code log}: log output. */
     static final class Log {
         @XmlAttribute(name = "format")
         String format = "plain";
--- a/config/src/main/java/wharfhinge/config/Units.java
+++ b/config/src/main/java/wharfhinge/config/Units.java
@@ -1,6 +1,6 @@
 package wharfhinge.config;
 
-/** Factors from the units of the settings file to those of the code. */
+/** Conversion factors from the units of the settings file to those used in the code. */
 final class Units {
     static final long NANOS_PER_MILLI = 1_000_000L;
     static final long MILLIS_PER_HOUR = 3_600_000L;
--- a/config/src/main/java/wharfhinge/config/WorkerSettingsXml.java
+++ b/config/src/main/java/wharfhinge/config/WorkerSettingsXml.java
@@ -6,7 +6,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Element {@code workers} of the settings file: connections to workers, what they report and how they load functions. Each attribute is a field of the same meaning; settings.xsd has the units, defaults and ranges. */
+/**
+ * Binds element {@code workers} of the settings file: connections to workers, their load reports and the loading of functions.
+ * Each field has the meaning of the attribute that its annotation names; settings.xsd has the units, defaults and ranges.
+ */
 final class WorkerSettingsXml {
     @XmlAttribute(name = "weights")
     String weightReporting = "nominal";
@@ -54,7 +57,7 @@
     @XmlElement(name = "loading")
     Loading loading;
 
-    /** Element {@code kind}: workers of one size. */
+    /** Element {@code kind}: a kind of workers, all with the same memory size. */
     static final class Kind {
         @XmlAttribute(name = "name")
         String name;
@@ -63,7 +66,7 @@
         double memoryMb;
     }
 
-    /** Element {@code loading}: how functions get into the memory of workers. */
+    /** Element {@code loading}: how functions are loaded into workers. */
     static final class Loading {
         @XmlAttribute(name = "not-loaded")
         String onMiss;
@@ -90,7 +93,7 @@
         LoadQuota quota;
     }
 
-    /** Element {@code ration}: loads that may be ordered in a period. */
+    /** Element {@code ration}: the quota of loads that may be ordered in a period. */
     static final class LoadQuota {
         @XmlAttribute(name = "period-ms")
         long periodMillis;
--- a/config/src/main/java/wharfhinge/config/XmlFile.java
+++ b/config/src/main/java/wharfhinge/config/XmlFile.java
@@ -19,21 +19,21 @@
 import javax.xml.stream.XMLStreamReader;
 
 /**
- * Loads an XML file against a schema and reports all that is wrong at once, each fault with its place. Document type definitions
- * and external entities are off, so that a file can neither reach other files nor grow while it is read.
+ * Loads an XML file, validates it against a schema and reports all faults at once, each with its position. Document type definitions
+ * and external entities are disabled, so that a file can neither read other files nor expand while it is parsed.
  */
 public final class XmlFile {
     private static final long MAX_BYTES = 4L << 20;
 
     private XmlFile() {}
 
-    /** Receives what a check across fields finds: the element that holds the field, and the text of the fault. */
-    public interface Faults extends BiConsumer<Object, String> {}
+    /** Receives the faults that a check across fields finds: the element that holds the field, and the text of the fault. */
+    public interface FaultListener extends BiConsumer<Object, String> {}
 
-    /** A check across the fields of what was read. */
+    /** A check across the fields of a file that is valid by its schema. */
     public interface Check<T> {
         /** Reports each fault to {@code faults}. */
-        void check(T root, Faults faults);
+        void check(T root, FaultListener faults);
     }
 
     /**
@@ -41,7 +41,7 @@
      *
      * @param schema the XSD
      * @param type   the annotated class of the root element
-     * @param check  what the schema can't say; run only where the file is valid by the schema
+     * @param check  checks rules that the schema cannot express; run only if the file is valid by the schema
      * @throws InvalidConfigurationException with every fault
      */
     public static <T> T load(Path file, URL schema, Class<T> type, Check<T> check)
@@ -61,15 +61,16 @@
             long size = Files.size(file);
             if (size > MAX_BYTES) {
                 throw new InvalidConfigurationException(
-                        file, List.of(Fault.withoutPlace("found " + size + " bytes, allowed: " + MAX_BYTES)));
+                        file,
+                        List.of(Fault.withoutPosition("found " + size + " bytes, allowed: at most " + MAX_BYTES)));
             }
             return Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new InvalidConfigurationException(file, List.of(Fault.withoutPlace("can't be read: " + e)), e);
+            throw new InvalidConfigurationException(file, List.of(Fault.withoutPosition("can't be read: " + e)), e);
         }
     }
 
-    /** Binds a file to objects and notes where the element of each stands. */
+    /** Unmarshals a file and records the location of each object's element. */
     private static <T> T bind(Path file, byte[] bytes, Class<T> type, Map<Object, Location> locations)
             throws InvalidConfigurationException {
         try {
@@ -83,11 +84,12 @@
             });
             return unmarshaller.unmarshal(reader, type).getValue();
         } catch (JAXBException | XMLStreamException e) {
-            throw new InvalidConfigurationException(file, List.of(Fault.withoutPlace("not bound: " + e)), e);
+            throw new InvalidConfigurationException(
+                    file, List.of(Fault.withoutPosition("can't be unmarshalled: " + e)), e);
         }
     }
 
-    /** A reader that takes neither document type definitions nor external entities. */
+    /** Creates a reader with document type definitions and external entities disabled. */
     static XMLStreamReader newReader(byte[] bytes) throws XMLStreamException {
         XMLInputFactory factory = XMLInputFactory.newDefaultFactory();
         factory.setProperty(XMLInputFactory.SUPPORT_DTD, false);
@@ -95,10 +97,10 @@
         return factory.createXMLStreamReader(new ByteArrayInputStream(bytes));
     }
 
-    /** A fault at a location; null where an element is not in the file, as where it has its default. */
+    /** A fault at a location, which is null for an element that is absent from the file and has its default. */
     static Fault faultAt(Location location, String text) {
         return location == null
-                ? Fault.withoutPlace(text)
+                ? Fault.withoutPosition(text)
                 : new Fault(location.getLineNumber(), location.getColumnNumber(), text);
     }
 
--- a/config/src/main/java/wharfhinge/config/package-info.java
+++ b/config/src/main/java/wharfhinge/config/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The settings file of a gateway: its schema, loading, validation across fields, and mapping to the settings of each part.
- * {@link wharfhinge.config.GatewayConfig} is the entry; {@link wharfhinge.config.XmlFile} loads other files in the same way. Classes
- * named {@code ...Xml} bind elements one to one.
+ * The settings file of a gateway: its schema, loading, validation across fields, and mapping to the settings of each component.
+ * {@link wharfhinge.config.GatewayConfig} is the entry point; {@link wharfhinge.config.XmlFile} loads other files in the same way.
+ * Classes named {@code ...Xml} bind XML elements one to one.
  */
 @XmlSchema(namespace = "urn:wharfhinge:settings:1", elementFormDefault = XmlNsForm.QUALIFIED)
 @XmlAccessorType(XmlAccessType.FIELD)
--- a/config/src/test/java/wharfhinge/config/GatewayConfigGoldenTest.java
+++ b/config/src/test/java/wharfhinge/config/GatewayConfigGoldenTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Holds every value that the samples and two files of all settings load to. A value goes by its position, enums by their ordinal,
- * so that a renamed record component or constant changes nothing.
+ * Compares every value loaded from the samples and from two complete settings files with golden files. Values are identified by their
+ * position and enum constants by their ordinal, so that renaming a record component or a constant does not change the golden files.
  */
 class GatewayConfigGoldenTest {
     private static final Path SAMPLES = Path.of("../deploy/samples");
@@ -49,17 +49,17 @@
         InvalidConfigurationException rejection =
                 assertThrows(InvalidConfigurationException.class, () -> GatewayConfig.load(file));
         String faults = rejection.faults().stream().map(fault -> fault + "\n").collect(Collectors.joining());
-        assertEquals(text("golden/contradicting-settings.txt"), faults);
+        assertEquals(resourceText("golden/contradicting-settings.txt"), faults);
     }
 
     @Test
     void everySettingFile_usesEachNameOfTheSchema() throws Exception {
         Set<String> known = new TreeSet<>();
-        Matcher names = SCHEMA_NAME.matcher(text("settings.xsd"));
-        while (names.find()) {
-            known.add(names.group(1) + " " + names.group(2));
+        Matcher schemaNames = SCHEMA_NAME.matcher(resourceText("settings.xsd"));
+        while (schemaNames.find()) {
+            known.add(schemaNames.group(1) + " " + schemaNames.group(2));
         }
-        String file = text("every-setting.xml").replaceAll("(?s)<!--.*?-->|<\\?.*?\\?>", "");
+        String file = resourceText("every-setting.xml").replaceAll("(?s)<!--.*?-->|<\\?.*?\\?>", "");
         Set<String> used = new TreeSet<>();
         FILE_ELEMENT.matcher(file).results().forEach(match -> used.add("element " + match.group(1)));
         FILE_ATTRIBUTE.matcher(file).results().forEach(match -> used.add("attribute " + match.group(1)));
@@ -70,35 +70,35 @@
     private static void assertMatchesGolden(String name, Path file) throws Exception {
         StringBuilder dump = new StringBuilder();
         append(dump, "", GatewayConfig.load(file), file.toAbsolutePath().getParent());
-        assertEquals(text("golden/" + name + ".txt"), dump.toString());
+        assertEquals(resourceText("golden/" + name + ".txt"), dump.toString());
     }
 
-    private static void append(StringBuilder dump, String place, Object value, Path folder)
+    private static void append(StringBuilder dump, String prefix, Object value, Path folder)
             throws ReflectiveOperationException {
-        if (value instanceof Record whole) {
+        if (value instanceof Record recordValue) {
             int position = 0;
-            for (RecordComponent component : whole.getClass().getRecordComponents()) {
-                append(dump, place + "." + position, component.getAccessor().invoke(whole), folder);
+            for (RecordComponent component : recordValue.getClass().getRecordComponents()) {
+                append(dump, prefix + "." + position, component.getAccessor().invoke(recordValue), folder);
                 position++;
             }
-        } else if (value instanceof Collection<?> all) {
+        } else if (value instanceof Collection<?> elements) {
             int index = 0;
-            for (Object one : all) {
-                append(dump, place + "[" + index + "]", one, folder);
+            for (Object element : elements) {
+                append(dump, prefix + "[" + index + "]", element, folder);
                 index++;
             }
-            dump.append(place).append(" size ").append(all.size()).append('\n');
+            dump.append(prefix).append(" size ").append(elements.size()).append('\n');
         } else if (value instanceof Map<?, ?> map) {
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                append(dump, place + "{" + entry.getKey() + "}", entry.getValue(), folder);
+                append(dump, prefix + "{" + entry.getKey() + "}", entry.getValue(), folder);
             }
-            dump.append(place).append(" size ").append(map.size()).append('\n');
+            dump.append(prefix).append(" size ").append(map.size()).append('\n');
         } else {
-            dump.append(place).append(" = ").append(leaf(value, folder)).append('\n');
+            dump.append(prefix).append(" = ").append(formatLeaf(value, folder)).append('\n');
         }
     }
 
-    private static Object leaf(Object value, Path folder) {
+    private static Object formatLeaf(Object value, Path folder) {
         if (value instanceof Enum<?> constant) {
             return "#" + constant.ordinal();
         }
@@ -110,7 +110,7 @@
         return Path.of(url.toURI());
     }
 
-    private static String text(String name) throws IOException {
+    private static String resourceText(String name) throws IOException {
         try (InputStream in = GatewayConfigGoldenTest.class.getResourceAsStream(name)) {
             return in == null ? "no resource " + name : new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -114,7 +114,7 @@
         }
         tls = openTls(config.tls());
         SslContext sslContext = tls == null ? null : tls.context();
-        CallIngress intake = new CallIngress(config, engine, newIdentity(config.proof()));
+        CallIngress intake = new CallIngress(config, engine, newIdentity(config.authentication()));
         clientListener = new ClientListener(config, intake, new StatusPage(this::metrics), sslContext);
         grpcListener = config.grpc() == null
                 ? null
@@ -128,7 +128,7 @@
         return new EngineSettings(
                 config.seed(),
                 config.dispatcherSettings(),
-                config.clients().maxOpen(),
+                config.clients().maxPendingCalls(),
                 config.clients().submissionQueueSize(),
                 config.admission(),
                 new EngineSettings.Chains(
@@ -156,7 +156,7 @@
         }
     }
 
-    private static CallAuthenticator newIdentity(GatewayConfig.Proof proof) {
+    private static CallAuthenticator newIdentity(GatewayConfig.Authentication proof) {
         if (proof == null) {
             return new CallAuthenticator(null, false);
         }
--- a/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
@@ -182,7 +182,7 @@
                     0,
                     step.costMicros(),
                     step.memoryMb(),
-                    step.lanes(),
+                    step.concurrencyPerCopy(),
                     step.loadMillis(),
                     false,
                     false);
