--- a/settings-json/src/main/java/wharfhinge/settings/SettingsJson.java
+++ b/settings-json/src/main/java/wharfhinge/settings/SettingsJson.java
@@ -18,21 +18,22 @@
 import wharfhinge.policy.WeightReporting;
 
 /**
- * The JSON form of {@link DispatcherSettings}: names of {@link StoredNames} in lower case with underscores, enums as words, times in
- * nanoseconds. Unknown keys are ignored, absent ones are 0, false or null. Safe for use by several threads.
+ * Parses the JSON form of {@link DispatcherSettings}: keys are the names of {@link StoredNames} in lower case with underscores, enum
+ * constants are their stored words in lower case, times are in nanoseconds. Unknown keys are ignored; absent values are 0, false or
+ * null. Safe for use by several threads.
  */
 public final class SettingsJson {
     private static final Pattern UPPER_CASE = Pattern.compile("(?<=[^A-Z_])(?=[A-Z])");
 
     private static final Gson GSON = new GsonBuilder()
             .setFieldNamingStrategy(SettingsJson::key)
-            .registerTypeAdapter(Effect.class, word(Effect.class))
-            .registerTypeAdapter(DeduplicationScope.class, word(DeduplicationScope.class))
-            .registerTypeAdapter(Discovery.class, word(Discovery.class))
-            .registerTypeAdapter(OnMissBehavior.class, word(OnMissBehavior.class))
-            .registerTypeAdapter(LoadReporting.class, word(LoadReporting.class))
-            .registerTypeAdapter(WeightReporting.class, word(WeightReporting.class))
-            .registerTypeAdapter(PriorityUnit.class, word(PriorityUnit.class))
+            .registerTypeAdapter(Effect.class, enumDeserializer(Effect.class))
+            .registerTypeAdapter(DeduplicationScope.class, enumDeserializer(DeduplicationScope.class))
+            .registerTypeAdapter(Discovery.class, enumDeserializer(Discovery.class))
+            .registerTypeAdapter(OnMissBehavior.class, enumDeserializer(OnMissBehavior.class))
+            .registerTypeAdapter(LoadReporting.class, enumDeserializer(LoadReporting.class))
+            .registerTypeAdapter(WeightReporting.class, enumDeserializer(WeightReporting.class))
+            .registerTypeAdapter(PriorityUnit.class, enumDeserializer(PriorityUnit.class))
             .create();
 
     private SettingsJson() {}
@@ -42,8 +43,8 @@
         return UPPER_CASE.matcher(stored).replaceAll("_").toLowerCase(Locale.ROOT);
     }
 
-    private static <E extends Enum<E>> JsonDeserializer<E> word(Class<E> type) {
-        return (json, of, context) -> {
+    private static <E extends Enum<E>> JsonDeserializer<E> enumDeserializer(Class<E> type) {
+        return (json, targetType, context) -> {
             try {
                 return StoredNames.constant(type, json.getAsString().toUpperCase(Locale.ROOT));
             } catch (IllegalArgumentException e) {
@@ -53,18 +54,18 @@
     }
 
     /**
-     * Reads settings from text; null for an empty text.
+     * Parses settings; returns null for an empty text.
      *
-     * @throws JsonParseException names what can't be read
+     * @throws JsonParseException if the text can't be parsed; the message names the fault
      */
     public static DispatcherSettings parse(String json) {
         return GSON.fromJson(json, DispatcherSettings.class);
     }
 
     /**
-     * Reads settings from a part of a larger JSON.
+     * Parses settings that are part of a larger JSON document.
      *
-     * @throws JsonParseException names what can't be read
+     * @throws JsonParseException if the element can't be parsed; the message names the fault
      */
     public static DispatcherSettings parse(JsonElement json) {
         return GSON.fromJson(json, DispatcherSettings.class);
--- a/settings-json/src/main/java/wharfhinge/settings/StoredNames.java
+++ b/settings-json/src/main/java/wharfhinge/settings/StoredNames.java
@@ -20,7 +20,7 @@
 import wharfhinge.policy.Tenant;
 
 /**
- * The one place where names in Java and names in JSON part: settings and captures keep the names that their pages give. A component
+ * Maps Java names to the names stored in settings and captures, which stay as documented when a Java name changes. A record component
  * without an entry is stored under its own name, with {@code Nanos} as {@code Ns} and {@code Millis} as {@code Ms}. Immutable; safe for
  * use by several threads.
  */
@@ -103,25 +103,25 @@
         KEYS.computeIfAbsent(record, type -> new HashMap<>()).put(component, stored);
     }
 
-    /** The key under which a record's component is stored, in camel case. */
+    /** The key under which a record component is stored, in camel case. */
     public static String key(Class<?> record, String component) {
         String stored = KEYS.getOrDefault(record, Map.of()).get(component);
-        return stored != null ? stored : unit(unit(component, "Nanos", "Ns"), "Millis", "Ms");
+        return stored != null ? stored : replaceSuffix(replaceSuffix(component, "Nanos", "Ns"), "Millis", "Ms");
     }
 
-    private static String unit(String name, String suffix, String stored) {
+    private static String replaceSuffix(String name, String suffix, String stored) {
         return name.endsWith(suffix) ? name.substring(0, name.length() - suffix.length()) + stored : name;
     }
 
-    /** The word under which a constant is stored, in upper case. */
+    /** The word under which an enum constant is stored, in upper case. */
     public static String word(Enum<?> constant) {
         return WORDS.getOrDefault(constant, constant.name());
     }
 
     /**
-     * The constant that is stored under a word in upper case.
+     * The enum constant that is stored under a word in upper case.
      *
-     * @throws IllegalArgumentException names a word that is none of the type's
+     * @throws IllegalArgumentException if no constant of the type is stored under the word
      */
     public static <E extends Enum<E>> E constant(Class<E> type, String word) {
         for (E constant : type.getEnumConstants()) {
--- a/settings-json/src/test/java/wharfhinge/settings/EveryKeyTest.java
+++ b/settings-json/src/test/java/wharfhinge/settings/EveryKeyTest.java
@@ -11,38 +11,38 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Holds the keys and words of the settings' JSON form: each key of the golden file reaches the component in its place. */
+/** Guards the keys and enum words of the settings' JSON form: each key of the golden file must set the component it belongs to. */
 class EveryKeyTest {
     private static final Path GOLDEN = Path.of("src/test/resources/wharfhinge/settings");
 
     @Test
     void everyKeyAndWord_reachesItsComponent() throws Exception {
-        List<String> read = new ArrayList<>();
+        List<String> actual = new ArrayList<>();
         for (JsonElement settings : JsonParser.parseString(Files.readString(GOLDEN.resolve("every-key.json")))
                 .getAsJsonArray()) {
-            read.add(values(SettingsJson.parse(settings)));
+            actual.add(values(SettingsJson.parse(settings)));
         }
-        assertEquals(Files.readAllLines(GOLDEN.resolve("every-key.values")), read);
+        assertEquals(Files.readAllLines(GOLDEN.resolve("every-key.values")), actual);
     }
 
-    /** The values of a record in the order of its components, without their names; of a constant its place among its kind. */
-    private static String values(Object of) throws ReflectiveOperationException {
-        if (of instanceof List<?> list) {
+    /** The values of a record in the order of its components, without their names; for an enum constant, its ordinal. */
+    private static String values(Object value) throws ReflectiveOperationException {
+        if (value instanceof List<?> list) {
             List<String> parts = new ArrayList<>();
             for (Object part : list) {
                 parts.add(values(part));
             }
             return parts.toString();
         }
-        if (of instanceof Enum<?> constant) {
+        if (value instanceof Enum<?> constant) {
             return "#" + constant.ordinal();
         }
-        if (!(of instanceof Record)) {
-            return String.valueOf(of);
+        if (!(value instanceof Record)) {
+            return String.valueOf(value);
         }
         List<String> parts = new ArrayList<>();
-        for (RecordComponent component : of.getClass().getRecordComponents()) {
-            parts.add(values(component.getAccessor().invoke(of)));
+        for (RecordComponent component : value.getClass().getRecordComponents()) {
+            parts.add(values(component.getAccessor().invoke(value)));
         }
         return parts.toString();
     }
