--- a/gateway/src/main/java/wharfhinge/gateway/Gateway.java
+++ b/gateway/src/main/java/wharfhinge/gateway/Gateway.java
@@ -39,14 +39,14 @@
 import wharfhinge.gateway.upstream.HttpWorkerTransport;
 
 /**
- * One gateway: its parts are wired here, started by {@link #start} and shut down by {@link #stop}. Gateways of a process
- * share nothing. {@link #warmUp}, {@link #start} and {@link #stop} exclude each other; any thread may call.
+ * A gateway: creates and connects its components, starts them in {@link #start} and shuts them down in {@link #stop}. Several gateways in
+ * one process share nothing. Thread-safe: {@link #warmUp}, {@link #start} and {@link #stop} are mutually exclusive.
  */
 public final class Gateway {
     private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-    /** After GOAWAY, before the engine rejects: calls that clients sent before they saw it are still accepted. */
+    /** Delay between GOAWAY and the engine's shutdown, so that calls sent before the client received GOAWAY are still accepted. */
     private static final long SHUTDOWN_LINGER_MILLIS = 100;
-    /** Beyond the grace period, for the engine to abort what is left. */
+    /** Time, added to the grace period, in which the engine aborts the remaining calls. */
     private static final long ENGINE_SHUTDOWN_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final GatewayConfig config;
@@ -55,31 +55,30 @@
     private final EndpointSource endpointSource;
     private final EndpointSnapshotFile endpointSnapshot;
     private final StepJournal journal;
-    private final RecordingDispatcherFactory recording; // null where nothing is captured
+    private final RecordingDispatcherFactory recording; // null if nothing is captured
     private final Slf4jAccessLog accessLog;
     private final DispatchEngine engine;
     private final Thread engineThread;
-    private final UdpPeerTransport peers; // null where none are set
-    private final TlsContext tls; // null where calls come in the clear
+    private final UdpPeerTransport peerTransport; // null if no peers are configured
+    private final TlsContext tls; // null if clients connect without TLS
     private final ClientListener clientListener;
-    private final GrpcListener grpcListener; // null where none is set
+    private final GrpcListener grpcListener; // null if no gRPC port is configured
     private final ReentrantLock lifecycleLock = new ReentrantLock();
     private final AtomicBoolean stopping = new AtomicBoolean();
     private InetSocketAddress address;
     private InetSocketAddress grpcAddress;
     private WarmUp.Result warmUpResult = WarmUp.Result.SKIPPED;
 
-    /** A gateway that watches the endpoint service of its settings. */
+    /** Creates a gateway that watches the configured endpoint service. */
     public Gateway(GatewayConfig config) throws InterruptedException {
         this(config, DispatcherFactory.CACHE_AWARE, null);
     }
 
     /**
-     * A gateway with another dispatcher or endpoint source.
+     * Creates a gateway with the given dispatcher and endpoint source.
      *
-     * @param sourceFactory makes the source from an I/O group and its channel type; null for the endpoint service of the
-     *     settings
-     * @throws GatewayStartException where a file or port of the settings can't be used
+     * @param sourceFactory creates the endpoint source from an I/O group and its channel type; null for the configured endpoint service
+     * @throws GatewayStartException if a configured file or port cannot be used
      */
     public Gateway(
             GatewayConfig config,
@@ -97,32 +96,32 @@
         recording = config.capture() == null
                 ? null
                 : new RecordingDispatcherFactory(dispatchers, config.name(), config.capture());
-        AtomicReference<PeerTransport> peerLink = new AtomicReference<>(PeerTransport.NONE);
+        AtomicReference<PeerTransport> peerTransportReference = new AtomicReference<>(PeerTransport.NONE);
         engine = new DispatchEngine(
                 engineSettings(config),
                 recording == null ? dispatchers : recording,
                 workerTransport,
                 endpointSource,
-                (peer, payload) -> peerLink.get().send(peer, payload),
+                (peer, payload) -> peerTransportReference.get().send(peer, payload),
                 journal,
                 accessLog,
                 System::nanoTime);
         engineThread = new Thread(engine, "decisions");
-        peers = openPeers();
-        if (peers != null) {
-            peerLink.set(peers);
+        peerTransport = openPeerTransport();
+        if (peerTransport != null) {
+            peerTransportReference.set(peerTransport);
         }
         tls = openTls(config.tls());
         SslContext sslContext = tls == null ? null : tls.context();
-        CallIngress intake = new CallIngress(config, engine, newIdentity(config.authentication()));
-        clientListener = new ClientListener(config, intake, new StatusPage(this::metrics), sslContext);
+        CallIngress ingress = new CallIngress(config, engine, newAuthenticator(config.authentication()));
+        clientListener = new ClientListener(config, ingress, new StatusPage(this::metrics), sslContext);
         grpcListener = config.grpc() == null
                 ? null
                 : new GrpcListener(
-                        config, intake, sslContext, netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
+                        config, ingress, sslContext, netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
     }
 
-    /** What the engine reads of a gateway's settings. */
+    /** Returns the engine's part of a gateway's configuration. */
     static EngineSettings engineSettings(GatewayConfig config) {
         ChainConfig chains = config.chains();
         return new EngineSettings(
@@ -141,7 +140,7 @@
                 : new MvStoreStepJournal(chains.resumeFile(), chains.resumeWindowNanos(), new SteadyWallClock());
     }
 
-    private UdpPeerTransport openPeers() throws InterruptedException {
+    private UdpPeerTransport openPeerTransport() throws InterruptedException {
         return config.peers().isEmpty()
                 ? null
                 : new UdpPeerTransport(
@@ -156,22 +155,23 @@
         }
     }
 
-    private static CallAuthenticator newIdentity(GatewayConfig.Authentication proof) {
-        if (proof == null) {
+    private static CallAuthenticator newAuthenticator(GatewayConfig.Authentication settings) {
+        if (settings == null) {
             return new CallAuthenticator(null, false);
         }
         try {
-            // a token's end is a point of Unix time: a step of the wall clock moves it by as much, until the clock is
-            // corrected
-            BearerTokens tokens =
-                    proof.tokenKey() == null ? null : new BearerTokens(proof.tokenKey(), System::currentTimeMillis);
-            return new CallAuthenticator(tokens, proof.required());
+            // Tokens expire at a Unix time, so they are checked against the wall clock itself. A step of that clock
+            // shifts every expiry until the clock is corrected.
+            BearerTokens tokens = settings.tokenKey() == null
+                    ? null
+                    : new BearerTokens(settings.tokenKey(), System::currentTimeMillis);
+            return new CallAuthenticator(tokens, settings.required());
         } catch (IOException e) {
             throw new GatewayStartException(e.getMessage(), e);
         }
     }
 
-    /** Warms up for at most as long as the settings say; optional, before {@link #start}. A stop ends it early. */
+    /** Warms up for at most the configured time. Optional, before {@link #start}. {@link #stop} ends it early. */
     public void warmUp() throws InterruptedException {
         lifecycleLock.lock();
         try {
@@ -190,37 +190,36 @@
                 warmUpResult.fastestCallMicros());
     }
 
-    /** The threads that carry all connections. */
+    /** Returns the event loops that serve all connections. */
     public EventLoopGroup eventLoops() {
         return netty.ioGroup();
     }
 
-    /** Runs something short on the engine's thread, after what it has before it; any thread. */
+    /** Runs a short task on the engine's thread, after the work already queued there. Safe for use by any thread. */
     public void runOnEngine(Runnable task) {
         engine.workerStates("", states -> task.run());
     }
 
-    /** What came of the warm-up. */
     WarmUp.Result warmUpResult() {
         return warmUpResult;
     }
 
     /**
-     * Starts from the endpoint snapshot: the engine, the endpoint source, then the listeners.
+     * Reads the endpoint snapshot, then starts the engine, the endpoint source and the listeners, in this order.
      *
-     * @return the address of the client listener; null where the gateway was stopped before
-     * @throws GatewayStartException where the gRPC port can't be bound
+     * @return the address of the client listener; null if the gateway was already stopped
+     * @throws GatewayStartException if the gRPC port cannot be bound
      */
     public InetSocketAddress start() throws InterruptedException {
         lifecycleLock.lock();
         try {
-            return stopping.get() ? null : startParts();
+            return stopping.get() ? null : startComponents();
         } finally {
             lifecycleLock.unlock();
         }
     }
 
-    private InetSocketAddress startParts() throws InterruptedException {
+    private InetSocketAddress startComponents() throws InterruptedException {
         endpointSnapshot.read().ifPresent(snapshot -> {
             LOG.info(
                     "gateway {}: endpoint snapshot of revision {} loaded, {} workers",
@@ -252,22 +251,22 @@
         LOG.info("gateway {} takes gRPC on {}", config.name(), grpcAddress); // scripts wait for these words
     }
 
-    /** Where clients connect; null before the start. */
+    /** Returns the address for HTTP clients; null before the start. */
     public InetSocketAddress address() {
         return address;
     }
 
-    /** Where gRPC clients connect; null before the start, or where no gRPC port is set. */
+    /** Returns the address for gRPC clients; null before the start or if no gRPC port is configured. */
     public InetSocketAddress grpcAddress() {
         return grpcAddress;
     }
 
-    /** The status page's keys and values. */
+    /** Returns the keys and values of the status page. */
     public Map<String, Long> metrics() {
         Map<String, Long> metrics = new LinkedHashMap<>(engine.metrics().snapshot());
         metrics.putAll(engine.chainMetrics());
         metrics.putAll(engine.admissionMetrics());
-        metrics.put("ready", 1L); // nobody could read it before
+        metrics.put("ready", 1L); // the page is served only after the start
         putWithDeprecatedKey(metrics, "warm_up_calls", "rehearsed_calls", warmUpResult.calls());
         putWithDeprecatedKey(metrics, "warm_up_ms", "rehearsed_ms", warmUpResult.durationMillis());
         metrics.put("open_calls", (long) engine.pendingCalls());
@@ -281,30 +280,30 @@
         return metrics;
     }
 
-    /** The former key stays beside the standard one for a version. */
+    /** Puts a metric under its key and, for one more version, under its deprecated key. */
     private static void putWithDeprecatedKey(Map<String, Long> metrics, String key, String deprecatedKey, long value) {
         metrics.put(deprecatedKey, value);
         metrics.put(key, value);
     }
 
-    /** The engine, for those who embed a gateway in a program of their own. */
+    /** Returns the engine, for programs that embed a gateway. */
     public DispatchEngine engine() {
         return engine;
     }
 
     /**
-     * Shuts down: accepts nothing more, completes what is in flight within the grace period of the settings, aborts the rest.
+     * Shuts down gracefully: accepts no more calls, completes calls in flight within the configured grace period and aborts the rest.
      *
-     * @return how many calls were aborted; 0 where it was stopped before
+     * @return the number of aborted calls; 0 if the gateway was already stopped
      */
     public int stop() throws InterruptedException {
         if (!stopping.compareAndSet(false, true)) {
             return 0;
         }
-        lifecycleLock.lock(); // a warm-up or a start in progress ends first
+        lifecycleLock.lock(); // waits until a running warm-up or start has ended
         try {
             if (engineThread.getState() == Thread.State.NEW) {
-                engineThread.start(); // never started: shuts down as any other
+                engineThread.start(); // an engine that never ran must run to be shut down
             }
             return shutDown();
         } finally {
@@ -314,13 +313,14 @@
 
     private int shutDown() throws InterruptedException {
         LOG.info("gateway {}: shutting down, {} calls in flight", config.name(), engine.pendingCalls());
-        clientListener.startDraining(); // first: clients go elsewhere, and what they already sent is still accepted
+        // first, so that clients move to other gateways while calls that they already sent are still accepted
+        clientListener.startDraining();
         if (grpcListener != null) {
             grpcListener.startDraining();
         }
         TimeUnit.MILLISECONDS.sleep(SHUTDOWN_LINGER_MILLIS);
         int abortedCalls = shutDownEngine();
-        closeParts();
+        closeComponents();
         LOG.info("gateway {}: stopped, {} calls aborted", config.name(), abortedCalls);
         return abortedCalls;
     }
@@ -336,7 +336,7 @@
         }
     }
 
-    private void closeParts() throws InterruptedException {
+    private void closeComponents() throws InterruptedException {
         endpointSource.close();
         endpointSnapshot.close();
         journal.close();
@@ -344,8 +344,8 @@
             recording.close();
         }
         workerTransport.close();
-        if (peers != null) {
-            peers.close();
+        if (peerTransport != null) {
+            peerTransport.close();
         }
         clientListener.close();
         if (grpcListener != null) {
--- a/gateway/src/main/java/wharfhinge/gateway/GatewayStartException.java
+++ b/gateway/src/main/java/wharfhinge/gateway/GatewayStartException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** A gateway can't start: a file or port of its settings can't be used. The message names which and why. */
+/** Thrown if a gateway cannot start because a configured file or port cannot be used. The message names it and the reason. */
 public final class GatewayStartException extends UncheckedIOException {
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/wharfhinge/gateway/JournaledStep.java
+++ b/gateway/src/main/java/wharfhinge/gateway/JournaledStep.java
@@ -10,11 +10,12 @@
 import wharfhinge.decisions.chain.StepAnswerCache;
 
 /**
- * A finished step as the journal stores it: the fields in this order, numbers big-endian, texts as modified UTF-8.
+ * A finished step of a chain, as the step journal stores it. The encoding has the components in this order except for the answer, which is
+ * its content type, its length and its body. Numbers are big-endian, strings modified UTF-8.
  *
- * @param recordedAtMillis the wall clock's reading
- * @param stepCount        how many steps its chain has
- * @param step             its index in the chain
+ * @param recordedAtMillis Unix time at which the step was recorded
+ * @param stepCount        number of steps in its chain
+ * @param step             index of the step in its chain
  */
 record JournaledStep(
         long recordedAtMillis,
@@ -26,7 +27,7 @@
         StepAnswerCache.Answer answer) {
     private static final int EXPECTED_HEADER_BYTES = 128;
 
-    /** The journal's key; a later record of the same step replaces the former. */
+    /** Returns the key in the journal's map. A later record of the same step replaces the earlier one. */
     String mapKey() {
         return tenant + '\n' + key + '\n' + step;
     }
@@ -44,7 +45,7 @@
             out.writeInt(answer.body().length);
             out.write(answer.body());
         } catch (IOException e) {
-            throw new UncheckedIOException("step " + step + " of a chain can't be encoded", e);
+            throw new UncheckedIOException("step " + step + " of a chain cannot be encoded", e);
         }
         return bytes.toByteArray();
     }
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Reads the first field alone. */
+    /** Decodes only {@code recordedAtMillis}. */
     static long recordedAtMillis(byte[] value) {
         return ByteBuffer.wrap(value).getLong();
     }
--- a/gateway/src/main/java/wharfhinge/gateway/MvStoreStepJournal.java
+++ b/gateway/src/main/java/wharfhinge/gateway/MvStoreStepJournal.java
@@ -19,16 +19,16 @@
 import wharfhinge.engine.StepJournal;
 
 /**
- * Finished steps in an MVStore file.
+ * Stores finished steps in an MVStore file.
  *
- * <p>A thread of its own writes and commits in batches and acknowledges each step only then, so that a chain continues
- * only from what a killed process would still find. Steps beyond the queue are left out, since a gateway that blocks is
- * worse than a step that runs again. So are steps while the file can't be written (ENOSPC, EIO): the file is opened again with
- * exponential backoff until the steps that could not be written are.
+ * <p>A writer thread commits steps in batches and acknowledges a step only after its commit, so that a chain continues only from answers
+ * that survive a killed process. If the queue is full, steps are not recorded: running a step again is better than blocking the engine.
+ * Steps are not recorded either while the file cannot be written (ENOSPC, EIO). The file is then reopened with exponential backoff until
+ * the steps of the failed batches are committed.
  *
- * <p>Ages are measured by a clock that runs on with the monotonic one. Between two processes only the wall clock is left, which may have been
- * stepped: a restored step counts as no older than half the window, so that a step forward doesn't drop what a retry may ask for; after a
- * step back steps stay on disk for so much longer.
+ * <p>Within a process, ages are measured by a clock that follows the monotonic one. Across a restart only the wall clock is available, and
+ * it may have been stepped. The age of a restored step is therefore limited to half the resume window, so that a forward step doesn't
+ * drop answers that a retry may need. A backward step keeps steps on disk longer, by its size.
  */
 final class MvStoreStepJournal implements StepJournal {
     private static final Logger LOG = LoggerFactory.getLogger(MvStoreStepJournal.class);
@@ -38,8 +38,8 @@
     private static final long MIN_REOPEN_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final long MAX_REOPEN_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-    /** A step on its way to the writer; {@code onRecorded} runs once it is committed or known to be lost. */
-    private record QueuedStep(String mapKey, byte[] value, Runnable onRecorded) {}
+    /** A step queued for the writer. {@code onCompleted} runs once the step is committed or its commit has failed. */
+    private record QueuedStep(String mapKey, byte[] value, Runnable onCompleted) {}
 
     private final Path file;
     private final LongSupplier wallMillis;
@@ -51,14 +51,15 @@
     private volatile MVMap<String, byte[]> steps;
     private volatile boolean closing;
     private volatile boolean writable = true;
-    private final List<QueuedStep> notWritten = new ArrayList<>(); // the writer's thread alone, as the next two
+    // confined to the writer thread, as are the next two
+    private final List<QueuedStep> uncommittedSteps = new ArrayList<>();
     private long reopenAtNanos;
     private long reopenDelayNanos = MIN_REOPEN_NANOS;
 
     /**
-     * Opens {@code file}; steps older than {@code windowNanos} are removed.
+     * Opens {@code file}. Steps older than {@code windowNanos} are removed.
      *
-     * @param wallMillis Unix time, which should run on with the monotonic clock
+     * @param wallMillis Unix time, which should advance with the monotonic clock
      */
     MvStoreStepJournal(Path file, long windowNanos, LongSupplier wallMillis) {
         this.file = file;
@@ -71,7 +72,7 @@
         writer.start();
     }
 
-    /** A damaged file is set aside: its steps run again, and the gateway serves. */
+    /** Opens the store. A damaged file is renamed and a new one is started, so that the gateway can serve; the lost steps run again. */
     private static MVStore open(Path file) {
         try {
             if (file.getParent() != null) {
@@ -107,16 +108,16 @@
             int stepCount,
             int step,
             StepAnswerCache.Answer answer,
-            Runnable onRecorded) {
+            Runnable onCompleted) {
         if (closing || !writable) {
             return false;
         }
         JournaledStep record = new JournaledStep(wallMillis.getAsLong(), tenant, key, digest, stepCount, step, answer);
-        QueuedStep queued = new QueuedStep(record.mapKey(), record.encode(), onRecorded);
+        QueuedStep queued = new QueuedStep(record.mapKey(), record.encode(), onCompleted);
         if (!queue.offer(queued)) {
             return false;
         }
-        return writable || !queue.remove(queued); // it may have begun to fail meanwhile
+        return writable || !queue.remove(queued); // a write may have failed since the check above
     }
 
     private void write() {
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Commits a batch, or removes what has expired where it is empty; then acknowledges it in any case. */
+    /** Commits a batch, or removes expired steps if the batch is empty. Acknowledges the batch even if it could not be committed. */
     private void commitOrSkip(List<QueuedStep> batch) {
         try {
             if (writable && batch.isEmpty()) {
@@ -152,7 +153,7 @@
                 store.commit();
             }
         } catch (MVStoreException e) {
-            notWritten.addAll(batch);
+            uncommittedSteps.addAll(batch);
             onWriteFailed(e);
         } finally {
             acknowledge(batch);
@@ -160,11 +161,11 @@
     }
 
     private static void acknowledge(List<QueuedStep> batch) {
-        batch.forEach(queued -> queued.onRecorded().run());
+        batch.forEach(queued -> queued.onCompleted().run());
         batch.clear();
     }
 
-    /** The store refuses everything from here on, so it is closed; what it committed is on disk. */
+    /** Closes the store, which accepts no operation after a failed write. Committed steps are on disk. */
     private void onWriteFailed(MVStoreException cause) {
         writable = false;
         reopenAtNanos = System.nanoTime() + reopenDelayNanos;
@@ -186,9 +187,9 @@
         try {
             reopened = openStore(file);
             MVMap<String, byte[]> reopenedSteps = reopened.openMap("steps");
-            notWritten.forEach(step -> reopenedSteps.put(step.mapKey(), step.value()));
+            uncommittedSteps.forEach(step -> reopenedSteps.put(step.mapKey(), step.value()));
             reopened.commit();
-            notWritten.clear();
+            uncommittedSteps.clear();
             steps = reopenedSteps;
             store = reopened;
             reopenDelayNanos = MIN_REOPEN_NANOS;
@@ -202,7 +203,10 @@
         }
     }
 
-    /** Keeps what was restored for a while, since its age may be wrong by a step of the wall clock before the start. */
+    /**
+     * Removes steps older than the window. Nothing is removed in the first half window after the start, since the ages of restored steps
+     * may be wrong by a step of the wall clock.
+     */
     private void removeExpired() {
         long now = wallMillis.getAsLong();
         if (now - startedAtMillis < windowMillis / 2) {
@@ -227,7 +231,7 @@
                         record.step(),
                         record.answer());
             } catch (IOException e) {
-                LOG.warn("step journal: a record can't be read, ignored", e);
+                LOG.warn("step journal: ignored a record that cannot be decoded", e);
             }
         }
     }
--- a/gateway/src/main/java/wharfhinge/gateway/NettyResources.java
+++ b/gateway/src/main/java/wharfhinge/gateway/NettyResources.java
@@ -16,7 +16,7 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import java.util.concurrent.TimeUnit;
 
-/** One gateway's event loops and the channel types that go with them: epoll where the platform has it, else NIO. */
+/** The event loops of one gateway and the matching channel types: epoll if the platform supports it, otherwise NIO. */
 final class NettyResources implements AutoCloseable {
     private static final int ACCEPTOR_THREADS = 1;
     private static final int IO_THREADS = 4;
@@ -30,12 +30,12 @@
                 threads, epoll ? EpollIoHandler.newFactory() : NioIoHandler.newFactory());
     }
 
-    /** Accepts connections. */
+    /** Returns the event loop that accepts connections. */
     EventLoopGroup acceptorGroup() {
         return acceptorGroup;
     }
 
-    /** Carries all connections. */
+    /** Returns the event loops that serve all connections. */
     EventLoopGroup ioGroup() {
         return ioGroup;
     }
@@ -52,7 +52,7 @@
         return epoll ? EpollDatagramChannel.class : NioDatagramChannel.class;
     }
 
-    /** Gives what was written last a moment to go out. */
+    /** Shuts the event loops down after a quiet period in which pending writes are flushed. */
     @Override
     public void close() {
         acceptorGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/gateway/src/main/java/wharfhinge/gateway/RecordingDispatcherFactory.java
+++ b/gateway/src/main/java/wharfhinge/gateway/RecordingDispatcherFactory.java
@@ -15,19 +15,19 @@
 import wharfhinge.policy.DispatcherSettings;
 
 /**
- * Makes dispatchers whose every event and action is captured on disk. The capture writer has a thread of its own, so the
- * event loop never waits for it; all methods but {@link #addMetricsTo} and {@link #close} are called by the event loop.
+ * Creates dispatchers whose events and actions are all captured on disk. The capture writer has its own thread, so the event loop never
+ * waits for it. All methods except {@link #addMetricsTo} and {@link #close} are called on the event loop.
  */
 final class RecordingDispatcherFactory implements DispatcherFactory, AutoCloseable {
     private static final int MIN_HASH_KEY_BYTES = 16;
 
     private final DispatcherFactory delegate;
     private final CaptureWriter writer;
-    private final Optional<byte[]> hashKey; // names are recorded in the clear without
-    private Recorder recorder; // of the newest dispatcher, null before the first
+    private final Optional<byte[]> hashKey; // if empty, names are recorded unhashed
+    private Recorder recorder; // of the newest dispatcher; null before the first
     private int incarnations;
 
-    /** Captures what {@code delegate}'s dispatchers see and do, as {@code settings} have it. */
+    /** Captures the events and actions of the dispatchers that {@code delegate} creates. */
     RecordingDispatcherFactory(DispatcherFactory delegate, String gateway, GatewayConfig.Capture settings) {
         this.delegate = delegate;
         try {
@@ -56,11 +56,11 @@
     @Override
     public Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
         return hashKey.isEmpty()
-                ? createRecorded(now, seed, settings, actions)
-                : HashedNames.before(this::createRecorded, hashKey.get(), now, seed, settings, actions);
+                ? createRecorder(now, seed, settings, actions)
+                : HashedNames.before(this::createRecorder, hashKey.get(), now, seed, settings, actions);
     }
 
-    private Dispatcher createRecorded(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
+    private Dispatcher createRecorder(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
         recorder = new Recorder(delegate::create, now, incarnations++, seed, settings, actions, writer);
         return recorder;
     }
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Any thread may ask. */
+    /** Adds the capture metrics. Safe for use by any thread. */
     void addMetricsTo(Map<String, Long> metrics) {
         CaptureWriter.Figures figures = writer.figures();
         metrics.put("capture_frames", figures.frames());
--- a/gateway/src/main/java/wharfhinge/gateway/UdpPeerTransport.java
+++ b/gateway/src/main/java/wharfhinge/gateway/UdpPeerTransport.java
@@ -14,8 +14,8 @@
 import wharfhinge.engine.PeerTransport;
 
 /**
- * Messages between gateways, one datagram each: {@code WHP1}, the sender's number in four bytes, then at most 256 bytes.
- * They may be lost or duplicated, and anyone who reaches the port can forge one: they are hints, never facts.
+ * Sends messages between gateways over UDP, one datagram each: {@code WHP1}, the sender's number in four bytes, then a payload of at most
+ * 256 bytes. A message may be lost, duplicated or forged by anyone who can reach the port, so receivers must treat it as a hint only.
  */
 final class UdpPeerTransport implements PeerTransport, AutoCloseable {
     private static final int MAGIC = 0x57485031; // WHP1
@@ -27,8 +27,12 @@
     private final Map<Integer, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Channel channel;
 
-    /** Listens on the address that {@code peers} has for {@code ownNumber}; {@code inbox} is called by an I/O thread. */
-    UdpPeerTransport(int ownNumber, Map<Integer, String> peers, NettyResources netty, BiConsumer<Integer, byte[]> inbox)
+    /** Binds the address of {@code ownNumber} in {@code peers}. {@code messageListener} is called on an I/O thread. */
+    UdpPeerTransport(
+            int ownNumber,
+            Map<Integer, String> peers,
+            NettyResources netty,
+            BiConsumer<Integer, byte[]> messageListener)
             throws InterruptedException {
         this.ownNumber = ownNumber;
         peers.forEach((number, address) -> addresses.put(number, parse(address)));
@@ -38,7 +42,7 @@
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                        receive(packet.content(), inbox);
+                        receive(packet.content(), messageListener);
                     }
                 })
                 .bind(addresses.getOrDefault(ownNumber, new InetSocketAddress("127.0.0.1", 0)))
@@ -51,8 +55,8 @@
         return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 
-    /** Anything that is not of a known peer is dropped. */
-    private void receive(ByteBuf datagram, BiConsumer<Integer, byte[]> inbox) {
+    /** Passes on the payload of a valid datagram from a configured peer. Drops any other datagram. */
+    private void receive(ByteBuf datagram, BiConsumer<Integer, byte[]> messageListener) {
         int bytes = datagram.readableBytes();
         if (bytes < HEADER_BYTES || bytes > HEADER_BYTES + MAX_PAYLOAD_BYTES || datagram.readInt() != MAGIC) {
             return;
@@ -61,7 +65,7 @@
         if (addresses.containsKey(sender) && sender != ownNumber) {
             byte[] payload = new byte[datagram.readableBytes()];
             datagram.readBytes(payload);
-            inbox.accept(sender, payload);
+            messageListener.accept(sender, payload);
         }
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUp.java
@@ -26,18 +26,18 @@
 import wharfhinge.protocol.RosterEntry;
 
 /**
- * Sends calls through a listener, an engine and connections of its own, on loopback, to workers of its own, until the JIT
- * compiler has what it needs or the time is over.
+ * Warms up the JIT compiler: sends calls over loopback through a temporary listener, engine and transport to temporary workers, until calls
+ * get no faster or the time limit is reached.
  *
- * <p>A new process runs its first thousands of calls some ten times slower; under full load it would reject and be late
- * for seconds. Nothing reaches a worker of the fleet, the endpoint service, a peer, a journal or a capture, and the real
- * engine learns nothing. Calls come over HTTP/1.1 without TLS: TLS, HTTP/2 and gRPC are not warmed up.
+ * <p>In a new process the first thousands of calls are about ten times slower. Under full load the gateway would reject calls and exceed
+ * deadlines for seconds. The warm-up contacts no real worker, endpoint service or peer, writes no journal or capture, and doesn't change
+ * the state of the real engine. It uses HTTP/1.1 without TLS; TLS, HTTP/2 from clients and gRPC are not warmed up.
  */
 final class WarmUp {
     private static final int WORKERS = 3;
     private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
 
-    /** How many calls were sent, how long it took, and the time between two answers in the fastest thousand. */
+    /** The number of calls, the duration of the warm-up and the mean time per call in the fastest thousand calls. */
     record Result(long calls, long durationMillis, long fastestCallMicros) {
         static final Result SKIPPED = new Result(0, 0, 0);
     }
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Warms up on the caller's thread; {@code netty} stays the caller's.
+     * Warms up on the caller's thread. Doesn't close {@code netty}.
      *
-     * @param maxNanos bounds it; 0 skips it
-     * @param stopped  ends it early
+     * @param maxNanos time limit; 0 skips the warm-up
+     * @param stopped  ends the warm-up early once it returns true
      */
     static Result run(GatewayConfig config, long maxNanos, NettyResources netty, BooleanSupplier stopped)
             throws InterruptedException {
@@ -71,35 +71,35 @@
     }
 
     private void run() throws InterruptedException {
-        List<WarmUpWorker> fleet = new ArrayList<>();
+        List<WarmUpWorker> workers = new ArrayList<>();
         try (HttpWorkerTransport transport =
                 new HttpWorkerTransport(config, netty.ioGroup(), netty.channelType(), System::nanoTime)) {
             for (int i = 0; i < WORKERS; i++) {
-                fleet.add(new WarmUpWorker(netty));
+                workers.add(new WarmUpWorker(netty));
             }
-            run(newEngine(transport), fleet);
+            run(newEngine(transport), workers);
         } finally {
-            fleet.forEach(WarmUpWorker::close);
+            workers.forEach(WarmUpWorker::close);
         }
     }
 
-    private void run(DispatchEngine engine, List<WarmUpWorker> fleet) throws InterruptedException {
+    private void run(DispatchEngine engine, List<WarmUpWorker> workers) throws InterruptedException {
         Thread engineThread = new Thread(engine, "warm-up");
         engineThread.setDaemon(true);
         engineThread.start();
-        engine.onEndpointUpdate(new EndpointUpdate(EndpointUpdateMode.FULL, 1, endpoints(fleet)));
-        CallIngress intake = new CallIngress(config, engine, new CallAuthenticator(null, false));
-        ClientListener listener = new ClientListener(config, intake, new StatusPage(Map::of), null);
+        engine.onEndpointUpdate(new EndpointUpdate(EndpointUpdateMode.FULL, 1, endpoints(workers)));
+        CallIngress ingress = new CallIngress(config, engine, new CallAuthenticator(null, false));
+        ClientListener listener = new ClientListener(config, ingress, new StatusPage(Map::of), null);
         InetSocketAddress address = listener.listen(netty.acceptorGroup(), netty.ioGroup(), netty.serverChannelType());
         new WarmUpClients(config.dispatcherSettings().classes(), address.getPort(), progress).run();
         listener.startDraining();
         try {
             engine.shutdown(0).get(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            engineThread.interrupt(); // it serves nobody
+            engineThread.interrupt(); // safe, since no client depends on this engine
         }
         listener.close();
-        // the shutdown completes before the thread's last step
+        // the shutdown's future completes slightly before the thread ends
         engineThread.join(TimeUnit.SECONDS.toMillis(SHUTDOWN_TIMEOUT_SECONDS));
     }
 
@@ -115,9 +115,9 @@
                 System::nanoTime);
     }
 
-    private List<RosterEntry> endpoints(List<WarmUpWorker> fleet) {
+    private List<RosterEntry> endpoints(List<WarmUpWorker> workers) {
         DispatcherSettings settings = config.dispatcherSettings();
-        return fleet.stream()
+        return workers.stream()
                 .map(worker -> new RosterEntry(
                         worker.endpoint(),
                         settings.zone(),
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUpClients.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUpClients.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import wharfhinge.policy.RequestClass;
 
-/** The clients of a warm-up: a thread and an HTTP/1.1 connection each, one call after the other. */
+/** The clients of a warm-up. Each has a thread and an HTTP/1.1 connection and sends one call after the other. */
 final class WarmUpClients {
     private static final int CLIENTS = 8;
     private static final int FUNCTIONS = 64;
@@ -22,14 +22,14 @@
     private final int port;
     private final WarmUpProgress progress;
 
-    /** Calls the gateway on that port of the loopback address. */
+    /** Creates clients of the gateway at {@code port} of the loopback address. */
     WarmUpClients(List<RequestClass> classes, int port, WarmUpProgress progress) {
         this.classes = classes;
         this.port = port;
         this.progress = progress;
     }
 
-    /** Returns once all clients have ended. */
+    /** Runs the clients and returns once all have ended. */
     void run() throws InterruptedException {
         List<Thread> threads = new ArrayList<>();
         progress.start();
@@ -55,7 +55,7 @@
                 skipResponse(in);
             }
         } catch (IOException e) {
-            return; // one client fewer; the progress bounds the rest
+            return; // the other clients go on, within the warm-up's time limit
         }
     }
 
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUpProgress.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUpProgress.java
@@ -5,18 +5,19 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Decides when a warm-up has done enough: once several thousands of calls in a row bring no faster thousand, its time is
- * over, or the gateway is stopped. Shared by all clients.
+ * Decides when a warm-up ends: when calls get no faster over several chunks of a thousand calls, when the time limit is reached, or when
+ * the gateway is stopped. Shared by all clients.
  */
 final class WarmUpProgress {
     private static final int CHUNK_CALLS = 1000;
     private static final int MAX_CHUNKS_WITHOUT_GAIN = 10;
-    private static final double GAIN_RATIO = 0.95; // of the fastest chunk's time: counts as faster
+    private static final double GAIN_RATIO =
+            0.95; // a chunk counts as faster below this share of the fastest chunk's duration
 
     private final long deadline;
     private final BooleanSupplier stopped;
     private final AtomicLong calls = new AtomicLong();
-    private long chunkStartedAt; // this and what follows is guarded by this
+    private long chunkStartedAt; // guarded by this, as are the next two
     private long fastestChunkNanos = Long.MAX_VALUE;
     private int chunksWithoutGain;
 
@@ -29,7 +30,7 @@
         chunkStartedAt = System.nanoTime();
     }
 
-    /** Counts a call and gives its number. */
+    /** Counts a call and returns its number, starting at 0. */
     long nextCall() {
         return calls.getAndIncrement();
     }
@@ -38,7 +39,7 @@
         return calls.get();
     }
 
-    /** Whether the call of that number should still be sent. */
+    /** Returns whether the call with this number should still be sent. */
     synchronized boolean shouldContinue(long callNumber) {
         long now = System.nanoTime();
         if (callNumber % CHUNK_CALLS == CHUNK_CALLS - 1) {
@@ -50,7 +51,7 @@
         return chunksWithoutGain < MAX_CHUNKS_WITHOUT_GAIN && now < deadline && !stopped.getAsBoolean();
     }
 
-    /** The time between two answers in the fastest chunk; 0 where none was complete. */
+    /** Returns the mean time per call in the fastest chunk; 0 if no chunk is complete. */
     synchronized long fastestCallMicros() {
         return fastestChunkNanos == Long.MAX_VALUE ? 0 : TimeUnit.NANOSECONDS.toMicros(fastestChunkNanos / CHUNK_CALLS);
     }
--- a/gateway/src/main/java/wharfhinge/gateway/WarmUpWorker.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUpWorker.java
@@ -22,15 +22,15 @@
 import wharfhinge.protocol.CopyNote;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** A worker of a warm-up: answers every request at once, on a free port of the loopback address. */
+/** A worker for the warm-up. Answers each request immediately, on a free port of the loopback address. */
 final class WarmUpWorker implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 1 << 16;
 
-    private final Channel listening;
+    private final Channel serverChannel;
 
     WarmUpWorker(NettyResources netty) throws InterruptedException {
         try {
-            listening = new ServerBootstrap()
+            serverChannel = new ServerBootstrap()
                     .group(netty.acceptorGroup(), netty.ioGroup())
                     .channel(netty.serverChannelType())
                     .childHandler(new ConnectionInitializer())
@@ -39,17 +39,18 @@
                     .channel();
         } catch (RuntimeException e) {
             throw new GatewayStartException(
-                    "no port for the warm-up: " + e.getMessage(), new IOException(e.getMessage(), e));
+                    "warm-up worker: cannot bind a loopback port: " + e.getMessage(),
+                    new IOException(e.getMessage(), e));
         }
     }
 
     String endpoint() {
-        return "127.0.0.1:" + ((InetSocketAddress) listening.localAddress()).getPort();
+        return "127.0.0.1:" + ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
     @Override
     public void close() {
-        listening.close();
+        serverChannel.close();
     }
 
     private static final class ConnectionInitializer extends ChannelInitializer<Channel> {
@@ -70,11 +71,11 @@
                     .addLast(
                             new Http2StreamFrameToHttpObjectCodec(true),
                             new HttpObjectAggregator(MAX_BODY_BYTES),
-                            new RespondServed());
+                            new ServedResponseHandler());
         }
     }
 
-    private static final class RespondServed extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class ServedResponseHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             FullHttpResponse response =
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointListView.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointListView.java
@@ -5,29 +5,29 @@
 import wharfhinge.policy.EndpointUpdateMode;
 import wharfhinge.protocol.RosterFrame;
 
-/** The revision of the endpoint list that a gateway holds; decides what each frame of the stream means. Not thread-safe. */
+/** Tracks the revision of the endpoint list that a gateway holds, and decides the effect of each frame of the stream. Not thread-safe. */
 final class EndpointListView {
     private static final long NO_REVISION = -1;
 
     private long revision = NO_REVISION;
 
-    /** What a frame leads to: an update to pass on, a full list to request, or neither where it is nothing new. */
+    /** The effect of a frame: an update to deliver, a request for the full list, or neither if the frame has nothing new. */
     record FrameResult(Optional<EndpointUpdate> update, boolean requestsFullList) {
         private static final FrameResult UNCHANGED = new FrameResult(Optional.empty(), false);
         private static final FrameResult REQUEST_FULL_LIST = new FrameResult(Optional.empty(), true);
     }
 
-    /** Whether any list is held. */
+    /** Returns whether any list has been received. */
     boolean hasRevision() {
         return revision != NO_REVISION;
     }
 
-    /** The revision held, or -1 where there is none. */
+    /** Returns the held revision, or -1 if no list has been received. */
     long revision() {
         return revision;
     }
 
-    /** Older and repeated revisions change nothing; a gap requests the full list. */
+    /** Applies a frame. Older and repeated revisions change nothing; a gap between revisions requests the full list. */
     FrameResult apply(RosterFrame frame) {
         return switch (frame.kind()) {
             case BEAT -> isNewer(frame) ? FrameResult.REQUEST_FULL_LIST : FrameResult.UNCHANGED;
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointSnapshotCodec.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointSnapshotCodec.java
@@ -11,18 +11,18 @@
 import wharfhinge.protocol.RosterFrame;
 
 /**
- * The form of an endpoint list on disk: a line with magic, write time and checksum, then the list as docs/protocol-roster.md
- * has it. The checksum is CRC-32C over the list, in hexadecimal.
+ * Encodes and decodes the endpoint snapshot file: a header line with magic, write time and checksum, then the endpoint list in the format
+ * of docs/protocol-roster.md. The checksum is the CRC-32C of the list, in hexadecimal.
  */
 final class EndpointSnapshotCodec {
     private static final String MAGIC = "wharfhinge-list 1";
     private static final int HEADER_FIELDS = 4;
-    private static final int WRITTEN_AT = 2;
-    private static final int CHECKSUM = 3;
+    private static final int WRITTEN_AT_FIELD = 2;
+    private static final int CHECKSUM_FIELD = 3;
 
     private EndpointSnapshotCodec() {}
 
-    /** A list and the wall clock's reading when it was written. */
+    /** An endpoint list and the Unix time at which it was written. */
     record Snapshot(long writtenAtMillis, RosterFrame list) {}
 
     static byte[] encode(Snapshot snapshot) {
@@ -47,10 +47,10 @@
             throw new MalformedSnapshotException("first line is not '" + MAGIC + "', a time and a checksum");
         }
         int listStart = headerEnd + 1;
-        if (!header[CHECKSUM].equals(checksum(bytes, listStart))) {
-            throw new MalformedSnapshotException("checksum mismatch: torn or damaged");
+        if (!header[CHECKSUM_FIELD].equals(checksum(bytes, listStart))) {
+            throw new MalformedSnapshotException("checksum mismatch: truncated or corrupted");
         }
-        return new Snapshot(writtenAtMillis(header[WRITTEN_AT]), list(bytes, listStart));
+        return new Snapshot(writtenAtMillis(header[WRITTEN_AT_FIELD]), list(bytes, listStart));
     }
 
     private static long writtenAtMillis(String field) throws MalformedSnapshotException {
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointSnapshotFile.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointSnapshotFile.java
@@ -23,21 +23,21 @@
 import wharfhinge.protocol.RosterFrame;
 
 /**
- * Keeps the newest endpoint list in a file, so that a restarted gateway can serve before the endpoint service answers.
+ * Stores the newest endpoint list in a file, so that a restarted gateway can serve before the endpoint service answers.
  *
- * <p>Each list is written to a file beside it, forced to disk and renamed over, so that a crash leaves the old or the new
- * one. A thread of its own writes; a list that a newer one has overtaken is never written. A write that fails (ENOSPC, EIO) is
- * repeated with the newest list until it succeeds. The state is guarded by this object's monitor, and any thread may call.
+ * <p>A list is written to a temporary file, synced to disk and renamed over the snapshot, so that a crash leaves the old list or the new
+ * one. A writer thread always writes the newest list and skips superseded ones. A failed write (ENOSPC, EIO) is retried with the newest
+ * list until it succeeds. Thread-safe: the list is guarded by this object's monitor.
  *
- * <p>Ages are those of a clock that runs on with the monotonic one. Between two processes only the wall clock is left: if it was stepped
- * forward, workers that had just started count as warm until the endpoint service answers.
+ * <p>Within a process, ages are measured by a clock that follows the monotonic one. Across a restart only the wall clock is available. If
+ * it was stepped forward, workers that had just started count as warm until the endpoint service answers.
  */
 public final class EndpointSnapshotFile implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointSnapshotFile.class);
     private static final long CLOSE_TIMEOUT_SECONDS = 2;
     private static final long RETRY_MILLIS = 1000;
 
-    /** An entry and when it was received, by the wall clock; its age on disk counts from then. */
+    /** An entry and the Unix time at which it was received; a stored age adds the time since then. */
     private record ReceivedEntry(RosterEntry entry, long receivedAtMillis) {}
 
     private final Path file;
@@ -46,10 +46,10 @@
     private final AtomicBoolean writeScheduled = new AtomicBoolean();
     private final Map<String, ReceivedEntry> entries = new LinkedHashMap<>();
     private long revision;
-    private boolean isFailing; // the writer's thread alone
-    private volatile int failedWrites; // written by the writer's thread alone
+    private boolean isFailing; // confined to the writer thread
+    private volatile int failedWrites; // written only by the writer thread
 
-    /** Keeps the list in {@code file}; {@code wallMillis} is Unix time, which should run on with the monotonic clock. */
+    /** Stores the list in {@code file}. {@code wallMillis} is Unix time, which should advance with the monotonic clock. */
     public EndpointSnapshotFile(Path file, LongSupplier wallMillis) {
         this.file = file;
         this.wallMillis = wallMillis;
@@ -60,7 +60,7 @@
         });
     }
 
-    /** The stored list, its entries aged by the time since it was written; empty where there is none or it is damaged. */
+    /** Reads the stored list and adds the time since the write to the entries' ages. Empty if the file is missing or malformed. */
     public synchronized Optional<EndpointUpdate> read() {
         if (!Files.exists(file)) {
             return Optional.empty();
@@ -68,11 +68,11 @@
         try {
             EndpointSnapshotCodec.Snapshot stored = EndpointSnapshotCodec.decode(Files.readAllBytes(file));
             long elapsedMillis = Math.max(0, wallMillis.getAsLong() - stored.writtenAtMillis());
-            List<RosterEntry> aged = stored.list().entries().stream()
-                    .map(entry -> aged(entry, elapsedMillis))
+            List<RosterEntry> agedEntries = stored.list().entries().stream()
+                    .map(entry -> withElapsedAge(entry, elapsedMillis))
                     .toList();
             EndpointUpdate update = new EndpointUpdate(
-                    EndpointUpdateMode.SNAPSHOT, stored.list().revision(), aged);
+                    EndpointUpdateMode.SNAPSHOT, stored.list().revision(), agedEntries);
             apply(update);
             return Optional.of(update);
         } catch (IOException | MalformedSnapshotException e) {
@@ -110,7 +110,7 @@
         }
     }
 
-    private static RosterEntry aged(RosterEntry entry, long elapsedMillis) {
+    private static RosterEntry withElapsedAge(RosterEntry entry, long elapsedMillis) {
         long ageMillis = entry.ageMillis() == RosterEntry.UNKNOWN_AGE
                 ? RosterEntry.UNKNOWN_AGE
                 : entry.ageMillis() + elapsedMillis;
@@ -125,14 +125,14 @@
                 entry.boot());
     }
 
-    /** Encodes the newest list; an update from here on schedules the next write. */
+    /** Encodes the newest list. Updates from now on schedule another write. */
     private synchronized byte[] encode() {
         writeScheduled.set(false);
         long now = wallMillis.getAsLong();
-        List<RosterEntry> aged = entries.values().stream()
-                .map(received -> aged(received.entry(), Math.max(0, now - received.receivedAtMillis())))
+        List<RosterEntry> agedEntries = entries.values().stream()
+                .map(received -> withElapsedAge(received.entry(), Math.max(0, now - received.receivedAtMillis())))
                 .toList();
-        RosterFrame list = new RosterFrame(RosterFrame.Kind.ALL, 0, revision, aged);
+        RosterFrame list = new RosterFrame(RosterFrame.Kind.ALL, 0, revision, agedEntries);
         return EndpointSnapshotCodec.encode(new EndpointSnapshotCodec.Snapshot(now, list));
     }
 
@@ -143,7 +143,7 @@
             if (file.getParent() != null) {
                 Files.createDirectories(file.getParent());
             }
-            writeForced(temporary, bytes);
+            writeAndSync(temporary, bytes);
             Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
             onWritten();
         } catch (IOException e) {
@@ -167,12 +167,12 @@
         scheduleWrite(RETRY_MILLIS);
     }
 
-    /** How many writes have failed; any thread. */
+    /** Returns the number of failed writes. Safe for use by any thread. */
     int failedWrites() {
         return failedWrites;
     }
 
-    private static void writeForced(Path target, byte[] bytes) throws IOException {
+    private static void writeAndSync(Path target, byte[] bytes) throws IOException {
         try (FileChannel channel = FileChannel.open(
                 target, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer remaining = ByteBuffer.wrap(bytes);
@@ -183,7 +183,7 @@
         }
     }
 
-    /** Finishes a scheduled write, or a retry that is due within a second, and ends the writer. */
+    /** Completes a scheduled write or retry, within a time-out, and stops the writer. */
     @Override
     public void close() {
         writer.shutdown();
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/HttpEndpointSource.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/HttpEndpointSource.java
@@ -38,17 +38,17 @@
 import wharfhinge.protocol.RosterProtocol;
 
 /**
- * Watches the endpoint service (docs/protocol-roster.md) over HTTP: one stream of revisions, opened again after a backoff
- * whenever it ends, is silent or is malformed. While there is no stream, the list held stays valid.
+ * Watches the endpoint service (docs/protocol-roster.md) over HTTP. It reads one stream of revisions and reconnects after a backoff if the
+ * stream ends, times out or is malformed. Without a stream, the list last received stays valid.
  *
- * <p>All state is confined to one event loop; the public methods only enqueue there.
+ * <p>All state is confined to one event loop, on which the public methods enqueue their work.
  */
 public final class HttpEndpointSource implements EndpointSource {
     private static final Logger LOG = LoggerFactory.getLogger(HttpEndpointSource.class);
     private static final int CONNECT_TIMEOUT_MILLIS = 1000;
     private static final int MAX_BACKOFF_DOUBLINGS = 20;
 
-    /** What a stream begins with. */
+    /** The content that a stream is requested to start with. */
     private enum StreamStart {
         FULL_LIST,
         CHANGES_SINCE_REVISION
@@ -60,13 +60,13 @@
     private final Random random;
     private final EndpointListView view = new EndpointListView();
     private Consumer<EndpointUpdate> listener = update -> {};
-    private Channel channel; // null where there is none
+    private Channel channel; // null without a stream
     private boolean watching;
-    private boolean responseOwed; // to watch or refresh
+    private boolean responseExpected; // by watch or refresh
     private StreamStart streamStart = StreamStart.FULL_LIST;
     private int consecutiveFailures;
 
-    /** Uses one event loop of {@code group}, which the caller still owns. */
+    /** Uses one event loop of {@code group}, which the caller shuts down. */
     public HttpEndpointSource(GatewayConfig config, EventLoopGroup group, Class<? extends Channel> type) {
         this.config = config;
         this.eventLoop = group.next();
@@ -90,14 +90,14 @@
         });
     }
 
-    /** A new subscription is answered by the full list. */
+    /** {@inheritDoc} A new watch starts with the full list. */
     @Override
     public void watch(boolean enabled) {
         eventLoop.execute(() -> {
             watching = enabled;
             closeStream();
             if (enabled) {
-                responseOwed = true;
+                responseExpected = true;
                 long delayNanos = consecutiveFailures == 0 ? 0 : nextBackoffNanos();
                 eventLoop.schedule(() -> connect(StreamStart.FULL_LIST), delayNanos, TimeUnit.NANOSECONDS);
             }
@@ -107,12 +107,12 @@
     @Override
     public void refresh() {
         eventLoop.execute(() -> {
-            responseOwed = true;
+            responseExpected = true;
             if (channel == null) {
                 connect(StreamStart.FULL_LIST);
             } else {
                 streamStart = StreamStart.FULL_LIST;
-                channel.close(); // the next stream begins with the full list
+                channel.close(); // the next stream starts with the full list
             }
         });
     }
@@ -121,7 +121,7 @@
     public void close() {
         eventLoop.execute(() -> {
             watching = false;
-            responseOwed = false;
+            responseExpected = false;
             closeStream();
         });
     }
@@ -146,8 +146,8 @@
                     }
                 })
                 .connect();
-        // without a socket (EMFILE, ENFILE, ENOBUFS) there is no channel to close, and the failure is told on another
-        // thread
+        // If no socket can be created (EMFILE, ENFILE, ENOBUFS), there is no channel to close, and the failure is
+        // reported on another thread.
         channel = connecting.channel().isRegistered() ? connecting.channel() : null;
         connecting.addListener(connected -> {
             if (!connected.isSuccess()) {
@@ -162,12 +162,12 @@
     }
 
     private void initPipeline(Channel newChannel) {
-        ReadTimeoutHandler silence =
+        ReadTimeoutHandler readTimeout =
                 new ReadTimeoutHandler(config.endpointSource().silenceTimeoutNanos(), TimeUnit.NANOSECONDS);
-        newChannel.pipeline().addLast(new HttpClientCodec(), silence, new StreamHandler());
+        newChannel.pipeline().addLast(new HttpClientCodec(), readTimeout, new StreamHandler());
     }
 
-    /** Doubles with each failure up to the limit set; jitter takes up to half of it away. */
+    /** Returns an exponential backoff up to the configured maximum, reduced by a random share of up to one half. */
     private long nextBackoffNanos() {
         int doublings = Math.min(MAX_BACKOFF_DOUBLINGS, Math.max(0, consecutiveFailures - 1));
         long exponentialNanos = config.endpointSource().minReconnectNanos() << doublings;
@@ -178,8 +178,8 @@
     private void onStreamEnded() {
         channel = null;
         consecutiveFailures++;
-        if (responseOwed && config.dispatcherSettings().discovery() == Discovery.ON_REQUEST) {
-            responseOwed = false;
+        if (responseExpected && config.dispatcherSettings().discovery() == Discovery.ON_REQUEST) {
+            responseExpected = false;
             watching = false;
             listener.accept(new EndpointUpdate(EndpointUpdateMode.REJECTED, Math.max(0, view.revision()), List.of()));
         } else if (watching) {
@@ -205,7 +205,7 @@
                 + config.endpointSource().port();
     }
 
-    /** One stream: sends the request once connected, decodes frames, and reports the stream's end. */
+    /** Handles one stream: sends the request, decodes the frames and reports the end of the stream. */
     private final class StreamHandler extends SimpleChannelInboundHandler<HttpObject> {
         private final RosterDecoder decoder = new RosterDecoder();
 
@@ -248,10 +248,10 @@
                 ctx.close();
             }
             result.update().ifPresent(update -> {
-                responseOwed = false;
+                responseExpected = false;
                 listener.accept(update);
                 if (!watching) {
-                    ctx.close(); // a single response was requested
+                    ctx.close(); // only one response was requested
                 }
             });
         }
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/MalformedSnapshotException.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/MalformedSnapshotException.java
@@ -1,6 +1,6 @@
 package wharfhinge.gateway.discovery;
 
-/** A stored endpoint list is torn or damaged; the message says what was found. */
+/** Thrown if an endpoint snapshot file is truncated or corrupted. The message says what was found. */
 final class MalformedSnapshotException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/wharfhinge/gateway/discovery/package-info.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** Where the gateway learns of its workers: the endpoint service's stream, and the snapshot of it that outlives a restart. */
+/** Endpoint discovery: the stream of the endpoint service and the endpoint snapshot file, which is read after a restart. */
 package wharfhinge.gateway.discovery;
--- a/gateway/src/main/java/wharfhinge/gateway/front/CallIngress.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/CallIngress.java
@@ -13,38 +13,38 @@
 import wharfhinge.protocol.ClientProtocol;
 import wharfhinge.protocol.ProtocolException;
 
-/** What every client call needs, whichever protocol it came by: its class, its tenant, the engine. Thread-safe. */
+/** The services that HTTP and gRPC calls share: request classes, authentication, the chain codec and the engine. Thread-safe. */
 public final class CallIngress {
     private final DispatchEngine engine;
     private final Map<String, RequestClass> classes = new LinkedHashMap<>();
-    private final RequestClass defaultClass; // null where there are several
+    private final RequestClass defaultClass; // null if there are several classes
     private final ChainJsonCodec chains;
-    private final CallAuthenticator identity;
+    private final CallAuthenticator authenticator;
 
-    /** Resolves classes and tenants as {@code config} has them. */
-    public CallIngress(GatewayConfig config, DispatchEngine engine, CallAuthenticator identity) {
+    /** Creates an ingress for the request classes and chains of {@code config}. */
+    public CallIngress(GatewayConfig config, DispatchEngine engine, CallAuthenticator authenticator) {
         this.engine = engine;
-        this.identity = identity;
+        this.authenticator = authenticator;
         List<RequestClass> all = config.dispatcherSettings().classes();
-        all.forEach(c -> classes.put(c.name(), c));
+        all.forEach(requestClass -> classes.put(requestClass.name(), requestClass));
         defaultClass = all.size() == 1 ? all.get(0) : null;
         chains = new ChainJsonCodec(classes, defaultClass, config.chains());
     }
 
-    /** Where calls are submitted. */
+    /** Returns the engine to which calls are submitted. */
     public DispatchEngine engine() {
         return engine;
     }
 
-    /** Reads and writes chains. */
+    /** Returns the codec of chains. */
     public ChainJsonCodec chains() {
         return chains;
     }
 
     /**
-     * A call's class; the only one where it names none.
+     * Returns the class of a call. A call that names none gets the configured class, if there is only one.
      *
-     * @throws ProtocolException where there is no such class
+     * @throws ProtocolException if the class is unknown, or if none is named and several are configured
      */
     public RequestClass classOf(CallHead head) throws ProtocolException {
         RequestClass requestClass = head.requestClass() == null ? defaultClass : classes.get(head.requestClass());
@@ -55,12 +55,13 @@
         return requestClass;
     }
 
-    /** The tenant of a call, see {@link CallAuthenticator#authenticate}. */
-    public CallAuthenticator.Authentication authenticate(SSLSession session, String authorization, String claimed) {
-        return identity.authenticate(session, authorization, claimed);
+    /** Authenticates a call, see {@link CallAuthenticator#authenticate}. */
+    public CallAuthenticator.Authentication authenticate(
+            SSLSession session, String authorization, String claimedTenant) {
+        return authenticator.authenticate(session, authorization, claimedTenant);
     }
 
-    /** What a client receives for a call that the engine did not accept. */
+    /** Returns the response metadata of a call that the engine did not accept. */
     public static ResponseSink.ResponseMetadata rejectedMetadata(DispatchEngine.SubmissionResult submission) {
         return new ResponseSink.ResponseMetadata(
                 null, List.of("not-taken:" + submission.status().word()), 0, false);
--- a/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
@@ -34,7 +34,7 @@
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.CallHead;
 
-/** Reads chains and writes their answers as JSON; chain.schema.json has the form. Thread-safe. */
+/** Reads chains and writes their answers as JSON. The schema of a chain is chain.schema.json. Thread-safe. */
 public final class ChainJsonCodec {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final int MAX_NESTING = 16;
@@ -60,7 +60,11 @@
     private final RequestClass defaultClass;
     private final ChainConfig config;
 
-    /** Reads chains of these classes, whose steps are of {@code only} where they name none; null where they must. */
+    /**
+     * Creates a codec for chains whose steps are of {@code classes}.
+     *
+     * @param defaultClass the class of steps that name none; if null, each step must name one
+     */
     public ChainJsonCodec(Map<String, RequestClass> classes, RequestClass defaultClass, ChainConfig config) {
         this.classes = classes;
         this.defaultClass = defaultClass;
@@ -69,25 +73,25 @@
     }
 
     /**
-     * Reads and writes a sample, so that the JSON library's classes are loaded before a client waits for them: a chain that
-     * times out is answered between its timer and its deadline, and loading takes longer than that.
+     * Loads the classes of the JSON library by reading and writing a sample chain. Loading them with the first chain would delay its
+     * answer: a chain that times out is answered between its timer and its deadline, and class loading takes longer than that.
      */
     private static void loadCodecClasses() {
         ChainPlan.Step step = new ChainPlan.Step("a", "f", "c", Effect.IDEMPOTENT, List.of(), 0, 0);
         StepAnswer answer = new StepAnswer("w", 1, false, new byte[0], null);
-        ChainResult end = new ChainResult(ChainResult.Kind.SERVED, "", List.of(ChainResult.StepState.SERVED));
+        ChainResult result = new ChainResult(ChainResult.Kind.SERVED, "", List.of(ChainResult.StepState.SERVED));
         try {
             ChainPlan plan = ChainPlan.of(List.of(step));
-            for (int i = 0; i < 2; i++) { // the second time takes the way through the library's caches
+            for (int i = 0; i < 2; i++) { // the second pass runs with the library's caches filled
                 parse(SAMPLE_CHAIN.getBytes(StandardCharsets.UTF_8));
-                write(plan, end, List.of(answer));
+                write(plan, result, List.of(answer));
             }
         } catch (InvalidChainException | InvalidPlanException e) {
             throw new IllegalStateException("the sample chain is rejected", e);
         }
     }
 
-    /** A chain is invalid; the message has a line for each fault, with its place. */
+    /** Thrown if a chain is invalid. The message has one line for each fault, with its JSON path. */
     public static final class InvalidChainException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -96,16 +100,16 @@
         }
     }
 
-    /** Reads a chain. */
+    /** Parses and validates a chain. {@code gatewayId} is the id of a chain that has none. */
     public ChainCall read(byte[] body, String gatewayId, long receivedAt, ChainCall.Listener listener)
             throws InvalidChainException {
         JsonNode root = parse(body);
-        String tenant = text(root, "tenant", null);
-        String id = text(root, "id", gatewayId);
+        String tenant = textOrDefault(root, "tenant", null);
+        String id = textOrDefault(root, "id", gatewayId);
         long deadlineNanos = root.path("deadline_ms").asLong(0) * NANOS_PER_MILLI;
         StepReader steps = new StepReader(id, tenant);
         if (root.has("chain")) {
-            ChainConfig.Named named = named(root.get("chain").asText());
+            ChainConfig.Named named = findNamedChain(root.get("chain").asText());
             deadlineNanos = deadlineNanos == 0 ? named.latencyObjectiveNanos() : deadlineNanos;
             named.steps().forEach(steps::add);
         } else {
@@ -116,10 +120,10 @@
                     ChainPlan.of(steps.plan),
                     steps.heads,
                     steps.inputs,
-                    text(root, "input", "").getBytes(StandardCharsets.UTF_8),
+                    textOrDefault(root, "input", "").getBytes(StandardCharsets.UTF_8),
                     id,
                     tenant,
-                    text(root, "key", null),
+                    textOrDefault(root, "key", null),
                     digest(steps.heads, steps.inputs, root),
                     deadlineNanos == 0 ? config.maxDeadlineNanos() : Math.min(deadlineNanos, config.maxDeadlineNanos()),
                     receivedAt,
@@ -143,14 +147,15 @@
         Set<ValidationMessage> faults = SCHEMA.validate(root);
         if (!faults.isEmpty()) {
             throw new InvalidChainException(faults.stream()
-                    .map(f -> f.getInstanceLocation() + ": " + f.getMessage().replaceFirst("^[^:]*: ", ""))
+                    .map(fault -> fault.getInstanceLocation() + ": "
+                            + fault.getMessage().replaceFirst("^[^:]*: ", ""))
                     .sorted()
                     .collect(Collectors.joining("\n")));
         }
         return root;
     }
 
-    private ChainConfig.Named named(String name) throws InvalidChainException {
+    private ChainConfig.Named findNamedChain(String name) throws InvalidChainException {
         ChainConfig.Named named = config.named().get(name);
         if (named == null) {
             throw new InvalidChainException("$.chain: found '" + name + "', allowed: one of "
@@ -159,7 +164,7 @@
         return named;
     }
 
-    /** Collects the steps of one chain as they are read: request heads, inputs, and the plan. */
+    /** Collects the request heads, the inputs and the plan of a chain's steps. */
     private final class StepReader {
         private final String chainId;
         private final String tenant;
@@ -172,7 +177,7 @@
             this.tenant = tenant;
         }
 
-        /** A step of a chain that the settings name. */
+        /** Adds a step of a chain from the configuration. */
         void add(ChainConfig.NamedStep step) {
             CallHead head = new CallHead(
                     step.function(),
@@ -189,16 +194,16 @@
             add(head, step.id(), step.input());
         }
 
-        /** The steps that a client wrote out. */
+        /** Adds the steps that a client specified in its request. */
         void addAll(JsonNode steps) throws InvalidChainException {
             int index = 0;
             for (JsonNode step : steps) {
-                addWritten(step, index++);
+                addFromJson(step, index++);
             }
         }
 
-        private void addWritten(JsonNode step, int index) throws InvalidChainException {
-            String requestClass = text(step, "class", defaultClass == null ? null : defaultClass.name());
+        private void addFromJson(JsonNode step, int index) throws InvalidChainException {
+            String requestClass = textOrDefault(step, "class", defaultClass == null ? null : defaultClass.name());
             if (!classes.containsKey(requestClass) || classes.get(requestClass).streaming()) {
                 throw new InvalidChainException("$.steps[" + index + "].class: found "
                         + (requestClass == null ? "nothing" : "'" + requestClass + "'") + ", allowed: one of "
@@ -238,11 +243,14 @@
         }
     }
 
-    private static String text(JsonNode node, String name, String defaultText) {
+    private static String textOrDefault(JsonNode node, String name, String defaultText) {
         return node.has(name) ? node.get(name).asText() : defaultText;
     }
 
-    /** Identifies what an idempotency key stands for: functions, classes, graph and input, not ids or deadlines, which a retry changes. */
+    /**
+     * Hashes what identifies the request of an idempotency key: functions, classes, graph and input. The chain's id and its deadline are left
+     * out, since a retry changes them.
+     */
     private static String digest(List<CallHead> heads, List<List<String>> inputs, JsonNode root) {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
@@ -258,14 +266,14 @@
                         + '\n';
                 sha256.update(step.getBytes(StandardCharsets.UTF_8));
             }
-            sha256.update(text(root, "input", "").getBytes(StandardCharsets.UTF_8));
+            sha256.update(textOrDefault(root, "input", "").getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(sha256.digest(), 0, 16);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every JDK has it
+            throw new IllegalStateException(e); // cannot happen: every JDK has SHA-256
         }
     }
 
-    /** Joins several parts to one JSON object, by their names. */
+    /** Encodes {@code parts} as one JSON object with a field for each of {@code names}. */
     static byte[] join(List<String> names, List<byte[]> parts) {
         ObjectNode object = MAPPER.createObjectNode();
         for (int i = 0; i < names.size(); i++) {
@@ -274,11 +282,11 @@
         try {
             return MAPPER.writeValueAsBytes(object);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException(e); // a tree of texts can be written
+            throw new IllegalStateException(e); // cannot happen: a tree of strings is always writable
         }
     }
 
-    /** Text as it is; bytes that are not UTF-8 in Base64, under a name that says so. */
+    /** Puts bytes as text if they are valid UTF-8, otherwise in Base64 under {@code name} with the suffix {@code _base64}. */
     private static void put(ObjectNode object, String name, byte[] bytes) {
         try {
             object.put(
@@ -292,17 +300,17 @@
         }
     }
 
-    /** Writes an answer; outputs are those of the steps that no other depends on. */
-    public static byte[] write(ChainPlan plan, ChainResult end, List<StepAnswer> answers) {
+    /** Writes the answer of a chain. It has the outputs of the steps on which no other step depends. */
+    public static byte[] write(ChainPlan plan, ChainResult result, List<StepAnswer> answers) {
         ObjectNode root = MAPPER.createObjectNode();
-        root.put("answer", word(end.kind()));
-        root.put("reason", end.reason());
+        root.put("answer", jsonName(result.kind()));
+        root.put("reason", result.reason());
         ArrayNode steps = root.putArray("steps");
-        for (int i = 0; i < end.steps().size(); i++) {
+        for (int i = 0; i < result.steps().size(); i++) {
             ObjectNode step = steps.addObject();
             String id = plan.steps().get(i).id();
             step.put("id", id);
-            step.put("state", word(end.steps().get(i)));
+            step.put("state", jsonName(result.steps().get(i)));
             StepAnswer answer = answers.get(i);
             if (answer != null && answer.worker() != null) {
                 step.put("worker", answer.worker());
@@ -311,8 +319,9 @@
             } else if (answer != null) {
                 step.put("resumed", true);
             }
-            boolean last = plan.steps().stream().noneMatch(s -> s.needs().contains(id));
-            if (answer != null && last) {
+            boolean isFinalStep =
+                    plan.steps().stream().noneMatch(other -> other.needs().contains(id));
+            if (answer != null && isFinalStep) {
                 put(step, "output", answer.body());
             }
         }
@@ -323,7 +332,7 @@
         }
     }
 
-    private static String word(ChainResult.Kind kind) {
+    private static String jsonName(ChainResult.Kind kind) {
         return switch (kind) {
             case SERVED -> "served";
             case REFUSED -> "refused";
@@ -331,7 +340,7 @@
         };
     }
 
-    private static String word(ChainResult.StepState state) {
+    private static String jsonName(ChainResult.StepState state) {
         return switch (state) {
             case NOT_STARTED -> "not-started";
             case RUNNING -> "running";
--- a/gateway/src/main/java/wharfhinge/gateway/front/ClientListener.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ClientListener.java
@@ -31,13 +31,13 @@
 import wharfhinge.config.GatewayConfig;
 
 /**
- * Listens for clients: HTTP/1.1 and HTTP/2 on one port, in the clear or over TLS. Connections are spread over the I/O group;
- * the public methods may be called by any thread and may block.
+ * Accepts client connections: HTTP/1.1 and HTTP/2 on one port, with or without TLS. Connections are distributed over the I/O event loops.
+ * The public methods are thread-safe and may block.
  */
 public final class ClientListener {
     private static final int MAX_REQUEST_LINE_BYTES = 4096;
     private static final int MAX_CONCURRENT_STREAMS = 1000;
-    private static final long TAKEOVER_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long BIND_TIMEOUT_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(5);
 
     private final GatewayConfig config;
     private final CallIngress ingress;
@@ -45,10 +45,10 @@
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final AtomicInteger connections = new AtomicInteger();
     private final LongAdder rejectedConnections = new LongAdder();
-    private final SslContext sslContext; // null in the clear
-    private Channel listening;
+    private final SslContext sslContext; // null without TLS
+    private Channel serverChannel;
 
-    /** {@code sslContext} is null where calls come in the clear. */
+    /** Creates a listener. {@code sslContext} is null without TLS. */
     public ClientListener(GatewayConfig config, CallIngress ingress, StatusPage statusPage, SslContext sslContext) {
         this.config = config;
         this.ingress = ingress;
@@ -56,7 +56,7 @@
         this.sslContext = sslContext;
     }
 
-    /** Binds the port of the settings; the address has the actual one where that is 0. */
+    /** Binds the configured port and returns the bound address, which has the actual port if the configured one is 0. */
     public InetSocketAddress listen(EventLoopGroup acceptor, EventLoopGroup group, Class<? extends ServerChannel> type)
             throws InterruptedException {
         ServerBootstrap bootstrap = new ServerBootstrap()
@@ -68,33 +68,33 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        onAccepted(channel);
+                        initConnection(channel);
                     }
                 });
         if (config.clients().reusePort() && EpollServerSocketChannel.class.isAssignableFrom(type)) {
-            bootstrap.option(EpollChannelOption.SO_REUSEPORT, true); // shared with the process that this one replaces
+            bootstrap.option(EpollChannelOption.SO_REUSEPORT, true); // shared with the process that is being replaced
         }
-        listening = PortBinding.bindWithin(
-                config.clients().reusePort() ? config.clients().shutdownTimeoutNanos() + TAKEOVER_MARGIN_NANOS : 0,
+        serverChannel = PortBinding.bindWithin(
+                config.clients().reusePort() ? config.clients().shutdownTimeoutNanos() + BIND_TIMEOUT_MARGIN_NANOS : 0,
                 () -> bootstrap.bind(
                         config.clients().address(), config.clients().port()));
-        return (InetSocketAddress) listening.localAddress();
+        return (InetSocketAddress) serverChannel.localAddress();
     }
 
-    /** Connections now. */
+    /** Returns the number of open connections. */
     public int connections() {
         return connections.get();
     }
 
-    /** Connections closed at once because there were too many. */
+    /** Returns the number of connections closed on accept because the connection limit was reached. */
     public long rejectedConnections() {
         return rejectedConnections.sum();
     }
 
-    private void onAccepted(Channel channel) {
-        int now = connections.incrementAndGet();
+    private void initConnection(Channel channel) {
+        int openConnections = connections.incrementAndGet();
         channel.closeFuture().addListener(closed -> connections.decrementAndGet());
-        if (now > config.clients().maxConnections()) {
+        if (openConnections > config.clients().maxConnections()) {
             rejectedConnections.increment();
             channel.close();
             return;
@@ -141,10 +141,10 @@
                 new IdleConnectionHandler());
     }
 
-    /** Accepts no new connection, sends GOAWAY on HTTP/2, and closes HTTP/1.1 connections after their responses. */
+    /** Stops accepting connections, sends GOAWAY on HTTP/2, and closes HTTP/1.1 connections after their responses. */
     public void startDraining() {
-        if (listening != null) {
-            listening.close().awaitUninterruptibly(1000);
+        if (serverChannel != null) {
+            serverChannel.close().awaitUninterruptibly(1000);
         }
         for (Channel channel : channels) {
             channel.eventLoop().execute(() -> {
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Closes what is left. */
+    /** Closes the remaining connections. */
     public void close() {
         channels.close().awaitUninterruptibly(1000);
     }
--- a/gateway/src/main/java/wharfhinge/gateway/front/HttpCallHandler.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/HttpCallHandler.java
@@ -34,8 +34,8 @@
 import wharfhinge.protocol.ProtocolException;
 
 /**
- * Validates a client's requests and submits calls and chains to the engine. On HTTP/1.1 it handles one at a time (a few more wait
- * in order), on HTTP/2 one a stream. Confined to the connection's I/O thread.
+ * Validates client requests and submits calls and chains to the engine. An HTTP/1.1 connection has one request in flight and queues a
+ * limited number of pipelined requests; an HTTP/2 stream has one request. Confined to the connection's I/O thread.
  */
 final class HttpCallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final int MAX_PIPELINED_REQUESTS = 16;
@@ -46,9 +46,9 @@
     private final CallIngress ingress;
     private final StatusPage statusPage;
     private final boolean http2;
-    private final ArrayDeque<FullHttpRequest> pipelined = new ArrayDeque<>(2);
-    private ClientCall callInFlight; // null where there is none, as is the chain
-    private ChainCall chainInFlight;
+    private final ArrayDeque<FullHttpRequest> pipelinedRequests = new ArrayDeque<>(2);
+    private ClientCall callInFlight; // null if no call is in flight
+    private ChainCall chainInFlight; // null if no chain is in flight
     private boolean draining;
 
     HttpCallHandler(CallIngress ingress, StatusPage statusPage, boolean http2) {
@@ -60,13 +60,13 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        if (isIdle() && pipelined.isEmpty()) {
+        if (isIdle() && pipelinedRequests.isEmpty()) {
             onRequest(ctx, request);
-        } else if (pipelined.size() < MAX_PIPELINED_REQUESTS) {
-            pipelined.add(request);
+        } else if (pipelinedRequests.size() < MAX_PIPELINED_REQUESTS) {
+            pipelinedRequests.add(request);
         } else {
             request.release();
-            ctx.close(); // a client that pipelines without reading responses gets no more memory
+            ctx.close(); // limits the memory for a client that pipelines without reading responses
         }
     }
 
@@ -77,7 +77,7 @@
     private void onRequest(ChannelHandlerContext ctx, FullHttpRequest request) {
         DecoderResult decoded = request.decoderResult();
         if (decoded.isFailure()) {
-            onMalformedRequest(ctx, decoded.cause());
+            replyMalformedRequest(ctx, decoded.cause());
             request.release();
             return;
         }
@@ -160,50 +160,50 @@
     private void onChainRequest(ChannelHandlerContext ctx, FullHttpRequest request) {
         byte[] body = ByteBufUtil.getBytes(request.content());
         request.release();
-        HttpResponseWriter responder =
+        HttpResponseWriter responseWriter =
                 new HttpResponseWriter(ctx, () -> onResponseWritten(ctx), () -> draining && !http2);
-        ChainCall[] self = new ChainCall[1];
+        ChainCall[] chain = new ChainCall[1];
         try {
-            self[0] = ingress.chains()
+            chain[0] = ingress.chains()
                     .read(
                             body,
                             "x" + Long.toString(System.nanoTime(), Character.MAX_RADIX),
                             System.nanoTime(),
-                            (end, answers) ->
-                                    responder.sendChainEnd(end, ChainJsonCodec.write(self[0].plan(), end, answers)));
+                            (result, answers) -> responseWriter.sendChainResult(
+                                    result, ChainJsonCodec.write(chain[0].plan(), result, answers)));
         } catch (ChainJsonCodec.InvalidChainException e) {
             reply(ctx, HttpResponseStatus.BAD_REQUEST, e.getMessage(), AfterReply.KEEP_OPEN);
             return;
         }
-        CallAuthenticator.Authentication authenticated = authenticate(ctx, request, self[0].tenant());
+        CallAuthenticator.Authentication authenticated = authenticate(ctx, request, chain[0].tenant());
         if (authenticated.fault() != CallAuthenticator.Fault.NONE) {
             reply(ctx, statusOf(authenticated.fault()), authenticated.message(), AfterReply.KEEP_OPEN);
             return;
         }
-        self[0] = self[0].withTenant(authenticated.tenant());
-        chainInFlight = self[0];
+        chain[0] = chain[0].withTenant(authenticated.tenant());
+        chainInFlight = chain[0];
         DispatchEngine.SubmissionResult submission = ingress.engine().submit(chainInFlight);
         if (submission.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
-            reject(responder, submission);
+            reject(responseWriter, submission);
         }
     }
 
-    private void reject(ResponseSink responder, DispatchEngine.SubmissionResult submission) {
+    private void reject(ResponseSink responseWriter, DispatchEngine.SubmissionResult submission) {
         draining |= submission.status() == DispatchEngine.SubmissionStatus.SHUTTING_DOWN;
-        responder.sendError(
+        responseWriter.sendError(
                 FinalAnswer.REFUSED, submission.retryAfterNanos(), CallIngress.rejectedMetadata(submission));
     }
 
     private void onResponseWritten(ChannelHandlerContext ctx) {
         callInFlight = null;
         chainInFlight = null;
-        FullHttpRequest waiting = pipelined.poll();
-        if (waiting != null) {
-            onRequest(ctx, waiting);
+        FullHttpRequest next = pipelinedRequests.poll();
+        if (next != null) {
+            onRequest(ctx, next);
         }
     }
 
-    /** The connection is to close: at once where nothing is in flight, else after the response. */
+    /** Closes an HTTP/1.1 connection: immediately if nothing is in flight, otherwise after the response. */
     void startDraining(ChannelHandlerContext ctx) {
         draining = true;
         if (isIdle() && !http2) {
@@ -211,14 +211,14 @@
         }
     }
 
-    private void onMalformedRequest(ChannelHandlerContext ctx, Throwable cause) {
-        boolean headers = cause instanceof TooLongHttpHeaderException;
-        HttpResponseStatus status = headers
+    private void replyMalformedRequest(ChannelHandlerContext ctx, Throwable cause) {
+        boolean headersTooLarge = cause instanceof TooLongHttpHeaderException;
+        HttpResponseStatus status = headersTooLarge
                 ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
                 : cause instanceof TooLongFrameException
                         ? HttpResponseStatus.REQUEST_URI_TOO_LONG
                         : HttpResponseStatus.BAD_REQUEST;
-        reply(ctx, status, (headers ? "headers" : "request") + ": " + cause.getMessage(), AfterReply.CLOSE);
+        reply(ctx, status, (headersTooLarge ? "headers" : "request") + ": " + cause.getMessage(), AfterReply.CLOSE);
     }
 
     private void reply(ChannelHandlerContext ctx, HttpResponseStatus status, String text, AfterReply afterReply) {
@@ -259,8 +259,8 @@
             ingress.engine().onClientCancelled(chainInFlight);
             chainInFlight = null;
         }
-        pipelined.forEach(ReferenceCountUtil::release);
-        pipelined.clear();
+        pipelinedRequests.forEach(ReferenceCountUtil::release);
+        pipelinedRequests.clear();
         super.channelInactive(ctx);
     }
 
@@ -269,13 +269,13 @@
         ctx.close();
     }
 
-    /** What becomes of an HTTP/1.1 connection after a reply. */
+    /** Whether an HTTP/1.1 connection stays open after a reply. */
     private enum AfterReply {
         KEEP_OPEN,
         CLOSE
     }
 
-    /** The user event that starts a connection's graceful shutdown. */
+    /** The user event that starts the graceful shutdown of a connection. */
     enum ConnectionDrain {
         START
     }
--- a/gateway/src/main/java/wharfhinge/gateway/front/HttpResponseWriter.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/HttpResponseWriter.java
@@ -25,17 +25,17 @@
 import wharfhinge.protocol.ClientProtocol;
 import wharfhinge.protocol.FinalAnswer;
 
-/** Writes one call's response to its client; any thread may call, each method enqueues on the connection's I/O thread. */
+/** Writes the response of one call to its client. Thread-safe: each method enqueues its work on the connection's I/O thread. */
 final class HttpResponseWriter implements ResponseSink {
     private final ChannelHandlerContext ctx;
     private final Runnable onWritten;
     private final BooleanSupplier isLastResponse;
 
     /**
-     * Writes to {@code ctx}.
+     * Creates a writer to {@code ctx}.
      *
-     * @param onWritten      run on the I/O thread once the response was written
-     * @param isLastResponse whether an HTTP/1.1 connection closes after it
+     * @param onWritten      run on the I/O thread once the response is written
+     * @param isLastResponse whether the HTTP/1.1 connection closes after this response
      */
     HttpResponseWriter(ChannelHandlerContext ctx, Runnable onWritten, BooleanSupplier isLastResponse) {
         this.ctx = ctx;
@@ -72,11 +72,11 @@
         });
     }
 
-    /** Sends a chain's final answer; {@code body} has its steps. */
-    void sendChainEnd(ChainResult end, byte[] body) {
+    /** Sends the final answer of a chain. {@code body} is the JSON of {@link ChainJsonCodec#write}. */
+    void sendChainResult(ChainResult result, byte[] body) {
         ctx.executor().execute(() -> {
             FinalAnswer finalAnswer =
-                    switch (end.kind()) {
+                    switch (result.kind()) {
                         case SERVED -> FinalAnswer.SERVED;
                         case REFUSED -> FinalAnswer.REFUSED;
                         case FAILED -> FinalAnswer.FAILED;
@@ -91,9 +91,9 @@
                     HttpHeaderValues.APPLICATION_JSON,
                     new ResponseMetadata(
                             null,
-                            end.reason().isEmpty() ? List.of() : List.of(end.reason()),
-                            (int) end.steps().stream()
-                                    .filter(s -> s != ChainResult.StepState.NOT_STARTED)
+                            result.reason().isEmpty() ? List.of() : List.of(result.reason()),
+                            (int) result.steps().stream()
+                                    .filter(state -> state != ChainResult.StepState.NOT_STARTED)
                                     .count(),
                             false));
             write(response);
@@ -134,24 +134,24 @@
         });
         stream.subscribe(new WorkerTransport.StreamConsumer() {
             @Override
-            public void onData(ByteBuf part, Runnable taken) {
+            public void onData(ByteBuf part, Runnable onPartWritten) {
                 ctx.executor().execute(() -> {
                     if (!ctx.channel().isActive()) {
                         ReferenceCountUtil.release(part);
                         return;
                     }
-                    ctx.writeAndFlush(new DefaultHttpContent(part)).addListener(done -> taken.run());
+                    ctx.writeAndFlush(new DefaultHttpContent(part)).addListener(written -> onPartWritten.run());
                 });
             }
 
             @Override
-            public void onEnd(boolean whole) {
+            public void onEnd(boolean complete) {
                 ctx.executor().execute(() -> {
-                    if (whole) {
+                    if (complete) {
                         ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
                         onWritten.run();
                     } else {
-                        ctx.close(); // a truncated response must not look complete
+                        ctx.close(); // so that the client detects the truncated response
                     }
                 });
             }
--- a/gateway/src/main/java/wharfhinge/gateway/front/RequestBodyBuffer.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/RequestBodyBuffer.java
@@ -13,7 +13,7 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 
-/** Buffers a request's body within a limit, so that an attempt can be retried; over it, the client gets 413. */
+/** Buffers the body of a request, so that an attempt can be retried. Responds with status 413 to a body over the limit. */
 final class RequestBodyBuffer extends HttpObjectAggregator {
     private final int maxBytes;
 
--- a/gateway/src/main/java/wharfhinge/gateway/front/StatusPage.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/StatusPage.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The status page: a line with key and value for each metric. */
+/** The status page: one line with key and value for each metric. */
 public final class StatusPage {
     private final Supplier<Map<String, Long>> metrics;
 
-    /** A page of metrics, read anew for each request. */
+    /** Creates a page whose metrics are read on each request. */
     public StatusPage(Supplier<Map<String, Long>> metrics) {
         this.metrics = metrics;
     }
--- a/gateway/src/main/java/wharfhinge/gateway/front/TlsHandshakeHandler.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/TlsHandshakeHandler.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs why a TLS handshake failed and closes the connection; removes itself once the handshake is over. */
+/** Logs the cause of a failed TLS handshake and closes the connection. Removes itself once the handshake has ended. */
 final class TlsHandshakeHandler extends ChannelInboundHandlerAdapter {
     private static final Logger LOG = LoggerFactory.getLogger("tls");
 
@@ -28,6 +28,6 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ctx.close(); // logged above, or the connection was lost
+        ctx.close(); // a failed handshake is logged above; otherwise the connection was lost
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/front/package-info.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/package-info.java
@@ -1,2 +1,2 @@
-/** The client side: the listener, the protocols' handlers, and the JSON of chains. */
+/** The client side of the gateway: the HTTP listener, its protocol handlers, and the JSON codec of chains. */
 package wharfhinge.gateway.front;
--- a/gateway/src/main/java/wharfhinge/gateway/package-info.java
+++ b/gateway/src/main/java/wharfhinge/gateway/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The gateway: sockets, timers and one engine. A call goes {@code front}, {@code wharfhinge.engine}, {@code upstream},
- * worker, and back the same way; I/O threads never decide and the engine's thread never blocks. All decisions are the
- * policy's {@link wharfhinge.policy.CacheAwareDispatcher}.
+ * The gateway: sockets, timers and one engine. A call passes through {@code front}, {@code wharfhinge.engine} and {@code upstream} to a
+ * worker; its answer returns the same way. {@link wharfhinge.policy.CacheAwareDispatcher} makes all decisions, on the engine's thread,
+ * which never blocks. I/O threads make none.
  */
 package wharfhinge.gateway;
