--- a/gateway/src/main/java/wharfhinge/gateway/WarmUpProgress.java
+++ b/gateway/src/main/java/wharfhinge/gateway/WarmUpProgress.java
@@ -11,8 +11,8 @@
 final class WarmUpProgress {
     private static final int CHUNK_CALLS = 1000;
     private static final int MAX_CHUNKS_WITHOUT_GAIN = 10;
-    private static final double GAIN_RATIO =
-            0.95; // a chunk counts as faster below this share of the fastest chunk's duration
+    /** A chunk counts as faster if its duration is below this share of the fastest chunk's duration. */
+    private static final double GAIN_RATIO = 0.95;
 
     private final long deadline;
     private final BooleanSupplier stopped;
--- a/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
+++ b/gateway/src/main/java/wharfhinge/gateway/front/ChainJsonCodec.java
@@ -248,8 +248,8 @@
     }
 
     /**
-     * Hashes what identifies the request of an idempotency key: functions, classes, graph and input. The chain's id and its deadline are left
-     * out, since a retry changes them.
+     * Hashes what identifies the request of an idempotency key: functions, classes, graph and input. The chain's id and its deadline are
+     * left out, since a retry changes them.
      */
     private static String digest(List<CallHead> heads, List<List<String>> inputs, JsonNode root) {
         try {
--- a/gateway/src/test/java/wharfhinge/gateway/discovery/EndpointListTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/discovery/EndpointListTest.java
@@ -20,7 +20,7 @@
 import wharfhinge.protocol.RosterFrame;
 import wharfhinge.protocol.RosterFrame.Kind;
 
-/** The revisions of the endpoint list and their snapshot on disk. */
+/** Tests which frames change the endpoint list, and that its snapshot file survives restarts, failed writes and corruption. */
 class EndpointListTest {
     @TempDir
     private Path folder;
@@ -36,21 +36,22 @@
     @Test
     void apply_ignoresOldRevisionsAndRequestsFullListOnGap() {
         EndpointListView view = new EndpointListView();
-        assertTrue(view.apply(changes(3, 4)).requestsFullList(), "changes to a list that is not held");
+        assertTrue(view.apply(changes(3, 4)).requestsFullList(), "changes without a list");
         assertTrue(
                 view.apply(new RosterFrame(Kind.ALL, 0, 5, List.of())).update().isPresent());
         assertFalse(
-                view.apply(new RosterFrame(Kind.ALL, 0, 5, List.of())).update().isPresent(), "repeated");
+                view.apply(new RosterFrame(Kind.ALL, 0, 5, List.of())).update().isPresent(), "repeated list");
         assertFalse(
-                view.apply(new RosterFrame(Kind.ALL, 0, 4, List.of())).update().isPresent(), "older");
+                view.apply(new RosterFrame(Kind.ALL, 0, 4, List.of())).update().isPresent(), "older list");
         assertFalse(view.apply(changes(3, 4)).update().isPresent(), "older changes");
         assertTrue(view.apply(changes(5, 6)).update().isPresent());
         assertTrue(
-                view.apply(changes(4, 7)).update().isPresent(), "changes since before what is held tell the same end");
-        assertTrue(view.apply(changes(9, 10)).requestsFullList(), "a gap");
+                view.apply(changes(4, 7)).update().isPresent(),
+                "changes since an older revision than the held one still apply");
+        assertTrue(view.apply(changes(9, 10)).requestsFullList(), "gap between revisions");
         assertTrue(
                 view.apply(new RosterFrame(Kind.BEAT, 0, 10, List.of())).requestsFullList(),
-                "a beat beyond what is held");
+                "heartbeat with a newer revision");
         assertFalse(view.apply(new RosterFrame(Kind.BEAT, 0, 7, List.of())).requestsFullList());
         assertEquals(7, view.revision());
     }
@@ -85,11 +86,11 @@
         assertTrue(condition.getAsBoolean());
     }
 
-    /** Nothing is received after a failed write, and the newest list is on disk nevertheless once it can be. */
+    /** A failed write is retried with the newest list although no further update arrives. */
     @Test
-    void writeFailsForAWhile_isRepeatedWithTheNewestList() throws Exception {
+    void failedWrite_isRetriedWithNewestList() throws Exception {
         Path blocked = folder.resolve("blocked");
-        Files.writeString(blocked, "where the folder should be");
+        Files.writeString(blocked, "a file in place of the folder");
         Path file = blocked.resolve("list");
         EndpointSnapshotFile snapshot = new EndpointSnapshotFile(file, () -> 0);
         snapshot.onEndpointUpdate(new EndpointUpdate(EndpointUpdateMode.FULL, 3, List.of(entry("a:1", State.UP, 1))));
@@ -102,9 +103,9 @@
         assertEquals(4, read.revision());
     }
 
-    /** The form on disk outlives versions: a gateway reads what the one before it wrote. */
+    /** The file format must not change between versions, since a gateway reads the file of the previous version. */
     @Test
-    void snapshot_keepsItsFormOnDisk() throws Exception {
+    void snapshot_keepsFileFormat() throws Exception {
         Path file = folder.resolve("golden");
         EndpointSnapshotFile snapshot = new EndpointSnapshotFile(file, () -> 1_000);
         snapshot.onEndpointUpdate(new EndpointUpdate(
@@ -116,26 +117,29 @@
     }
 
     @Test
-    void read_ignoresTornAndDamagedFiles() throws Exception {
+    void read_ignoresTruncatedAndCorruptedFiles() throws Exception {
         Path file = folder.resolve("list");
         assertTrue(new EndpointSnapshotFile(file, () -> 0).read().isEmpty(), "no file");
         EndpointSnapshotFile snapshot = new EndpointSnapshotFile(file, () -> 0);
         snapshot.onEndpointUpdate(new EndpointUpdate(EndpointUpdateMode.FULL, 3, List.of(entry("a:1", State.UP, 100))));
         snapshot.close();
-        byte[] whole = Files.readAllBytes(file);
-        for (int cut = 0; cut < whole.length; cut += 3) {
-            Files.write(file, java.util.Arrays.copyOf(whole, cut));
-            assertTrue(new EndpointSnapshotFile(file, () -> 0).read().isEmpty(), "torn at " + cut);
+        byte[] complete = Files.readAllBytes(file);
+        for (int length = 0; length < complete.length; length += 3) {
+            Files.write(file, java.util.Arrays.copyOf(complete, length));
+            assertTrue(new EndpointSnapshotFile(file, () -> 0).read().isEmpty(), "truncated at " + length);
         }
-        for (int i = 0; i < whole.length; i++) {
-            byte[] damaged = whole.clone();
-            damaged[i] ^= 1;
-            Files.write(file, damaged);
-            boolean time = i >= "wharfhinge-list 1 ".length()
-                    && damaged[i] >= '0'
-                    && damaged[i] <= '9'
-                    && i < new String(whole).indexOf(' ', 18);
-            assertTrue(time || new EndpointSnapshotFile(file, () -> 0).read().isEmpty(), "damaged at " + i);
+        for (int i = 0; i < complete.length; i++) {
+            byte[] corrupted = complete.clone();
+            corrupted[i] ^= 1;
+            Files.write(file, corrupted);
+            boolean isWriteTime = i >= "wharfhinge-list 1 ".length()
+                    && corrupted[i] >= '0'
+                    && corrupted[i] <= '9'
+                    && i < new String(complete).indexOf(' ', 18);
+            assertTrue(
+                    isWriteTime
+                            || new EndpointSnapshotFile(file, () -> 0).read().isEmpty(),
+                    "corrupted at " + i);
         }
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/front/ChainJsonCodecClassLoadingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/front/ChainJsonCodecClassLoadingTest.java
@@ -21,12 +21,12 @@
 import wharfhinge.policy.Effect;
 import wharfhinge.policy.RequestClass;
 
-/** The first chain of a process must not wait for classes to load: its answer is written just before its deadline. */
+/** Tests that the first chain of a process loads no JSON classes, which would delay an answer that is due just before its deadline. */
 class ChainJsonCodecClassLoadingTest {
 
-    /** Defines every class of the class path anew, as a new process would, and records what it defined. */
+    /** Loads all classes of the class path again, as a new process would, and records their names. */
     private static final class RecordingLoader extends URLClassLoader {
-        private final List<String> defined = new CopyOnWriteArrayList<>();
+        private final List<String> loadedClasses = new CopyOnWriteArrayList<>();
 
         RecordingLoader() {
             super(classPath(), ClassLoader.getPlatformClassLoader());
@@ -49,18 +49,18 @@
         @Override
         protected Class<?> findClass(String name) throws ClassNotFoundException {
             Class<?> found = super.findClass(name);
-            defined.add(name);
+            loadedClasses.add(name);
             return found;
         }
 
         List<String> jsonClasses() {
-            return defined.stream()
+            return loadedClasses.stream()
                     .filter(name -> name.startsWith("com.fasterxml.") || name.startsWith("com.networknt."))
                     .toList();
         }
     }
 
-    /** Runs within the recording loader: makes the codec, and gives what reads a chain and writes its answer. */
+    /** Is loaded by the recording loader. Creates the codec and returns a task that reads a chain and writes its answer. */
     static final class FirstChain implements Callable<Callable<byte[]>> {
         @Override
         public Callable<byte[]> call() {
@@ -72,10 +72,10 @@
 
         private static byte[] readAndWrite(ChainJsonCodec codec) throws ChainJsonCodec.InvalidChainException {
             String json = "{\"deadline_ms\":500,\"steps\":[{\"id\":\"a\",\"function\":\"f\",\"load_ms\":1}]}";
-            ChainCall chain = codec.read(json.getBytes(StandardCharsets.UTF_8), "x1", 0, (end, answers) -> {});
-            ChainResult end =
+            ChainCall chain = codec.read(json.getBytes(StandardCharsets.UTF_8), "x1", 0, (result, answers) -> {});
+            ChainResult result =
                     new ChainResult(ChainResult.Kind.FAILED, "r", List.of(ChainResult.StepState.MAY_HAVE_RUN));
-            return ChainJsonCodec.write(chain.plan(), end, Arrays.asList((ChainCall.StepAnswer) null));
+            return ChainJsonCodec.write(chain.plan(), result, Arrays.asList((ChainCall.StepAnswer) null));
         }
     }
 
--- a/gateway/src/test/java/wharfhinge/gateway/front/PortBindingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/front/PortBindingTest.java
@@ -19,49 +19,49 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A port that a former process holds, where ports can't be shared. */
+/** Tests binding a port that another process holds and that cannot be shared. */
 @Timeout(20)
 class PortBindingTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
     @AfterEach
-    void end() {
+    void shutDownEventLoop() {
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private Channel bind(int port, long withinMillis, Runnable betweenTries) throws InterruptedException {
+    private Channel bind(int port, long timeoutMillis, Runnable beforeAttempt) throws InterruptedException {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInboundHandlerAdapter());
-        return PortBinding.bindWithin(TimeUnit.MILLISECONDS.toNanos(withinMillis), () -> {
-            betweenTries.run();
+        return PortBinding.bindWithin(TimeUnit.MILLISECONDS.toNanos(timeoutMillis), () -> {
+            beforeAttempt.run();
             return bootstrap.bind("127.0.0.1", port);
         });
     }
 
     @Test
     void portInUse_isBoundOnceReleased() throws Exception {
-        ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        int[] tries = {0};
-        Channel bound = bind(former.getLocalPort(), 10_000, () -> {
-            if (++tries[0] == 3) {
+        ServerSocket previousOwner = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        int[] attempts = {0};
+        Channel bound = bind(previousOwner.getLocalPort(), 10_000, () -> {
+            if (++attempts[0] == 3) {
                 try {
-                    former.close();
+                    previousOwner.close();
                 } catch (java.io.IOException e) {
                     throw new java.io.UncheckedIOException(e);
                 }
             }
         });
-        assertEquals(3, tries[0]);
-        assertEquals(former.getLocalPort(), ((InetSocketAddress) bound.localAddress()).getPort());
+        assertEquals(3, attempts[0]);
+        assertEquals(previousOwner.getLocalPort(), ((InetSocketAddress) bound.localAddress()).getPort());
     }
 
     @Test
     void portNeverReleased_failsWithReason() throws Exception {
-        try (ServerSocket former = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            assertThrows(BindException.class, () -> bind(former.getLocalPort(), 200, () -> {}));
-            assertThrows(BindException.class, () -> bind(former.getLocalPort(), 0, () -> {}));
+        try (ServerSocket previousOwner = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            assertThrows(BindException.class, () -> bind(previousOwner.getLocalPort(), 200, () -> {}));
+            assertThrows(BindException.class, () -> bind(previousOwner.getLocalPort(), 0, () -> {}));
         }
     }
 }
