--- a/gateway/src/main/java/wharfhinge/gateway/grpc/CredentialsInterceptor.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/CredentialsInterceptor.java
@@ -10,7 +10,7 @@
 import javax.net.ssl.SSLSession;
 import wharfhinge.protocol.grpc.GrpcProtocol;
 
-/** Puts a caller's credentials, of its connection and its headers, into the call's context. */
+/** Puts the client's TLS session and {@code authorization} header into the context of each call. */
 final class CredentialsInterceptor implements ServerInterceptor {
     static final Context.Key<SSLSession> SESSION = Context.key("session");
     static final Context.Key<String> AUTHORIZATION = Context.key("authorization");
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GatewayService.java
@@ -34,14 +34,14 @@
 import wharfhinge.protocol.grpc.GatewayGrpc;
 import wharfhinge.protocol.grpc.GrpcProtocol;
 
-/** Calls over gRPC, submitted to the same engine as those over HTTP. Methods run on I/O threads and never block. */
+/** Submits calls and chains over gRPC to the same engine as those over HTTP. Its methods run on I/O threads and never block. */
 final class GatewayService extends GatewayGrpc.GatewayImplBase {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final CallIngress ingress;
 
-    GatewayService(CallIngress intake) {
-        this.ingress = intake;
+    GatewayService(CallIngress ingress) {
+        this.ingress = ingress;
     }
 
     @Override
@@ -98,11 +98,11 @@
             throw new ProtocolException(
                     ClientProtocol.CLASS.toString(),
                     requestClass.name(),
-                    "Call for classes that are answered whole, Stream for those that stream");
+                    "Call for classes whose response is not streamed, Stream for those whose response is");
         }
     }
 
-    /** What is left to the client, at most the class's longest deadline; at least 1. */
+    /** The client's remaining time, limited to the longest deadline of its request class; at least 1. */
     private static long deadlineNanos(CallHead head, RequestClass requestClass) {
         long deadlineNanos = requestClass.maxDeadlineNanos();
         Deadline clientDeadline = Context.current().getDeadline();
@@ -115,7 +115,7 @@
         return Math.max(1, deadlineNanos);
     }
 
-    /** Checked as the headers of HTTP are. */
+    /** Validates the fields by the same rules as the headers of an HTTP call. */
     private static CallHead head(CallRequest request) throws ProtocolException {
         Map<String, String> fields = new LinkedHashMap<>();
         putIfSet(fields, ClientProtocol.CLASS, request.getRequestClass());
@@ -156,7 +156,7 @@
                 .withDescription(authentication.message());
     }
 
-    /** Rejected: a retry is harmless, which UNAVAILABLE says. Failed: it may have run, which UNKNOWN says. */
+    /** UNAVAILABLE for a rejected call, which can be retried safely; UNKNOWN for a failed one, which was possibly executed. */
     static Status status(FinalAnswer answer) {
         return answer == FinalAnswer.REFUSED ? Status.UNAVAILABLE : Status.UNKNOWN;
     }
@@ -177,29 +177,31 @@
     @Override
     public void chain(ChainRequest request, StreamObserver<ChainReply> responses) {
         ServerCallStreamObserver<ChainReply> observer = (ServerCallStreamObserver<ChainReply>) responses;
-        ChainCall[] self = new ChainCall[1];
+        ChainCall[] chainCall = new ChainCall[1];
         try {
-            self[0] = ingress.chains()
+            chainCall[0] = ingress.chains()
                     .read(
                             request.getJson().toByteArray(),
                             "x" + Long.toString(System.nanoTime(), Character.MAX_RADIX),
                             System.nanoTime(),
-                            (end, answers) ->
-                                    sendChainEnd(observer, end, ChainJsonCodec.write(self[0].plan(), end, answers)));
+                            (end, answers) -> sendChainEnd(
+                                    observer, end, ChainJsonCodec.write(chainCall[0].plan(), end, answers)));
         } catch (ChainJsonCodec.InvalidChainException e) {
             observer.onError(
                     Status.INVALID_ARGUMENT.withDescription(e.getMessage()).asRuntimeException());
             return;
         }
         CallAuthenticator.Authentication authentication = ingress.authenticate(
-                CredentialsInterceptor.SESSION.get(), CredentialsInterceptor.AUTHORIZATION.get(), self[0].tenant());
+                CredentialsInterceptor.SESSION.get(),
+                CredentialsInterceptor.AUTHORIZATION.get(),
+                chainCall[0].tenant());
         if (authentication.fault() != CallAuthenticator.Fault.NONE) {
             observer.onError(status(authentication).asRuntimeException());
             return;
         }
-        self[0] = self[0].withTenant(authentication.tenant());
-        observer.setOnCancelHandler(() -> ingress.engine().onClientCancelled(self[0]));
-        DispatchEngine.SubmissionResult submission = ingress.engine().submit(self[0]);
+        chainCall[0] = chainCall[0].withTenant(authentication.tenant());
+        observer.setOnCancelHandler(() -> ingress.engine().onClientCancelled(chainCall[0]));
+        DispatchEngine.SubmissionResult submission = ingress.engine().submit(chainCall[0]);
         if (submission.status() != DispatchEngine.SubmissionStatus.ACCEPTED) {
             observer.onError(Status.UNAVAILABLE
                     .withDescription("refused")
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcListener.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcListener.java
@@ -15,24 +15,25 @@
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.gateway.front.CallIngress;
 
-/** Listens for gRPC: calls, the standard health service, and reflection where it is enabled. */
+/** The gRPC server: the gateway service, the standard health service, and, if enabled, server reflection. */
 public final class GrpcListener {
     private static final int MAX_CALLS_PER_CONNECTION = 1000;
-    private static final int MESSAGE_OVERHEAD_BYTES = 4096; // of a message besides its body
+    private static final int MESSAGE_OVERHEAD_BYTES = 4096; // the fields of a message other than its body
 
     private final Server server;
     private final HealthStatusManager health = new HealthStatusManager();
 
-    /** Built, not bound; {@code sslContext} is null where calls come in the clear, and the groups stay the caller's. */
+    /** Builds the server without binding it; {@code sslContext} is null without TLS, and the caller continues to own the groups. */
     public GrpcListener(
             GatewayConfig config,
-            CallIngress intake,
+            CallIngress ingress,
             SslContext sslContext,
             EventLoopGroup acceptor,
             EventLoopGroup group,
             Class<? extends ServerChannel> type) {
-        GatewayConfig.Grpc own = config.grpc();
-        NettyServerBuilder builder = NettyServerBuilder.forAddress(new InetSocketAddress(own.address(), own.port()))
+        GatewayConfig.Grpc settings = config.grpc();
+        NettyServerBuilder builder = NettyServerBuilder.forAddress(
+                        new InetSocketAddress(settings.address(), settings.port()))
                 .directExecutor()
                 .bossEventLoopGroup(acceptor)
                 .workerEventLoopGroup(group)
@@ -41,7 +42,7 @@
                 .maxInboundMessageSize(config.clients().maxBodyBytes() + MESSAGE_OVERHEAD_BYTES)
                 .maxInboundMetadataSize(config.clients().maxHeaderBytes())
                 .maxConnectionIdle(config.clients().idleNanos(), TimeUnit.NANOSECONDS)
-                .addService(new GatewayService(intake))
+                .addService(new GatewayService(ingress))
                 .addService(health.getHealthService());
         builder.intercept(new CredentialsInterceptor());
         if (config.clients().reusePort() && EpollServerSocketChannel.class.isAssignableFrom(type)) {
@@ -50,25 +51,25 @@
         if (sslContext != null) {
             builder.sslContext(sslContext);
         }
-        if (own.reflection()) {
+        if (settings.reflection()) {
             builder.addService(ProtoReflectionServiceV1.newInstance());
         }
         server = builder.build();
     }
 
-    /** Binds the port of the settings. */
+    /** Binds the configured address and starts to accept calls. */
     public InetSocketAddress listen() throws IOException {
         server.start();
         return (InetSocketAddress) server.getListenSockets().get(0);
     }
 
-    /** Accepts no new call: health turns to NOT_SERVING, clients get a GOAWAY; calls in flight are answered. */
+    /** Stops accepting calls: the health status becomes NOT_SERVING and clients receive GOAWAY; calls in flight continue. */
     public void startDraining() {
         health.enterTerminalState();
         server.shutdown();
     }
 
-    /** Aborts what is left. */
+    /** Waits briefly for calls in flight to end, then aborts the remaining ones. */
     public void close() throws InterruptedException {
         if (!server.awaitTermination(100, TimeUnit.MILLISECONDS)) {
             server.shutdownNow();
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcResponseWriter.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/GrpcResponseWriter.java
@@ -12,24 +12,24 @@
 import wharfhinge.protocol.grpc.CallReply;
 
 /**
- * Writes one call's response. gRPC's observers are not thread-safe: the engine's thread alone writes responses, the worker's I/O
- * thread the parts of a stream.
+ * Writes the response of one call. gRPC's observers are not thread-safe: only the engine's thread writes whole responses, and only the
+ * worker connection's I/O thread writes the parts of a stream.
  */
 final class GrpcResponseWriter implements ResponseSink {
     private final ServerCallStreamObserver<CallReply> observer;
-    private Runnable requestMore; // from the worker; guarded by this, null where nothing is owed
+    private Runnable requestNextPart; // lets the worker send more; guarded by this, null if no request is due
 
     GrpcResponseWriter(ServerCallStreamObserver<CallReply> observer) {
         this.observer = observer;
     }
 
-    /** The client has read: a slow one lets the worker send more only now. */
+    /** Lets the worker send more if the client is ready for it, so that a slow client slows down the worker. */
     void onReady() {
         Runnable request = null;
         synchronized (this) {
             if (observer.isReady()) {
-                request = requestMore;
-                requestMore = null;
+                request = requestNextPart;
+                requestNextPart = null;
             }
         }
         if (request != null) {
@@ -89,7 +89,7 @@
                     ReferenceCountUtil.release(part);
                 }
                 synchronized (GrpcResponseWriter.this) {
-                    requestMore = onConsumed;
+                    requestNextPart = onConsumed;
                 }
                 onReady();
             }
@@ -103,7 +103,7 @@
                     observer.onCompleted();
                 } else {
                     observer.onError(Status.DATA_LOSS
-                            .withDescription("the worker broke off")
+                            .withDescription("the worker ended the stream before the response was complete")
                             .asRuntimeException());
                 }
             }
--- a/gateway/src/main/java/wharfhinge/gateway/grpc/package-info.java
+++ b/gateway/src/main/java/wharfhinge/gateway/grpc/package-info.java
@@ -1,2 +1,2 @@
-/** The clients' side over gRPC; hands calls to the same loop. */
+/** The gRPC listener for client calls, which are submitted to the same engine as calls over HTTP. */
 package wharfhinge.gateway.grpc;
--- a/gateway/src/main/java/wharfhinge/gateway/tls/BearerTokens.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/BearerTokens.java
@@ -15,9 +15,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Issues and verifies bearer tokens: {@code wh1.TENANT.EXPIRES.MAC}, with the expiry in seconds since 1970 and the MAC HMAC-SHA-256
- * over what precedes its dot, as base64url without padding. Whoever holds the key can issue them; neither key nor token is ever
- * logged. Thread-safe.
+ * Issues and verifies bearer tokens of the form {@code wh1.TENANT.EXPIRES.MAC}. EXPIRES is in seconds since 1970. MAC is the
+ * HMAC-SHA-256 of the text before the last dot, as base64url without padding. Anyone who holds the key can issue tokens.
+ * Neither the key nor a token is ever logged. Thread-safe.
  */
 public final class BearerTokens {
     private static final int MIN_KEY_BYTES = 32;
@@ -27,7 +27,7 @@
     private static final int MAC_GROUP = 4;
     private static final int MAX_HEADER_CHARS = 512;
 
-    /** A token is invalid; the message says what is wrong without showing the token. */
+    /** Thrown for an invalid token; the message describes the fault without showing the token. */
     public static final class InvalidTokenException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -40,10 +40,10 @@
     private final LongSupplier wallMillis;
 
     /**
-     * Verifies tokens by the key in that file.
+     * Reads the key from a file.
      *
      * @param wallMillis the wall clock, milliseconds since 1970
-     * @throws IOException where the file can't be read or holds no key of 32 bytes or more
+     * @throws IOException if the file can't be read or holds fewer than 32 bytes
      */
     public BearerTokens(Path keyFile, LongSupplier wallMillis) throws IOException {
         this.key = Files.readAllBytes(keyFile);
@@ -54,13 +54,13 @@
         }
     }
 
-    /** A new token; for those who issue them, and tests. */
+    /** Issues a token; used by token issuers and tests, not by the gateway itself. */
     public String issue(String tenant, long expiresAtSeconds) {
         String head = "wh1." + tenant + '.' + expiresAtSeconds;
         return head + '.' + mac(head);
     }
 
-    /** The tenant of an {@code authorization} header, or null where there is none. */
+    /** The tenant of an {@code authorization} header, or null if the header is absent. */
     public String tenantOf(String authorization) throws InvalidTokenException {
         if (authorization == null) {
             return null;
@@ -75,10 +75,8 @@
                     "authorization: found a token of another form, allowed: wh1.TENANT.EXPIRES.MAC");
         }
         byte[] expectedMac = mac(token.group(1)).getBytes(StandardCharsets.US_ASCII);
-        if (!MessageDigest.isEqual(
-                expectedMac,
-                token.group(MAC_GROUP)
-                        .getBytes(StandardCharsets.US_ASCII))) { // first: nothing of a forged one is shown
+        // The MAC is checked before the other fields, so that no message shows a part of a forged token.
+        if (!MessageDigest.isEqual(expectedMac, token.group(MAC_GROUP).getBytes(StandardCharsets.US_ASCII))) {
             throw new InvalidTokenException("authorization: found a token whose MAC is wrong");
         }
         long expiresAtSeconds = Long.parseLong(token.group(EXPIRES_GROUP));
@@ -97,7 +95,7 @@
                     .withoutPadding()
                     .encodeToString(mac.doFinal(text.getBytes(StandardCharsets.UTF_8)));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("HmacSHA256, which every JDK has, is not available", e);
+            throw new IllegalStateException("HmacSHA256 is not available, although every JDK must provide it", e);
         }
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/tls/CallAuthenticator.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/CallAuthenticator.java
@@ -3,17 +3,17 @@
 import java.util.regex.Pattern;
 import javax.net.ssl.SSLSession;
 
-/** Authenticates a call: what the connection and the token prove against the tenant that the call claims. Thread-safe. */
+/** Authenticates calls: compares the tenant that certificate and token prove with the tenant that the call claims. Thread-safe. */
 public final class CallAuthenticator {
     private static final Pattern TENANT_NAME = Pattern.compile("[A-Za-z0-9._-]{1,64}");
 
-    private final BearerTokens tokens; // null where none are taken
+    private final BearerTokens tokens; // null if tokens are not accepted
     private final boolean proofRequired;
 
     /**
-     * Authenticates by certificates and, where {@code tokens} is not null, by tokens.
+     * Creates an authenticator that accepts certificates and, if {@code tokens} is not null, tokens.
      *
-     * @param proofRequired a call that proves no tenant is rejected
+     * @param proofRequired whether a call that proves no tenant is rejected
      */
     public CallAuthenticator(BearerTokens tokens, boolean proofRequired) {
         this.tokens = tokens;
@@ -28,15 +28,15 @@
         OTHER_TENANT
     }
 
-    /** The tenant of a call, or the fault and a message for the client. */
+    /** The authenticated tenant, or the fault and a message for the client. */
     public record Authentication(String tenant, Fault fault, String message) {}
 
     /**
      * Authenticates a call.
      *
-     * @param session       of the connection, or null without TLS
-     * @param authorization the header, or null
-     * @param claimedTenant       the tenant that the call names, or null
+     * @param session       the connection's TLS session, or null without TLS
+     * @param authorization the {@code authorization} header, or null
+     * @param claimedTenant the tenant that the call names, or null
      */
     public Authentication authenticate(SSLSession session, String authorization, String claimedTenant) {
         String provenTenant = session == null ? null : TlsContext.tenantOf(session);
--- a/gateway/src/main/java/wharfhinge/gateway/tls/InvalidCredentialsException.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/InvalidCredentialsException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A certificate, key or list of the settings can't be used; the message names the file, what was found and what is allowed. */
+/** Thrown if a configured certificate, key or revocation list is unusable; the message names the file and the fault. */
 public final class InvalidCredentialsException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/wharfhinge/gateway/tls/RevocationList.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/RevocationList.java
@@ -23,25 +23,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Rejects clients whose certificate is in a file of certificate revocation lists (CRL), which is reloaded when it changes.
+ * Rejects clients whose certificate is in a file of certificate revocation lists (CRLs), which is reloaded when it changes.
  *
- * <p>Each list must be signed by one of the authorities of clients' certificates, else whoever writes the file could lock
- * clients out. On a file that can't be used the previous version is kept, with a warning. Thread-safe.
+ * <p>Each list must be signed by one of the authorities that sign client certificates, else anyone who can write the file could
+ * lock clients out. If a changed file is unusable, the previous lists stay in effect and a warning is logged. Thread-safe.
  */
 final class RevocationList implements SslSocketAndEnginePeerVerifier {
     private static final Logger LOG = LoggerFactory.getLogger(RevocationList.class);
 
-    private final Path file; // null where there is none
+    private final Path file; // null if no list is configured
     private final Path authorities;
-    private FileTime loadedModificationTime; // this and the lists are guarded by this
+    private FileTime loadedModificationTime; // guarded by this, as are the lists
     private List<X509CRL> lists = List.of();
 
     /**
      * Loads the file.
      *
-     * @param file        null where nothing is revoked
-     * @param authorities certificates of the authorities that may sign
-     * @throws IOException where the file can't be used; later faults only warn
+     * @param file        the revocation lists, or null if none is configured
+     * @param authorities the certificates of the authorities that may sign the lists
+     * @throws IOException if the file is unusable; faults in later reloads are only logged
      */
     RevocationList(Path file, Path authorities) throws IOException, GeneralSecurityException {
         this.file = file;
@@ -95,8 +95,8 @@
         X509Certificate[] trusted;
         List<X509CRL> loaded = new ArrayList<>();
         try (InputStream in = Files.newInputStream(file);
-                InputStream from = Files.newInputStream(authorities)) {
-            trusted = CertificateUtils.getX509Certificates(from);
+                InputStream authoritiesIn = Files.newInputStream(authorities)) {
+            trusted = CertificateUtils.getX509Certificates(authoritiesIn);
             CertificateFactory.getInstance("X.509").generateCRLs(in).forEach(list -> loaded.add((X509CRL) list));
         }
         if (loaded.isEmpty()) {
@@ -120,7 +120,7 @@
             list.verify(authority.getPublicKey());
             return authority.getSubjectX500Principal().equals(list.getIssuerX500Principal());
         } catch (GeneralSecurityException e) {
-            return false; // by another
+            return false; // signed by another authority
         }
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/tls/TlsContext.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/TlsContext.java
@@ -37,10 +37,11 @@
 import wharfhinge.config.GatewayConfig;
 
 /**
- * The gateway's certificate and the authorities it trusts, for both protocols.
+ * The TLS configuration of the HTTP and gRPC listeners: the gateway's certificate and the authorities it trusts.
  *
- * <p>A thread of its own checks the files each second and reloads those that changed: new connections get the new certificate,
- * established ones go on. On a file that can't be used the previous version is kept, with a warning.
+ * <p>A dedicated thread checks the files every second and reloads those that changed. New connections use the new certificate;
+ * established connections are not affected. If a changed file is unusable, the previous version stays in effect and a warning
+ * is logged.
  */
 public final class TlsContext implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(TlsContext.class);
@@ -61,9 +62,9 @@
     });
 
     /**
-     * Loads the files of the settings.
+     * Loads the configured files.
      *
-     * @throws InvalidCredentialsException where one can't be used
+     * @throws InvalidCredentialsException if one of them is unusable
      */
     public TlsContext(GatewayConfig.Tls settings) throws InvalidCredentialsException {
         try {
@@ -103,7 +104,10 @@
         void run() throws GeneralSecurityException, IOException;
     }
 
-    /** Loads now, and again after one of the files changed: a certificate and its key change one after the other. */
+    /**
+     * Loads now, and again whenever one of the files changes. A failed reload is retried, since a certificate and its key are
+     * replaced one after the other.
+     */
     private void loadAndWatch(Load load, Path... files) throws GeneralSecurityException, IOException {
         List<FileTime> loaded = new ArrayList<>(modificationTimes(files));
         load.run();
@@ -126,7 +130,7 @@
                 TimeUnit.SECONDS);
     }
 
-    /** Loads a certificate and its key; a pair that does not match is rejected, since its handshakes would fail. */
+    /** Loads a certificate chain and its key. A pair that does not match is rejected, since every handshake would fail. */
     private static void loadIdentity(AdvancedTlsX509KeyManager keys, Path certificates, Path key)
             throws GeneralSecurityException, IOException {
         X509Certificate[] chain;
@@ -157,12 +161,12 @@
         return times;
     }
 
-    /** For the listeners of both protocols. */
+    /** The context for the HTTP and gRPC listeners. */
     public SslContext context() {
         return context;
     }
 
-    /** The tenant that a connection's certificate names (its CN), or null where the client presented none. */
+    /** The common name (CN) of the client's certificate, which is its tenant, or null if the client presented none. */
     public static String tenantOf(SSLSession session) {
         try {
             Certificate[] peerCertificates = session.getPeerCertificates();
--- a/gateway/src/main/java/wharfhinge/gateway/tls/package-info.java
+++ b/gateway/src/main/java/wharfhinge/gateway/tls/package-info.java
@@ -1,2 +1,2 @@
-/** Authenticates clients by certificate and token, and holds the gateway's own certificate. */
+/** Authentication of clients by certificate and bearer token, and the TLS configuration of the gateway's listeners. */
 package wharfhinge.gateway.tls;
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/AttemptOutcomeMapping.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/AttemptOutcomeMapping.java
@@ -6,40 +6,44 @@
 import wharfhinge.protocol.CopyNote;
 
 /**
- * How an exchange with a worker can end on the wire, and the outcome that each end is mapped to. This is the one table;
- * docs/protocol-worker.md shows it. An outcome that proves that the call was never executed may be used only where the wire
- * proves it: nothing of the call was sent, or the worker said that it did not and will not process it (RFC 9113, 6.8 and 8.7).
+ * The ways in which an exchange with a worker can end on the wire, and the outcome that each is mapped to. This is the only
+ * mapping; docs/protocol-worker.md documents it. An outcome that proves that the call was not executed may be used only where
+ * the wire proves it: nothing of the call was sent, or the worker stated that it has not processed the stream and will not
+ * (RFC 9113, 6.8 and 8.7).
  */
 enum AttemptOutcomeMapping {
-    /** The worker responded; the response's own headers decide. */
+    /** The worker responded; the outcome is taken from the response's headers. */
     RESPONSE_RECEIVED("answered", null, false),
-    /** No connection in time, refused, all saturated, or the worker began to drain before anything was sent. */
+    /**
+     * Nothing was sent: the connect attempt timed out or was refused, all connections were saturated, or the worker began to
+     * drain.
+     */
     CONNECT_FAILED("not-connected", Outcome.CONNECT_FAILED, true),
-    /** The headers could not be written: the connection was gone before they were on it. */
+    /** The connection was lost before the request's headers were written. */
     WRITE_FAILED("not-written", Outcome.CONNECT_FAILED, true),
-    /** Its client left before anything was sent; nobody receives an answer that rests on it. */
+    /** The client cancelled before anything was sent; no answer depends on the outcome. */
     CANCELLED_UNSENT("withdrawn", Outcome.CANCELLED, false),
-    /** Its deadline passed before anything was sent. */
+    /** The deadline passed before anything was sent. */
     DEADLINE_EXCEEDED_UNSENT("too-late", Outcome.SUPERSEDED, true),
-    /** A stream reset with REFUSED_STREAM: the worker has not processed it. */
+    /** The worker reset the stream with REFUSED_STREAM: it has not processed the request. */
     STREAM_REFUSED("stream-refused", Outcome.SATURATED, true),
-    /** GOAWAY with a last stream below this one's: the worker will not process it. */
+    /** The worker sent GOAWAY with a last stream ID below this stream's: it will not process the request. */
     GOAWAY_RECEIVED("gone-away", Outcome.SATURATED, true),
-    /** A stream reset with another code, after the headers were sent. */
+    /** The stream was reset with another error code after the headers were sent. */
     STREAM_RESET("stream-reset", Outcome.RESET, false),
     /** The connection was lost after the headers were sent. */
     CONNECTION_LOST("connection-lost", Outcome.RESET, false),
-    /** The response is over the size limit; it was cut off. */
+    /** The response exceeded the size limit; the gateway reset the stream. */
     RESPONSE_TOO_LARGE("too-large", Outcome.ERROR, false),
     /** No response to a probe or a load within its timeout. */
     TIMED_OUT("timed-out", Outcome.TIMEOUT, false);
 
-    private final String word;
+    private final String reason;
     private final Outcome outcome;
     private final boolean provesNotExecuted;
 
-    AttemptOutcomeMapping(String word, Outcome outcome, boolean provesNotExecuted) {
-        this.word = word;
+    AttemptOutcomeMapping(String reason, Outcome outcome, boolean provesNotExecuted) {
+        this.reason = reason;
         this.outcome = outcome;
         this.provesNotExecuted = provesNotExecuted;
     }
@@ -48,12 +52,12 @@
         return provesNotExecuted;
     }
 
-    /** The outcome of an exchange that ended so; {@code status} and {@code code} count only for a response. */
+    /** The outcome of an exchange that ended this way; {@code status} and {@code code} are used only for a response. */
     Outcome outcome(int status, AnswerCode code) {
         if (this != RESPONSE_RECEIVED) {
             return outcome;
         }
-        if (code == null) { // a peer without the protocol's headers proves nothing
+        if (code == null) { // without the protocol's headers only the HTTP status is known
             return status >= 200 && status < 300 ? Outcome.SERVED : Outcome.ERROR;
         }
         return switch (code) {
@@ -74,8 +78,8 @@
         };
     }
 
-    /** As it stands in the access log and in the client protocol's reason. */
-    String word() {
-        return word;
+    /** The name used in the access log and in the reason header of the client protocol. */
+    String reason() {
+        return reason;
     }
 }
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/Exchange.java
@@ -15,8 +15,8 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /**
- * One request to a worker and its response. Confined to its pool's event loop once started; owns the request's body until it
- * is sent and the response's until it is handed on.
+ * One request to a worker and its response. Confined to its pool's event loop once started. Owns the request body until it is
+ * sent, and the response body until it is passed to the listener.
  */
 final class Exchange {
     private static final int MAX_COMPONENTS = 256;
@@ -25,7 +25,7 @@
     private final LongSupplier nanoTime;
     private final long startedAt;
     private final Consumer<WorkerTransport.ExchangeResult> onCompleted;
-    private final Consumer<WorkerResponseStream> onStreamStarted; // null where the response is not streamed
+    private final Consumer<WorkerResponseStream> onStreamStarted; // null unless the response is streamed
     private final BooleanSupplier clientCancelled;
     private ByteBuf body;
     private boolean completed;
@@ -33,12 +33,12 @@
     private boolean hasDeadline;
     private WorkerResponseHead responseHead = WorkerResponseHead.NONE;
     private CompositeByteBuf responseBody;
-    private WorkerConnection connection; // null until it is sent, as is the stream
+    private WorkerConnection connection; // null until the request is sent, as is the stream
     private Http2FrameStream stream;
     private WorkerResponseStream responseStream; // null unless a streamed response has started
     private Future<?> timeout;
 
-    /** Takes ownership of {@code body}, which may be null; {@code onStreamStarted} is null where nothing streams. */
+    /** Takes ownership of {@code body}, which may be null; {@code onStreamStarted} is null unless the response is streamed. */
     Exchange(
             Http2Headers request,
             ByteBuf body,
@@ -55,7 +55,7 @@
         this.clientCancelled = clientCancelled;
     }
 
-    /** A request without a body, for no client: a probe, a load or an unload. */
+    /** Creates a request without a body that belongs to no client call: a probe, a load or an unload. */
     static Exchange control(
             Http2Headers request, LongSupplier nanoTime, Consumer<WorkerTransport.ExchangeResult> onCompleted) {
         return new Exchange(request, null, nanoTime, onCompleted, null, () -> false);
@@ -65,7 +65,7 @@
         return request;
     }
 
-    /** Whether there is nobody left to send it for. */
+    /** Whether the client has cancelled the call, so that the request need not be sent. */
     boolean isClientCancelled() {
         return clientCancelled.getAsBoolean();
     }
@@ -74,31 +74,31 @@
         return completed;
     }
 
-    /** When the gateway stops waiting, by its monotonic clock; the worker receives what is left of it. */
+    /** Sets the deadline on the gateway's monotonic clock; the worker receives the time remaining until then. */
     void setDeadline(long deadlineNanos) {
         deadlineAt = deadlineNanos;
         hasDeadline = true;
     }
 
-    /** Writes the time that is left into the request, which is about to be sent; false where none is left. */
+    /** Writes the remaining time into the request's headers right before sending; returns false if none remains. */
     boolean writeRemainingDeadline() {
         if (!hasDeadline) {
             return true;
         }
-        long leftNanos = deadlineAt - nanoTime.getAsLong();
-        request.setLong(WorkerProtocol.DEADLINE_MS, Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos)));
-        return leftNanos > 0;
+        long remainingNanos = deadlineAt - nanoTime.getAsLong();
+        request.setLong(WorkerProtocol.DEADLINE_MS, Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos)));
+        return remainingNanos > 0;
     }
 
-    /** Is cancelled when the exchange ends. */
+    /** Sets the timeout task, which is cancelled when the exchange ends. */
     void setTimeout(Future<?> scheduled) {
         timeout = scheduled;
     }
 
-    /** It goes out on that stream. */
-    void onSent(WorkerConnection over, Http2FrameStream as) {
-        connection = over;
-        stream = as;
+    /** Records the connection and the stream on which the request is sent. */
+    void onSent(WorkerConnection usedConnection, Http2FrameStream usedStream) {
+        connection = usedConnection;
+        stream = usedStream;
     }
 
     boolean isSent() {
@@ -124,10 +124,10 @@
         if (responseHead == WorkerResponseHead.NONE) {
             responseHead = new WorkerResponseHead(headers);
             responseHead.parseStatus();
-        } // later ones are trailers, which the protocol does not use
+        } // later header frames are trailers, which the protocol does not use
     }
 
-    /** Whether the response that has started is to be passed on as it comes. */
+    /** Whether the response has started and is to be streamed to the client. */
     boolean shouldStartStream() {
         return onStreamStarted != null
                 && responseStream == null
@@ -140,12 +140,12 @@
         onStreamStarted.accept(responseStream);
     }
 
-    /** The streamed response, or null. */
+    /** The streamed response, or null if none has started. */
     WorkerResponseStream responseStream() {
         return responseStream;
     }
 
-    /** Appends a part of the response, taking ownership; false where it is over the limit. */
+    /** Appends a part of the response body, taking ownership; returns false if the body exceeds the limit. */
     boolean appendBody(ByteBuf part, int maxBytes) {
         if (responseBody == null) {
             responseBody = part.alloc().compositeBuffer(MAX_COMPONENTS);
@@ -154,7 +154,7 @@
         return responseBody.readableBytes() <= maxBytes;
     }
 
-    /** Ends it and reports the result; the first call counts. */
+    /** Ends the exchange and reports the result; only the first invocation has an effect. */
     void complete(AttemptOutcomeMapping end) {
         if (completed) {
             return;
@@ -169,7 +169,7 @@
                 nanoTime.getAsLong() - startedAt,
                 responded ? responseBody : null,
                 responseHead.contentType(),
-                responded ? responseHead.reason() : end.word());
+                responded ? responseHead.reason() : end.reason());
         if (responded) {
             responseBody = null; // the result owns it
         }
@@ -180,7 +180,7 @@
         onCompleted.accept(result);
     }
 
-    /** Ends it without a result: it was cancelled. All that it still owns is released here. */
+    /** Ends the exchange without reporting a result, and releases the buffers that it still owns. */
     void discard() {
         completed = true;
         if (timeout != null) {
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/HttpWorkerTransport.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/HttpWorkerTransport.java
@@ -19,8 +19,8 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /**
- * Talks to the workers over HTTP/2 without TLS: a pool of connections for each worker, each pool on one I/O event loop. Any
- * thread may call; each method only enqueues there.
+ * Sends requests to workers over HTTP/2 without TLS, with one connection pool per worker, each confined to one I/O event loop.
+ * Thread-safe: each method only submits a task to the pool's event loop.
  */
 public final class HttpWorkerTransport implements WorkerTransport {
     private static final long MIN_SWEEP_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
@@ -31,10 +31,10 @@
     private final Class<? extends Channel> channelType;
     private final LongSupplier nanoTime;
     private final Map<String, WorkerConnectionPool> pools = new ConcurrentHashMap<>();
-    private final Set<String> drainingWorkers = ConcurrentHashMap.newKeySet(); // a pool made later must know
-    private final Map<String, String> incarnations = new ConcurrentHashMap<>(); // by worker, sent with each request
+    private final Set<String> drainingWorkers = ConcurrentHashMap.newKeySet(); // applied to new pools
+    private final Map<String, String> incarnations = new ConcurrentHashMap<>(); // by worker; sent with each request
 
-    /** Uses {@code group}, which the caller still owns. */
+    /** Runs the pools on {@code group}, which the caller continues to own. */
     public HttpWorkerTransport(
             GatewayConfig config, EventLoopGroup group, Class<? extends Channel> channel, LongSupplier nanoTime) {
         this.config = config;
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnection.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnection.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One HTTP/2 connection to a worker: a stream for each exchange. Confined to its pool's event loop. */
+/** One HTTP/2 connection to a worker, with one stream per exchange. Confined to its pool's event loop. */
 final class WorkerConnection extends Http2ChannelDuplexHandler {
     private static final int CONNECTION_WINDOW_INCREMENT_BYTES = 1 << 20;
 
@@ -67,7 +67,7 @@
         return open.size();
     }
 
-    /** How long it has carried nothing, in nanoseconds; 0 while it carries something. */
+    /** How long the connection has had no active stream, in nanoseconds; 0 while it has one. */
     long idleNanos() {
         return open.isEmpty() ? System.nanoTime() - idleSince : 0;
     }
@@ -80,7 +80,7 @@
         ctx.executor().execute(task);
     }
 
-    /** Sends an exchange; from here on only the wire can prove that it was not executed. */
+    /** Sends an exchange; from here on only its end on the wire can prove that the call was not executed. */
     void open(Exchange exchange) {
         Http2FrameStream stream = newStream();
         exchange.onSent(this, stream);
@@ -110,7 +110,7 @@
         exchange.discard();
     }
 
-    /** A streamed part was passed on: the worker may send as much more. */
+    /** Extends the stream's flow-control window by bytes that were consumed. */
     void onPartConsumed(Exchange exchange, int bytes) {
         if (open.containsKey(exchange.stream()) && ctx.channel().isActive()) {
             ctx.writeAndFlush(new DefaultHttp2WindowUpdateFrame(bytes).stream(exchange.stream()));
@@ -181,7 +181,7 @@
                 onPartConsumed(exchange, padding);
             }
         } else {
-            // also for streams no longer known: the connection's window must not shrink
+            // also for streams that have ended, else the connection's flow-control window would shrink
             ctx.write(new DefaultHttp2WindowUpdateFrame(bytes).stream(frame.stream()));
             if (exchange != null && !exchange.appendBody(frame.content().retain(), maxResponseBytes)) {
                 reset(exchange);
@@ -236,7 +236,7 @@
         if (event instanceof Http2FrameStreamEvent change && change.type() == Http2FrameStreamEvent.Type.State) {
             Exchange exchange = open.get(change.stream());
             if (exchange != null && change.stream().state() == Http2Stream.State.CLOSED) {
-                // the frame that closed it arrives after this event; an exchange still open then has lost its stream
+                // the frame that closed the stream arrives after this event; an exchange still open then was reset
                 execute(() -> complete(exchange, AttemptOutcomeMapping.STREAM_RESET));
             }
         }
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnectionPool.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerConnectionPool.java
@@ -18,8 +18,8 @@
 import wharfhinge.config.GatewayConfig;
 
 /**
- * The connections to one worker, confined to one event loop, so that none of it needs a lock. The queue for a connection is
- * bounded by the calls in flight, and nothing waits longer than the connect timeout.
+ * The connections to one worker, confined to one event loop, so that no locks are needed. The queue of exchanges waiting for a
+ * connection is bounded by the calls in flight, and no exchange waits longer than the connect timeout.
  */
 final class WorkerConnectionPool {
     private static final int STREAM_WINDOW_BYTES = 1 << 18;
@@ -57,7 +57,7 @@
         return eventLoop;
     }
 
-    /** Sends it now, or once a connection is established. */
+    /** Sends an exchange now, or queues it until a connection is established. */
     void start(Exchange exchange) {
         if (exchange.isCompleted()) {
             return;
@@ -74,7 +74,7 @@
         sendWaiting();
     }
 
-    /** Ends an exchange without a result, sent or not. */
+    /** Ends an exchange without a result, whether it was sent or not. */
     void cancel(Exchange exchange) {
         if (exchange.isSent()) {
             exchange.connection().cancel(exchange);
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Completes it as cancelled unless it was sent. */
+    /** Completes an exchange as cancelled unless it was sent. */
     void cancelIfUnsent(Exchange exchange) {
         if (!exchange.isSent() && !exchange.isCompleted()) {
             waiting.remove(exchange);
@@ -144,7 +144,7 @@
         });
         connect.connect().addListener((ChannelFuture connected) -> {
             if (!connected.isSuccess()) {
-                // without a socket (EMFILE, ENFILE, ENOBUFS) this runs on another thread
+                // if no socket could be created (EMFILE, ENFILE, ENOBUFS), this listener runs on another thread
                 eventLoop.execute(() -> removeFailed(connection));
             }
         });
@@ -201,15 +201,15 @@
     }
 
     void onConnectionClosed(WorkerConnection connection) {
-        boolean known = connections.remove(connection);
-        if (known && !connection.isEstablished()) {
+        boolean removed = connections.remove(connection);
+        if (removed && !connection.isEstablished()) {
             onConnectFailed();
         } else if (!waiting.isEmpty()) {
             sendWaiting();
         }
     }
 
-    /** Nothing new is sent; what is not on the wire ends now, and idle connections close. */
+    /** Stops sending: exchanges that are not yet sent fail, and idle connections are closed. */
     void drain() {
         draining = true;
         failWaiting();
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseHead.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseHead.java
@@ -7,15 +7,15 @@
 import wharfhinge.protocol.LoadReport;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** The headers of a worker's response, as docs/protocol-worker.md has them; all fields have a default where one is absent. */
+/** The headers of a worker's response, as specified in docs/protocol-worker.md; an absent header has a default value. */
 final class WorkerResponseHead {
-    /** Before any header came. */
+    /** The head of a response whose headers have not been received. */
     static final WorkerResponseHead NONE = new WorkerResponseHead();
 
     private static final int STATUS_DIGITS = 3;
     private static final int MAX_NUMBER_DIGITS = 6;
 
-    private final Http2Headers headers; // null in NONE alone
+    private final Http2Headers headers; // null only in NONE
     private int status;
 
     private WorkerResponseHead() {
@@ -26,7 +26,7 @@
         this.headers = headers;
     }
 
-    /** Reads the status; one that is not a number throws, which closes the connection. */
+    /** Parses the status; a status that is not a number throws an exception, which closes the connection. */
     void parseStatus() {
         CharSequence text = headers.status();
         status = text == null || text.length() != STATUS_DIGITS ? 0 : Integer.parseInt(text.toString());
@@ -36,12 +36,12 @@
         return headers == null ? null : headers.get(name);
     }
 
-    /** The HTTP status, or 0. */
+    /** The HTTP status, or 0 if absent. */
     int status() {
         return status;
     }
 
-    /** The worker's own word on the outcome, or null. */
+    /** The outcome that the worker reports, or null if absent. */
     AnswerCode code() {
         return headers == null ? null : AnswerCode.of(header(WorkerProtocol.OUTCOME));
     }
@@ -54,22 +54,22 @@
         return headers == null ? Map.of() : LoadReport.parse(header(WorkerProtocol.REPORT));
     }
 
-    /** How many calls ran on the worker beside this one, or 0. */
+    /** How many other calls ran on the worker at the same time, or 0 if absent. */
     int concurrentOnWorker() {
         return number(WorkerProtocol.COMPANY);
     }
 
-    /** How many copies of the function are loaded, or 0. */
+    /** How many copies of the function are loaded, or 0 if absent. */
     int loadedCopies() {
         return number(WorkerProtocol.COUNT);
     }
 
-    /** The content type, or null. */
+    /** The content type, or null if absent. */
     CharSequence contentType() {
         return header("content-type");
     }
 
-    /** The reason as the access log and the client protocol have it: the outcome's word, then the note's. */
+    /** The reason for the access log and the client protocol: the reported outcome, followed by the note if there is one. */
     String reason() {
         AnswerCode code = code();
         CopyNote note = note();
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseStream.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseStream.java
@@ -6,8 +6,8 @@
 import wharfhinge.engine.WorkerTransport;
 
 /**
- * A streamed response on its way to its client. What is buffered here is bounded by the stream's flow-control window: the
- * worker may send more only once the consumer reports that a part was passed on. Confined to the connection's event loop.
+ * A worker's streamed response. The buffered parts are bounded by the stream's flow-control window: the worker may send more
+ * only once the consumer reports that it has consumed a part. Confined to the connection's event loop.
  */
 final class WorkerResponseStream implements WorkerTransport.ResponseStream {
     private final Exchange exchange;
@@ -49,7 +49,7 @@
         return contentType;
     }
 
-    /** Takes ownership of a part. */
+    /** Delivers a part, or buffers it until there is a consumer. Takes ownership of the part. */
     void onData(ByteBuf part) {
         if (consumer == null) {
             bufferedParts.add(part);
@@ -64,7 +64,7 @@
                 .execute(() -> exchange.connection().onPartConsumed(exchange, bytes)));
     }
 
-    /** The response is complete, or the worker broke off. */
+    /** Ends the stream; {@code isComplete} is false if the worker ended it early. */
     void onEnd(boolean isComplete) {
         ended = true;
         complete = isComplete;
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/package-info.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** Connections to the workers: a pool for each worker, each on one I/O event loop, so that none of it needs a lock. */
+/** Connections to the workers: one pool per worker, each confined to one I/O event loop, so that no locks are needed. */
 package wharfhinge.gateway.upstream;
--- a/gateway/src/test/java/wharfhinge/gateway/upstream/AttemptOutcomeMappingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/upstream/AttemptOutcomeMappingTest.java
@@ -68,7 +68,7 @@
         "TIMED_OUT,timed-out"
     })
     void word_isThatOfTheProtocol(AttemptOutcomeMapping end, String word) {
-        assertEquals(word, end.word());
+        assertEquals(word, end.reason());
     }
 
     @Test
