--- a/client-core/src/main/java/wharfhinge/client/core/AttemptResult.java
+++ b/client-core/src/main/java/wharfhinge/client/core/AttemptResult.java
@@ -1,17 +1,17 @@
 package wharfhinge.client.core;
 
-/** The result of one attempt, as both transports report it. */
+/** The result of one attempt, as reported by a transport. */
 public enum AttemptResult {
-    /** A worker's answer came. */
+    /** A worker's answer was received. */
     SERVED,
-    /** The gateway refused: nothing of it ran that matters. */
+    /** The gateway rejected the call: a retry is harmless. */
     REFUSED,
-    /** The gateway failed it: it may have run. */
+    /** The gateway reported a failure: the call was possibly executed. */
     FAILED,
-    /** The gateway found the call itself invalid; a retry would be as invalid. */
+    /** The gateway found the call invalid; a retry would be invalid too. */
     INVALID,
-    /** The connection or stream broke, or could not be made, before the call was on its way: it did not run. */
+    /** The connection or stream could not be opened, or was lost before the call was sent: the call was not executed. */
     NOT_SENT,
-    /** The connection or stream broke after the call was on its way: it may have run. */
+    /** The connection or stream was lost after the call was sent: the call was possibly executed. */
     BROKEN
 }
--- a/client-core/src/main/java/wharfhinge/client/core/CallPlan.java
+++ b/client-core/src/main/java/wharfhinge/client/core/CallPlan.java
@@ -1,21 +1,21 @@
 package wharfhinge.client.core;
 
 /**
- * What a client's decisions need to know of a call.
+ * The properties of a call that a client's decisions depend on.
  *
- * @param deadlineNanos how long the caller waits, for all tries together
- * @param idempotent       a repeat is harmless even where the call may have run
- * @param hedge      a second copy may be sent while the first is still out; only of safe calls
+ * @param deadlineNanos time limit for all attempts together, from the start of the call
+ * @param idempotent    whether a retry is harmless even if the call was possibly executed
+ * @param hedge         whether a hedged request may be sent while the first attempt is in flight; only for idempotent calls
  */
 public record CallPlan(long deadlineNanos, boolean idempotent, boolean hedge) {
-    /** Checks it. */
+    /** Validates the plan. */
     public CallPlan {
         if (deadlineNanos <= 0) {
             throw new IllegalArgumentException("deadline: found " + deadlineNanos + " ns, allowed: above 0");
         }
         if (hedge && !idempotent) {
             throw new IllegalArgumentException(
-                    "hedge: found on a call that is not safe to repeat, allowed: on safe ones");
+                    "hedge: found on a call that is not idempotent, allowed: on idempotent calls");
         }
     }
 }
--- a/client-core/src/main/java/wharfhinge/client/core/CallResult.java
+++ b/client-core/src/main/java/wharfhinge/client/core/CallResult.java
@@ -1,49 +1,49 @@
 package wharfhinge.client.core;
 
 /**
- * A call's one final answer.
+ * The final result of a call.
  *
- * @param mayHaveRun whether some worker may have run it
- * @param retryAfterNanos with REFUSED, when a repeat may be of use; 0 where nobody said
- * @param attempts      how many there were
- * @param reason     why, in a word, for logs
+ * @param mayHaveRun      whether a worker possibly executed the call
+ * @param retryAfterNanos with REFUSED, after what time a retry is advised; 0 if unknown
+ * @param attempts        how many attempts were made
+ * @param reason          the reason, for logs
  */
 public record CallResult(Kind kind, boolean mayHaveRun, long retryAfterNanos, int attempts, Reason reason) {
-    /** What the caller may do next. */
+    /** The outcome, which determines what the caller may do next. */
     public enum Kind {
-        /** Nothing, it has its answer. */
+        /** A worker's answer was received. */
         SERVED,
-        /** Come back: a repeat is harmless. */
+        /** Rejected: the caller may retry any call later. */
         REFUSED,
-        /** It may have run: a repeat is harmless only where the call is safe. */
+        /** Failed and possibly executed: a retry is harmless only if the call is idempotent. */
         FAILED,
-        /** The deadline passed; {@link CallResult#mayHaveRun} tells whether it may have run. */
+        /** The deadline passed; {@link CallResult#mayHaveRun} tells whether the call was possibly executed. */
         LATE,
-        /** Mend the call: it was never taken. */
+        /** The call is invalid and was not executed: the caller must correct it. */
         INVALID,
-        /** The caller itself gave it up. */
+        /** The caller cancelled the call, or the client was closed. */
         CANCELLED
     }
 
-    /** Why. */
+    /** The reason for the result. */
     public enum Reason {
-        /** The last try's end says it all. */
+        /** The gateway's answer to the last attempt is final. */
         ANSWERED,
-        /** Advice to come back, or the wait before the next try, ends after the deadline. */
+        /** The Retry-After or the backoff before the next attempt would end after the deadline. */
         NO_TIME_TO_COME_BACK,
-        /** The budget of further tries is spent. */
+        /** The retry budget is exhausted. */
         BUDGET_SPENT,
-        /** It may have run and is not safe. */
+        /** The call was possibly executed and is not idempotent. */
         UNSAFE,
-        /** Too many calls are open in this client. */
+        /** Too many calls are pending in this client. */
         TOO_MANY_OPEN,
-        /** There is no gateway in the list. */
+        /** The list of gateways is empty. */
         NO_GATEWAY,
-        /** A streamed answer broke off after it had begun: what came of it is not whole. */
+        /** A streamed answer ended early: the parts that were delivered are incomplete. */
         BROKE_OFF,
-        /** Time. */
+        /** The deadline passed. */
         DEADLINE,
-        /** The caller, or the client was closed. */
+        /** The caller cancelled the call, or the client was closed. */
         CALLER
     }
 }
--- a/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
+++ b/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
@@ -9,23 +9,25 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Every decision of a client: one deadline over all attempts, a retry budget, backoff with full jitter that honours Retry-After, no
- * retry of a call that may have run unless it is idempotent, the choice of a gateway, ejection, hedged requests, a limit on pending
- * calls. Gets events with their time (nanoseconds of a clock that never runs backwards) and answers with {@link Actions}; each call
- * ends exactly once. An action must not call back into this. One thread at a time.
+ * Makes all decisions of a client: one deadline for all attempts of a call, a retry budget, backoff with full jitter that honours
+ * Retry-After, no retry of a possibly executed call unless it is idempotent, choice and ejection of gateways, hedged requests, and a
+ * limit on pending calls.
+ *
+ * <p>Takes events with their time (nanoseconds of a monotonic clock) and responds with {@link Actions}. Each call ends exactly once.
+ * An action must not call back into this object. Not thread-safe.
  */
 public final class ClientDecisions {
 
-    /** The actions of a client, carried out by whoever drives the decisions. */
+    /** The actions of a client, executed by the owner of the decisions. */
     public interface Actions {
-        /** Sends an attempt; {@code remainingNanos} is what is left of the deadline. */
+        /** Sends an attempt; {@code remainingNanos} is the time until the deadline, {@code repeat} is true for a retry or hedge. */
         void sendAttempt(long call, int index, String gateway, long remainingNanos, boolean repeat);
 
         /** Abandons an attempt; its result, if reported, is ignored. */
         void abandonAttempt(long call, int index);
 
-        /** Completes the call; {@code index} is the attempt whose answer it is, or -1. */
-        void finish(long call, CallResult end, int index);
+        /** Completes the call; {@code index} is the attempt that determined the result, or -1. */
+        void finish(long call, CallResult result, int index);
 
         /** Requests {@link ClientDecisions#onTimer} after a delay. */
         void scheduleTimer(long call, int token, long delayNanos);
@@ -54,9 +56,9 @@
         private final List<Attempt> attempts = new ArrayList<>(2);
         private final Set<String> gatewaysTried = new LinkedHashSet<>();
         private boolean mayHaveRun;
-        private boolean streaming; // its answer has started: no retry and no deadline from now on
+        private boolean streaming; // the answer has started: no retry and no deadline from here on
         private boolean waitingForRetry;
-        private int retryTimerNumber; // of the last backoff; timers of earlier ones are ignored
+        private int retryTimerNumber; // of the latest backoff; timers of earlier ones are ignored
         private int failures;
 
         PendingCall(long id, CallPlan plan, long deadline) {
@@ -66,7 +68,7 @@
         }
 
         private long attemptsInFlight() {
-            return attempts.stream().filter(t -> !t.ended).count();
+            return attempts.stream().filter(attempt -> !attempt.ended).count();
         }
     }
 
@@ -76,7 +78,7 @@
     private final ClientPolicy policy;
     private final RandomGenerator random;
     private final Actions actions;
-    private final GatewayPool onGatewayList;
+    private final GatewayPool gatewayPool;
     private final Map<Long, PendingCall> calls = new HashMap<>();
     private double retryTokens;
     private long retries;
@@ -87,21 +89,21 @@
         this.policy = policy;
         this.random = random;
         this.actions = actions;
-        this.onGatewayList = new GatewayPool(policy, random);
+        this.gatewayPool = new GatewayPool(policy, random);
         this.retryTokens = policy.retryBurst();
     }
 
-    /** The list of gateways changed. */
+    /** Replaces the list of gateways. */
     public void onGatewayList(List<String> names) {
-        onGatewayList.onGatewayList(names);
+        gatewayPool.onGatewayList(names);
     }
 
-    /** Counters and gauges of a client. */
+    /** The current counters and gauges. */
     public Metrics metrics() {
-        return new Metrics(calls.size(), retryTokens, onGatewayList.ejectedCount(), retries, hedges);
+        return new Metrics(calls.size(), retryTokens, gatewayPool.ejectedCount(), retries, hedges);
     }
 
-    /** A new call under a new id. */
+    /** Starts a call; {@code id} must be new. */
     public void onCall(long now, long id, CallPlan plan) {
         if (calls.size() >= policy.maxPending()) {
             actions.finish(
@@ -121,7 +123,7 @@
         send(now, call);
     }
 
-    /** The caller cancelled a call. */
+    /** Cancels a call on behalf of the caller. */
     public void onCancelled(long now, long id) {
         PendingCall call = calls.get(id);
         if (call != null) {
@@ -129,7 +131,7 @@
         }
     }
 
-    /** A timer fired. */
+    /** Handles a timer that was requested by {@link Actions#scheduleTimer}. */
     public void onTimer(long now, long id, int token) {
         PendingCall call = calls.get(id);
         if (call == null || call.streaming) {
@@ -147,8 +149,8 @@
     }
 
     /**
-     * A streamed answer starts with this attempt: the deadline no longer runs, other attempts are abandoned, and there is no retry, since
-     * the caller has the first parts already. Returns false where the attempt was abandoned.
+     * Handles the start of a streamed answer: the deadline no longer applies, the other attempts are abandoned, and there is no retry,
+     * since the caller receives parts from now on. Returns false if the attempt was already abandoned.
      */
     public boolean onStreamStarted(long now, long id, int index) {
         PendingCall call = calls.get(id);
@@ -160,35 +162,35 @@
         return true;
     }
 
-    /** An attempt ended; {@code retryAfterNanos} is the gateway's Retry-After, 0 without one. */
-    public void onAttemptEnded(long now, long id, int index, AttemptResult end, long retryAfterNanos) {
+    /** Handles the end of an attempt; {@code retryAfterNanos} is the gateway's Retry-After, or 0 without one. */
+    public void onAttemptEnded(long now, long id, int index, AttemptResult result, long retryAfterNanos) {
         PendingCall call = calls.get(id);
         if (call == null || call.attempts.get(index).ended) {
             return;
         }
         Attempt attempt = call.attempts.get(index);
         attempt.ended = true;
-        onGatewayList.onAttemptEnded(
-                now, attempt.gateway, end != AttemptResult.BROKEN && end != AttemptResult.NOT_SENT);
-        if (call.streaming && end != AttemptResult.SERVED) {
+        gatewayPool.onAttemptEnded(
+                now, attempt.gateway, result != AttemptResult.BROKEN && result != AttemptResult.NOT_SENT);
+        if (call.streaming && result != AttemptResult.SERVED) {
             call.mayHaveRun = true;
             finish(now, call, CallResult.Kind.FAILED, CallResult.Reason.BROKE_OFF, 0, index);
             return;
         }
-        switch (end) {
+        switch (result) {
             case SERVED -> finish(now, call, CallResult.Kind.SERVED, CallResult.Reason.ANSWERED, 0, index);
             case INVALID -> finish(now, call, CallResult.Kind.INVALID, CallResult.Reason.ANSWERED, 0, index);
-            case REFUSED, NOT_SENT -> retryOrFinish(now, call, index, end, retryAfterNanos);
+            case REFUSED, NOT_SENT -> retryOrFinish(now, call, index, result, retryAfterNanos);
             case FAILED, BROKEN -> {
                 call.mayHaveRun = true;
-                retryOrFinish(now, call, index, end, 0);
+                retryOrFinish(now, call, index, result, 0);
             }
         }
     }
 
     private void send(long now, PendingCall call) {
         call.waitingForRetry = false;
-        String gateway = onGatewayList.choose(now, call.gatewaysTried, call.plan.idempotent());
+        String gateway = gatewayPool.choose(now, call.gatewaysTried, call.plan.idempotent());
         if (gateway == null) {
             finish(now, call, CallResult.Kind.REFUSED, CallResult.Reason.NO_GATEWAY, policy.backoffNanos(), -1);
             return;
@@ -202,8 +204,8 @@
         actions.sendAttempt(call.id, index, gateway, call.deadline - now, index > 0);
     }
 
-    /** An attempt ended without an answer: retries within budget and deadline, or ends the call. */
-    private void retryOrFinish(long now, PendingCall call, int index, AttemptResult end, long retryAfterNanos) {
+    /** Retries after an attempt without an answer if budget and deadline allow it, else ends the call. */
+    private void retryOrFinish(long now, PendingCall call, int index, AttemptResult result, long retryAfterNanos) {
         if (call.attemptsInFlight() > 0 || call.waitingForRetry) {
             return; // another attempt may still be answered, or a retry is scheduled
         }
@@ -217,7 +219,8 @@
             finish(now, call, kind, CallResult.Reason.BUDGET_SPENT, retryAfterNanos, index);
             return;
         }
-        boolean retryAtOnce = end == AttemptResult.NOT_SENT && call.failures == 0; // a connection fault, not overload
+        // an unsent attempt indicates a connection fault, not overload: no backoff the first time
+        boolean retryAtOnce = result == AttemptResult.NOT_SENT && call.failures == 0;
         long maxBackoffNanos =
                 Math.min(policy.maxBackoffNanos(), policy.backoffNanos() << Math.min(call.failures, MAX_DOUBLINGS));
         call.failures++;
@@ -239,7 +242,7 @@
         }
     }
 
-    /** An idempotent call's attempt got no answer for too long: it is abandoned, another gateway gets the call. */
+    /** Abandons an idempotent call's attempt that was not answered within the silence timeout, and retries elsewhere if possible. */
     private void onSilent(long now, PendingCall call, int index) {
         Attempt attempt = call.attempts.get(index);
         if (attempt.ended || retryTokens < 1 || call.attemptsInFlight() > 1) {
@@ -247,7 +250,7 @@
         }
         attempt.ended = true;
         call.mayHaveRun = true;
-        onGatewayList.onAttemptEnded(now, attempt.gateway, false);
+        gatewayPool.onAttemptEnded(now, attempt.gateway, false);
         actions.abandonAttempt(call.id, index);
         retryTokens--;
         retries++;
@@ -262,7 +265,7 @@
         }
     }
 
-    /** Abandons all attempts except one; returns whether any was in flight. */
+    /** Abandons all attempts except {@code except}; returns whether any was in flight. */
     private boolean abandonAttempts(long now, PendingCall call, int except, boolean deadlinePassed) {
         boolean anyInFlight = false;
         for (int i = 0; i < call.attempts.size(); i++) {
@@ -270,9 +273,9 @@
             if (!attempt.ended && i != except) {
                 attempt.ended = true;
                 anyInFlight = true;
-                boolean silent =
-                        deadlinePassed && now - attempt.sentAt >= policy.silentNanos(); // an answer was due by now
-                onGatewayList.onAttemptEnded(now, attempt.gateway, silent ? Boolean.FALSE : null);
+                // an attempt without an answer for so long counts as a failure of the gateway
+                boolean silent = deadlinePassed && now - attempt.sentAt >= policy.silentNanos();
+                gatewayPool.onAttemptEnded(now, attempt.gateway, silent ? Boolean.FALSE : null);
                 actions.abandonAttempt(call.id, i);
             }
         }
--- a/client-core/src/main/java/wharfhinge/client/core/ClientPolicy.java
+++ b/client-core/src/main/java/wharfhinge/client/core/ClientPolicy.java
@@ -1,17 +1,18 @@
 package wharfhinge.client.core;
 
 /**
- * What an operator sets of a client; times in nanoseconds.
+ * The settings of a client; times are in nanoseconds.
  *
- * @param maxPending       calls open at once; one beyond is refused by the client itself
- * @param retryTokensPerCall    tokens that a call adds to the budget of further tries and hedges, each of which takes one
- * @param retryBurst    most tokens held
- * @param backoffNanos     longest wait before the first further try; doubles with each, and the wait is drawn evenly from 0 to it
- * @param maxBackoffNanos where doubling ends
- * @param silentNanos      a safe call's try without an answer for so long is given up for another gateway
- * @param ejectAfter    tries in a row that broke or stayed silent at one gateway until it is left out
- * @param ejectNanos       for so long, until one call tries it; doubles each time, up to sixteen times
- * @param hedgeNanos       when a hedge is sent
+ * @param maxPending         maximum number of pending calls; the client itself rejects calls beyond it
+ * @param retryTokensPerCall tokens that each call adds to the retry budget; each retry or hedged request takes one
+ * @param retryBurst         maximum number of tokens in the retry budget
+ * @param backoffNanos       upper bound of the backoff before the first retry, doubled with each further retry; the backoff is drawn
+ *                           uniformly from 0 to the bound
+ * @param maxBackoffNanos    limit of the doubled upper bound
+ * @param silentNanos        time without an answer after which an attempt of an idempotent call is abandoned for a retry
+ * @param ejectAfter         consecutive attempts at a gateway that were broken, not sent or unanswered until it is ejected
+ * @param ejectNanos         time from an ejection until a trial; doubled after each failed trial, up to 16 times this value
+ * @param hedgeNanos         time after the start of a call at which a hedged request is sent
  */
 public record ClientPolicy(
         int maxPending,
@@ -23,12 +24,20 @@
         int ejectAfter,
         long ejectNanos,
         long hedgeNanos) {
-    private static final long MS = 1_000_000L;
-    /** For calls that take milliseconds to a second or two. */
-    public static final ClientPolicy DEFAULT =
-            new ClientPolicy(10_000, 0.2, 20, 20 * MS, 1000 * MS, 1000 * MS, 3, 1000 * MS, 500 * MS);
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** Default settings, for calls that take from milliseconds to about two seconds. */
+    public static final ClientPolicy DEFAULT = new ClientPolicy(
+            10_000,
+            0.2,
+            20,
+            20 * NANOS_PER_MILLI,
+            1000 * NANOS_PER_MILLI,
+            1000 * NANOS_PER_MILLI,
+            3,
+            1000 * NANOS_PER_MILLI,
+            500 * NANOS_PER_MILLI);
 
-    /** Checks it. */
+    /** Validates the settings. */
     public ClientPolicy {
         require("maxPending", maxPending, maxPending > 0, "above 0");
         require("retryTokensPerCall", retryTokensPerCall, retryTokensPerCall >= 0 && retryTokensPerCall <= 1, "0 to 1");
--- a/client-core/src/main/java/wharfhinge/client/core/GatewayPool.java
+++ b/client-core/src/main/java/wharfhinge/client/core/GatewayPool.java
@@ -8,12 +8,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses the gateway of an attempt: power of two random choices by own attempts in flight. A gateway that fails or stays silent several
- * times in a row is ejected for a while and then gets one trial call. Where all are ejected, all are candidates: a client that believes
- * that every gateway is down is more likely wrong itself. One thread at a time.
+ * Chooses the gateway of an attempt: the one of two random candidates that has fewer of this client's attempts in flight. A gateway
+ * that repeatedly fails or does not answer is ejected for some time and then gets one trial call. If all gateways are ejected, all are
+ * candidates, since a fault of the client or its network is then more likely than a failure of every gateway. Not thread-safe.
  */
 final class GatewayPool {
-    private static final int MAX_EJECTION_DOUBLINGS = 4; // doublings
+    private static final int MAX_EJECTION_DOUBLINGS = 4;
 
     private static final class GatewayState {
         private final String name;
@@ -39,7 +39,7 @@
         this.random = random;
     }
 
-    /** Replaces the list; attempts in flight at a removed gateway go on. */
+    /** Replaces the list; attempts in flight at a removed gateway continue. */
     void onGatewayList(List<String> names) {
         List<GatewayState> currentlyListed = new ArrayList<>();
         for (String name : new java.util.LinkedHashSet<>(names)) {
@@ -49,13 +49,16 @@
         states.values().removeIf(gateway -> gateway.inFlight == 0 && !currentlyListed.contains(gateway));
     }
 
-    /** One that is not among {@code tried} where there is another, or null where the list is empty. Trials are made by safe calls. */
-    String choose(long currentlyListed, Set<String> gatewaysTried, boolean trialAllowed) {
+    /**
+     * Chooses a gateway, preferably one that is not in {@code gatewaysTried}; returns null if the list is empty. Only idempotent
+     * calls may be a trial ({@code trialAllowed}).
+     */
+    String choose(long now, Set<String> gatewaysTried, boolean trialAllowed) {
         GatewayState dueForTrial = null;
         List<GatewayState> candidates = new ArrayList<>();
         for (GatewayState gateway : listed) {
             boolean untried = !gatewaysTried.contains(gateway.name);
-            if (gateway.ejected && trialAllowed && untried && !gateway.onTrial && currentlyListed >= gateway.trialAt) {
+            if (gateway.ejected && trialAllowed && untried && !gateway.onTrial && now >= gateway.trialAt) {
                 dueForTrial = dueForTrial == null ? gateway : dueForTrial;
             } else if (!gateway.ejected && untried) {
                 candidates.add(gateway);
@@ -89,8 +92,8 @@
         return gateway.name;
     }
 
-    /** A try there ended. {@code sound}: the gateway itself answered, whatever it said; null where it tells nothing. */
-    void onAttemptEnded(long currentlyListed, String name, Boolean healthy) {
+    /** Handles the end of an attempt; {@code healthy} is whether the gateway answered at all, or null if unknown. */
+    void onAttemptEnded(long now, String name, Boolean healthy) {
         GatewayState gateway = states.get(name);
         if (gateway == null) {
             return;
@@ -106,7 +109,7 @@
             if (gateway.onTrial || !gateway.ejected && gateway.consecutiveFailures >= policy.ejectAfter()) {
                 gateway.ejected = true;
                 gateway.onTrial = false;
-                gateway.trialAt = currentlyListed + (policy.ejectNanos() << gateway.ejectionDoublings);
+                gateway.trialAt = now + (policy.ejectNanos() << gateway.ejectionDoublings);
                 gateway.ejectionDoublings = Math.min(MAX_EJECTION_DOUBLINGS, gateway.ejectionDoublings + 1);
             }
         } else {
@@ -122,7 +125,7 @@
         return listed.stream().filter(gateway -> gateway.ejected).count();
     }
 
-    /** Own attempts in flight at a gateway. */
+    /** The number of this client's attempts in flight at a gateway. */
     int inFlight(String name) {
         GatewayState gateway = states.get(name);
         return gateway == null ? 0 : gateway.inFlight;
--- a/client-core/src/main/java/wharfhinge/client/core/package-info.java
+++ b/client-core/src/main/java/wharfhinge/client/core/package-info.java
@@ -1,2 +1,5 @@
-/** What a client decides, without clock, I/O, threads or draws of its own: told events and times, answers with actions. */
+/**
+ * The decision logic of a client: takes events with their times and responds with actions. It has no clock, I/O, threads or
+ * source of randomness of its own.
+ */
 package wharfhinge.client.core;
--- a/client-core/src/test/java/wharfhinge/client/core/Sim.java
+++ b/client-core/src/test/java/wharfhinge/client/core/Sim.java
@@ -8,79 +8,79 @@
 import java.util.Random;
 import java.util.function.Function;
 
-/** A client before scripted gateways, over simulated time. */
+/** Runs a client's decisions against scripted gateways in simulated time, and records violations of its rules. */
 final class Sim implements ClientDecisions.Actions {
     static final long MS = 1_000_000L;
 
-    /** How a gateway answers a try: after a time, or never. */
-    record Answer(AttemptResult end, long afterNanos, long adviceNanos) {
-        static Answer of(AttemptResult end, long afterMillis) {
-            return new Answer(end, afterMillis * MS, 0);
+    /** A gateway's answer to an attempt and the time until it. A script returns null for no answer. */
+    record Answer(AttemptResult result, long delayNanos, long retryAfterNanos) {
+        static Answer of(AttemptResult result, long delayMillis) {
+            return new Answer(result, delayMillis * MS, 0);
         }
     }
 
-    record Sent(long at, long call, int index, String gateway, long remainingNanos, boolean repeat) {}
+    record SentAttempt(long at, long call, int index, String gateway, long remainingNanos, boolean repeat) {}
 
-    private record Due(long at, long number, Runnable what) {}
+    private record ScheduledAction(long at, long sequence, Runnable action) {}
 
     final ClientDecisions client;
-    final List<Sent> sent = new ArrayList<>();
-    final Map<Long, CallResult> ends = new HashMap<>();
+    final List<SentAttempt> sent = new ArrayList<>();
+    final Map<Long, CallResult> results = new HashMap<>();
     final Map<Long, Long> endedAt = new HashMap<>();
-    final List<String> faults = new ArrayList<>();
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    private final Function<Sent, Answer> gateways;
-    private final java.util.Set<Long> unsafe = new java.util.HashSet<>();
-    private final java.util.Set<Long> ran = new java.util.HashSet<>();
-    private long number;
+    final List<String> violations = new ArrayList<>();
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(
+            (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+    private final Function<SentAttempt, Answer> gateways;
+    private final java.util.Set<Long> nonIdempotentCalls = new java.util.HashSet<>();
+    private final java.util.Set<Long> possiblyExecuted = new java.util.HashSet<>();
+    private long nextSequence;
     long now = 5 * MS;
 
-    Sim(ClientPolicy policy, long seed, Function<Sent, Answer> gateways) {
+    Sim(ClientPolicy policy, long seed, Function<SentAttempt, Answer> gateways) {
         this.gateways = gateways;
         this.client = new ClientDecisions(policy, new Random(seed), this);
     }
 
     void call(long id, CallPlan plan) {
         if (!plan.idempotent()) {
-            unsafe.add(id);
+            nonIdempotentCalls.add(id);
         }
         client.onCall(now, id, plan);
     }
 
-    void at(long delayNanos, Runnable what) {
-        queue.add(new Due(now + delayNanos, number++, what));
+    void at(long delayNanos, Runnable action) {
+        queue.add(new ScheduledAction(now + delayNanos, nextSequence++, action));
     }
 
-    void run(long forNanos) {
-        long end = now + forNanos;
+    void run(long durationNanos) {
+        long end = now + durationNanos;
         while (!queue.isEmpty() && queue.peek().at <= end) {
-            Due due = queue.poll();
-            now = due.at;
-            due.what.run();
+            ScheduledAction next = queue.poll();
+            now = next.at;
+            next.action.run();
         }
         now = end;
     }
 
     @Override
     public void sendAttempt(long call, int index, String gateway, long remainingNanos, boolean repeat) {
-        Sent s = new Sent(now, call, index, gateway, remainingNanos, repeat);
-        sent.add(s);
-        if (ends.containsKey(call) || remainingNanos <= 0) {
-            faults.add("sent after its end or deadline: " + s);
+        SentAttempt attempt = new SentAttempt(now, call, index, gateway, remainingNanos, repeat);
+        sent.add(attempt);
+        if (results.containsKey(call) || remainingNanos <= 0) {
+            violations.add("attempt sent after the call's end or deadline: " + attempt);
         }
-        Answer answer = gateways.apply(s);
-        if (ran.contains(call)) {
-            faults.add("unsafe and may have run, sent again: " + s);
+        Answer answer = gateways.apply(attempt);
+        if (possiblyExecuted.contains(call)) {
+            violations.add("retry of a possibly executed, non-idempotent call: " + attempt);
         }
         if (answer != null) {
-            at(answer.afterNanos, () -> {
-                if (unsafe.contains(call)
-                        && (answer.end == AttemptResult.BROKEN || answer.end == AttemptResult.FAILED)) {
-                    ran.add(call);
+            at(answer.delayNanos, () -> {
+                if (nonIdempotentCalls.contains(call)
+                        && (answer.result == AttemptResult.BROKEN || answer.result == AttemptResult.FAILED)) {
+                    possiblyExecuted.add(call);
                 }
             });
-            at(answer.afterNanos, () -> client.onAttemptEnded(now, call, index, answer.end, answer.adviceNanos));
+            at(answer.delayNanos, () -> client.onAttemptEnded(now, call, index, answer.result, answer.retryAfterNanos));
         }
     }
 
@@ -88,9 +88,9 @@
     public void abandonAttempt(long call, int index) {}
 
     @Override
-    public void finish(long call, CallResult end, int index) {
-        if (ends.put(call, end) != null) {
-            faults.add("two ends for " + call);
+    public void finish(long call, CallResult result, int index) {
+        if (results.put(call, result) != null) {
+            violations.add("two results for call " + call);
         }
         endedAt.put(call, now);
     }
@@ -100,7 +100,7 @@
         at(delayNanos, () -> client.onTimer(now, call, token));
     }
 
-    long tries(long call) {
-        return sent.stream().filter(s -> s.call == call).count();
+    long attempts(long call) {
+        return sent.stream().filter(attempt -> attempt.call == call).count();
     }
 }
