--- a/client-grpc/src/main/java/wharfhinge/client/grpc/GrpcTransport.java
+++ b/client-grpc/src/main/java/wharfhinge/client/grpc/GrpcTransport.java
@@ -27,17 +27,17 @@
 import wharfhinge.protocol.grpc.GrpcProtocol;
 
 /**
- * Carries tries over gRPC, one channel to a gateway. What was not on its way within the time for connecting ends as not sent. gRPC's own
- * retries are off but for those of streams that a gateway never looked at. Any thread may call.
+ * Sends attempts over gRPC, with one channel per gateway. An attempt whose headers are not sent within the connect timeout ends as not
+ * sent. gRPC itself retries only streams that a gateway did not process. Thread-safe.
  */
 public final class GrpcTransport implements Transport {
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final ConcurrentHashMap<String, ManagedChannel> channels = new ConcurrentHashMap<>();
-    private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, r -> {
-        Thread t = new Thread(r, "wharfhinge-grpc");
-        t.setDaemon(true);
-        return t;
+    private final ScheduledThreadPoolExecutor timers = new ScheduledThreadPoolExecutor(1, task -> {
+        Thread thread = new Thread(task, "wharfhinge-grpc");
+        thread.setDaemon(true);
+        return thread;
     });
     private final Duration connectTimeout;
     private final int maxResponseBytes;
@@ -45,11 +45,11 @@
     private final Supplier<String> token;
 
     /**
-     * A transport.
+     * Creates a transport.
      *
-     * @param connectTimeout until a try is on its way; then it ends as not sent
-     * @param tls           made with {@link GrpcSslContexts}; null without TLS
-     * @param token         asked for each try, a bearer token or null; null where there are none
+     * @param connectTimeout time limit for sending an attempt's headers; after it the attempt ends as not sent
+     * @param tls            the TLS context, created with {@link GrpcSslContexts}, or null without TLS
+     * @param token          supplies the bearer token (or null) for each attempt; null if no tokens are used
      */
     public GrpcTransport(Duration connectTimeout, int maxResponseBytes, SslContext tls, Supplier<String> token) {
         this.token = token == null ? () -> null : token;
@@ -60,8 +60,8 @@
     }
 
     private ManagedChannel channel(String gateway) {
-        return channels.computeIfAbsent(gateway, name -> {
-            NettyChannelBuilder builder = NettyChannelBuilder.forTarget("dns:///" + name)
+        return channels.computeIfAbsent(gateway, address -> {
+            NettyChannelBuilder builder = NettyChannelBuilder.forTarget("dns:///" + address)
                     .directExecutor()
                     .maxInboundMessageSize(maxResponseBytes);
             return (tls == null ? builder.usePlaintext() : builder.sslContext(tls)).build();
@@ -75,7 +75,7 @@
         return exchange;
     }
 
-    /** One try; told its end once, after it was abandoned not at all. */
+    /** One attempt. Reports its end to the listener once, or not at all after it was abandoned. */
     private final class Exchange implements AttemptHandle {
         private final String gateway;
         private final Listener listener;
@@ -83,7 +83,7 @@
         private volatile boolean sent;
         private boolean streaming;
         private ClientCall<CallRequest, CallReply> rpc;
-        private volatile ScheduledFuture<?> connecting; // null on a connection that stood
+        private volatile ScheduledFuture<?> connectTimer; // null on an established connection
 
         Exchange(String gateway, Listener listener) {
             this.gateway = gateway;
@@ -91,10 +91,10 @@
         }
 
         void start(Call call, long remainingNanos, boolean repeat) {
-            CallOptions timed = call.streams()
-                    ? CallOptions.DEFAULT // its parts may come for as long as they like
+            CallOptions deadlineOptions = call.streams()
+                    ? CallOptions.DEFAULT // an RPC deadline would also end a stream that has started
                     : CallOptions.DEFAULT.withDeadlineAfter(remainingNanos, TimeUnit.NANOSECONDS);
-            CallOptions options = timed.withStreamTracerFactory(new ClientStreamTracer.Factory() {
+            CallOptions options = deadlineOptions.withStreamTracerFactory(new ClientStreamTracer.Factory() {
                 @Override
                 public ClientStreamTracer newClientStreamTracer(ClientStreamTracer.StreamInfo info, Metadata headers) {
                     return new ClientStreamTracer() {
@@ -111,23 +111,23 @@
                     call.streams() ? GatewayGrpc.getStreamMethod() : GatewayGrpc.getCallMethod(), options);
             streaming = call.streams();
             Metadata headers = new Metadata();
-            String bearer = token.get();
-            if (bearer != null) {
-                headers.put(GrpcProtocol.AUTHORIZATION, "Bearer " + bearer);
+            String bearerToken = token.get();
+            if (bearerToken != null) {
+                headers.put(GrpcProtocol.AUTHORIZATION, "Bearer " + bearerToken);
             }
             rpc.start(new ResponseListener(), headers);
-            rpc.request(streaming ? 1 : 2); // parts are asked for one by one
+            rpc.request(streaming ? 1 : 2); // parts are requested one by one
             rpc.sendMessage(request(call, repeat, remainingNanos));
             rpc.halfClose();
             if (connected) {
-                return; // it is on its way: no timer for each call
+                return; // headers are sent at once: saves a timer per call
             }
-            connecting = timers.schedule(
+            connectTimer = timers.schedule(
                     () -> {
                         if (!sent && ended.compareAndSet(false, true)) {
                             listener.onEnded(Transport.Reply.withoutBody(
-                                    AttemptResult.NOT_SENT, gateway + ": accepted, and says nothing"));
-                            rpc.cancel("not on its way in time", null);
+                                    AttemptResult.NOT_SENT, gateway + ": request not sent within the connect timeout"));
+                            rpc.cancel("not sent within the connect timeout", null);
                         }
                     },
                     connectTimeout.toMillis(),
@@ -137,7 +137,7 @@
         @Override
         public void abandon() {
             ended.set(true);
-            ScheduledFuture<?> timer = connecting;
+            ScheduledFuture<?> timer = connectTimer;
             if (timer != null) {
                 timer.cancel(false);
             }
@@ -176,7 +176,7 @@
 
             @Override
             public void onClose(Status status, Metadata trailers) {
-                ScheduledFuture<?> timer = connecting;
+                ScheduledFuture<?> timer = connectTimer;
                 if (timer != null) {
                     timer.cancel(false);
                 }
@@ -188,15 +188,15 @@
                             reply.getWorker(),
                             0,
                             null));
-                } else if (status.getCode() != Status.Code.DEADLINE_EXCEEDED) { // the client's own clock ends it
-                    end(without(status, trailers == null ? new Metadata() : trailers));
+                } else if (status.getCode() != Status.Code.DEADLINE_EXCEEDED) { // left to the client's deadline timer
+                    end(errorReply(status, trailers == null ? new Metadata() : trailers));
                 }
             }
         }
 
-        private Transport.Reply without(Status status, Metadata trailers) {
+        private Transport.Reply errorReply(Status status, Metadata trailers) {
             String answer = trailers.get(GrpcProtocol.ANSWER);
-            AttemptResult end = "refused".equals(answer)
+            AttemptResult result = "refused".equals(answer)
                     ? AttemptResult.REFUSED
                     : "failed".equals(answer)
                             ? AttemptResult.FAILED
@@ -210,23 +210,25 @@
                                         OUT_OF_RANGE -> AttemptResult.INVALID;
                                 default -> sent ? AttemptResult.BROKEN : AttemptResult.NOT_SENT;
                             };
-            String advice = trailers.get(GrpcProtocol.RETRY_AFTER_MS);
-            long adviceNanos = advice != null && advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
+            String retryAfterMillis = trailers.get(GrpcProtocol.RETRY_AFTER_MS);
+            long retryAfterNanos = retryAfterMillis != null && retryAfterMillis.matches("[0-9]{1,9}")
+                    ? Long.parseLong(retryAfterMillis) * NANOS_PER_MILLI
+                    : 0;
             String reason = trailers.get(GrpcProtocol.REASON);
             return new Transport.Reply(
-                    end,
+                    result,
                     new byte[0],
                     null,
                     null,
-                    adviceNanos,
+                    retryAfterNanos,
                     reason != null
                             ? reason
-                            : end == AttemptResult.INVALID ? status.getDescription() : gateway + ": " + status);
+                            : result == AttemptResult.INVALID ? status.getDescription() : gateway + ": " + status);
         }
     }
 
     private static CallRequest request(Call call, boolean repeat, long remainingNanos) {
-        CallRequest.Builder to = CallRequest.newBuilder()
+        CallRequest.Builder builder = CallRequest.newBuilder()
                 .setFunction(call.function())
                 .setRequestClass(call.requestClass())
                 .setCostUs(call.costUs())
@@ -234,19 +236,19 @@
                 .setLanes(call.lanes())
                 .setLoadMs(call.loadMillis())
                 .setRepeat(repeat)
-                .setDeadlineMs(call.streams() ? Math.max(1, remainingNanos / MS) : 0)
+                .setDeadlineMs(call.streams() ? Math.max(1, remainingNanos / NANOS_PER_MILLI) : 0)
                 .setWrite(call.write())
                 .setBody(ByteString.copyFrom(call.body()));
         if (call.tenant() != null) {
-            to.setTenant(call.tenant());
+            builder.setTenant(call.tenant());
         }
         if (call.id() != null) {
-            to.setId(call.id());
+            builder.setId(call.id());
         }
         if (call.contentType() != null) {
-            to.setContentType(call.contentType());
+            builder.setContentType(call.contentType());
         }
-        return to.build();
+        return builder.build();
     }
 
     @Override
--- a/client-grpc/src/main/java/wharfhinge/client/grpc/package-info.java
+++ b/client-grpc/src/main/java/wharfhinge/client/grpc/package-info.java
@@ -1,2 +1,2 @@
-/** Carries calls over gRPC. Decides nothing. */
+/** The gRPC transport of the client library. */
 package wharfhinge.client.grpc;
--- a/client-http/src/main/java/wharfhinge/client/http/Exchange.java
+++ b/client-http/src/main/java/wharfhinge/client/http/Exchange.java
@@ -25,11 +25,11 @@
 import wharfhinge.client.core.AttemptResult;
 import wharfhinge.protocol.ClientProtocol;
 
-/** One try on one stream. Told its end once; after it was abandoned not at all. */
+/** One attempt on one HTTP/2 stream. Reports its end to the listener once, or not at all after it was abandoned. */
 final class Exchange implements Transport.AttemptHandle {
-    private static final long MS = 1_000_000L;
-    private static final int CLIENT_ERRORS = 400;
-    private static final int SERVER_ERRORS = 500;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final int MIN_CLIENT_ERROR_STATUS = 400;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     private final String gateway;
     private final Call call;
@@ -63,15 +63,17 @@
         return ended.get();
     }
 
-    /** It never was on its way. */
-    void notSent(String reason) {
+    /** Ends the attempt as not sent. */
+    void failUnsent(String reason) {
         end(Transport.Reply.withoutBody(AttemptResult.NOT_SENT, gateway + ": " + reason));
     }
 
+    /** Ends the attempt as broken if it was sent, else as not sent. */
     void fail(String reason) {
         end(Transport.Reply.withoutBody(sent ? AttemptResult.BROKEN : AttemptResult.NOT_SENT, gateway + ": " + reason));
     }
 
+    /** Reports the reply unless the attempt has ended or was abandoned. */
     void end(Transport.Reply reply) {
         if (ended.compareAndSet(false, true)) {
             listener.onEnded(reply);
@@ -83,11 +85,11 @@
         ended.set(true);
         Channel channel = stream;
         if (channel != null) {
-            channel.close(); // resets the stream: the gateway learns that its client left
+            channel.close(); // resets the stream, which signals the cancellation to the gateway
         }
     }
 
-    /** Goes out on a stream of its own. */
+    /** Sends the request on {@code channel}, a newly opened stream. */
     void start(Channel channel) {
         stream = channel;
         if (ended.get()) {
@@ -96,8 +98,7 @@
         }
         channel.pipeline().addLast(new Http2StreamFrameToHttpObjectCodec(false), new ResetHandler());
         if (call.streams()) {
-            channel.config()
-                    .setAutoRead(false); // read on as the caller asks for more: flow control holds the gateway back
+            channel.config().setAutoRead(false); // read only on request, so that flow control limits the gateway
             channel.pipeline().addLast(new StreamedResponseHandler(this, listener, maxResponseBytes));
             channel.read();
         } else {
@@ -105,11 +106,11 @@
         }
         channel.writeAndFlush(request()).addListener(written -> {
             if (!written.isSuccess()) {
-                notSent("not written: " + written.cause());
+                failUnsent("request not written: " + written.cause());
                 channel.close();
             }
         });
-        sent = true; // from here on a break may have come after the bytes left
+        sent = true; // from here on a failure may follow the transmission of the request
     }
 
     private FullHttpRequest request() {
@@ -118,20 +119,20 @@
                 HttpMethod.POST,
                 ClientProtocol.CALL_PATH + call.function(),
                 Unpooled.wrappedBuffer(call.body()));
-        HttpHeaders h = request.headers();
-        h.set(HttpHeaderNames.HOST, gateway).setInt(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
-        h.set(ClientProtocol.CLASS, call.requestClass());
-        h.set(ClientProtocol.DEADLINE_MS, Math.max(1, (deadline - System.nanoTime()) / MS));
-        set(h, HttpHeaderNames.CONTENT_TYPE, call.contentType());
-        set(h, HttpHeaderNames.AUTHORIZATION, token == null ? null : "Bearer " + token);
-        set(h, ClientProtocol.TENANT, call.tenant());
-        set(h, ClientProtocol.ID, call.id());
-        set(h, ClientProtocol.COST_US, call.costUs() > 0 ? Long.toString(call.costUs()) : null);
-        set(h, ClientProtocol.MEMORY_MB, call.memoryMb() > 0 ? Double.toString(call.memoryMb()) : null);
-        set(h, ClientProtocol.LANES, call.lanes() > 0 ? Integer.toString(call.lanes()) : null);
-        set(h, ClientProtocol.LOAD_MS, call.loadMillis() > 0 ? Double.toString(call.loadMillis()) : null);
-        set(h, ClientProtocol.REPEAT, retry ? "1" : null);
-        set(h, ClientProtocol.WRITE, call.write() ? "1" : null);
+        HttpHeaders headers = request.headers();
+        headers.set(HttpHeaderNames.HOST, gateway).setInt(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
+        headers.set(ClientProtocol.CLASS, call.requestClass());
+        headers.set(ClientProtocol.DEADLINE_MS, Math.max(1, (deadline - System.nanoTime()) / NANOS_PER_MILLI));
+        set(headers, HttpHeaderNames.CONTENT_TYPE, call.contentType());
+        set(headers, HttpHeaderNames.AUTHORIZATION, token == null ? null : "Bearer " + token);
+        set(headers, ClientProtocol.TENANT, call.tenant());
+        set(headers, ClientProtocol.ID, call.id());
+        set(headers, ClientProtocol.COST_US, call.costUs() > 0 ? Long.toString(call.costUs()) : null);
+        set(headers, ClientProtocol.MEMORY_MB, call.memoryMb() > 0 ? Double.toString(call.memoryMb()) : null);
+        set(headers, ClientProtocol.LANES, call.lanes() > 0 ? Integer.toString(call.lanes()) : null);
+        set(headers, ClientProtocol.LOAD_MS, call.loadMillis() > 0 ? Double.toString(call.loadMillis()) : null);
+        set(headers, ClientProtocol.REPEAT, retry ? "1" : null);
+        set(headers, ClientProtocol.WRITE, call.write() ? "1" : null);
         return request;
     }
 
@@ -141,16 +142,16 @@
         }
     }
 
-    /** A stream that the gateway refused was not looked at. */
+    /** Handles stream resets. A stream that was refused, or is above the last stream of a GOAWAY, was not processed. */
     private final class ResetHandler extends io.netty.channel.ChannelInboundHandlerAdapter {
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) throws Exception {
             if (event instanceof Http2GoAwayFrame) {
-                notSent("going away, and had not seen the stream");
+                failUnsent("GOAWAY received, stream not processed");
                 ctx.close();
             } else if (event instanceof Http2ResetFrame reset) {
                 if (reset.errorCode() == Http2Error.REFUSED_STREAM.code()) {
-                    notSent("stream refused");
+                    failUnsent("stream refused");
                 } else {
                     fail("stream reset, code " + reset.errorCode());
                 }
@@ -182,26 +183,32 @@
         return reply(response, ByteBufUtil.getBytes(response.content()));
     }
 
-    /** What headers and body mean. */
+    /** Converts a response's headers and body to a reply. */
     static Transport.Reply reply(HttpResponse response, byte[] body) {
-        HttpHeaders h = response.headers();
-        String answer = h.get(ClientProtocol.ANSWER, "");
+        HttpHeaders headers = response.headers();
+        String answer = headers.get(ClientProtocol.ANSWER, "");
         int status = response.status().code();
-        AttemptResult end =
+        AttemptResult result =
                 switch (answer) {
                     case "served" -> AttemptResult.SERVED;
                     case "refused" -> AttemptResult.REFUSED;
                     case "failed" -> AttemptResult.FAILED;
-                    default -> status >= CLIENT_ERRORS && status < SERVER_ERRORS
+                    default -> status >= MIN_CLIENT_ERROR_STATUS && status < MIN_SERVER_ERROR_STATUS
                             ? AttemptResult.INVALID
                             : AttemptResult.FAILED;
                 };
-        String reason = end == AttemptResult.INVALID
+        String reason = result == AttemptResult.INVALID
                 ? new String(body, StandardCharsets.UTF_8).strip()
-                : h.get(ClientProtocol.REASON);
-        String advice = h.get(ClientProtocol.RETRY_AFTER_MS, "");
-        long adviceNanos = advice.matches("[0-9]{1,9}") ? Long.parseLong(advice) * MS : 0;
+                : headers.get(ClientProtocol.REASON);
+        String retryAfterMillis = headers.get(ClientProtocol.RETRY_AFTER_MS, "");
+        long retryAfterNanos =
+                retryAfterMillis.matches("[0-9]{1,9}") ? Long.parseLong(retryAfterMillis) * NANOS_PER_MILLI : 0;
         return new Transport.Reply(
-                end, body, h.get(HttpHeaderNames.CONTENT_TYPE), h.get(ClientProtocol.WORKER), adviceNanos, reason);
+                result,
+                body,
+                headers.get(HttpHeaderNames.CONTENT_TYPE),
+                headers.get(ClientProtocol.WORKER),
+                retryAfterNanos,
+                reason);
     }
 }
--- a/client-http/src/main/java/wharfhinge/client/http/GatewayConnections.java
+++ b/client-http/src/main/java/wharfhinge/client/http/GatewayConnections.java
@@ -18,22 +18,25 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The connections to one gateway. What finds none with a free stream waits for one that is being made; where all are full it ends. */
+/**
+ * The connections to one gateway. An attempt for which no connection has a free stream waits for a connection that is being
+ * established. If no connection can take it and no further one is allowed, it ends as not sent. Thread-safe.
+ */
 final class GatewayConnections {
     private static final int DEFAULT_MAX_STREAMS = 100;
-    private static final int MAX_WAITING = 10_000;
+    private static final int MAX_WAITING_PER_CONNECTION = 10_000;
 
-    private final String name;
+    private final String address;
     private final HttpTransport transport;
     private final List<Connection> connections = new ArrayList<>(); // guarded by this
     private boolean closed;
 
-    GatewayConnections(String name, HttpTransport transport) {
-        this.name = name;
+    GatewayConnections(String address, HttpTransport transport) {
+        this.address = address;
         this.transport = transport;
     }
 
-    /** One connection; its fields are guarded by the peer. */
+    /** One connection; its fields are guarded by the enclosing object. */
     private final class Connection {
         private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
         private Channel channel;
@@ -45,7 +48,7 @@
 
     void send(Exchange exchange) {
         Connection available = null;
-        Connection fresh = null;
+        Connection newConnection = null;
         String reason = null;
         synchronized (this) {
             for (Connection connection : connections) {
@@ -59,55 +62,55 @@
             if (available != null) {
                 available.streams++;
             } else {
-                Connection made = connections.stream()
+                Connection connecting = connections.stream()
                         .filter(connection -> !connection.ready
                                 && !connection.draining
                                 && connection.waiting.size() < DEFAULT_MAX_STREAMS)
                         .findFirst()
                         .orElse(null);
-                boolean room = connections.stream()
+                boolean canAddConnection = connections.stream()
                                 .filter(connection -> !connection.draining)
                                 .count()
                         < transport.connectionsPerGateway();
                 if (closed) {
                     reason = "client closed";
-                } else if (made != null) {
-                    made.waiting.add(exchange);
-                } else if (room) {
-                    fresh = new Connection();
-                    fresh.waiting.add(exchange);
-                    connections.add(fresh);
+                } else if (connecting != null) {
+                    connecting.waiting.add(exchange);
+                } else if (canAddConnection) {
+                    newConnection = new Connection();
+                    newConnection.waiting.add(exchange);
+                    connections.add(newConnection);
                 } else {
-                    made = connections.stream()
+                    connecting = connections.stream()
                             .filter(connection -> !connection.ready
                                     && !connection.draining
-                                    && connection.waiting.size() < MAX_WAITING)
+                                    && connection.waiting.size() < MAX_WAITING_PER_CONNECTION)
                             .findFirst()
                             .orElse(null);
-                    reason = made == null ? "all connections are full" : null;
-                    if (made != null) {
-                        made.waiting.add(exchange);
+                    reason = connecting == null ? "no free stream on any connection" : null;
+                    if (connecting != null) {
+                        connecting.waiting.add(exchange);
                     }
                 }
             }
         }
         if (reason != null) {
-            exchange.notSent(reason);
+            exchange.failUnsent(reason);
         } else if (available != null) {
             openStream(available, exchange);
-        } else if (fresh != null) {
-            connect(fresh);
+        } else if (newConnection != null) {
+            connect(newConnection);
         }
     }
 
     private void connect(Connection connection) {
-        int colon = name.lastIndexOf(':');
-        ChannelFuture connecting;
+        int colon = address.lastIndexOf(':');
+        ChannelFuture connectFuture;
         try {
-            connecting = transport
+            connectFuture = transport
                     .bootstrap(
-                            name.substring(0, colon),
-                            Integer.parseInt(name.substring(colon + 1)),
+                            address.substring(0, colon),
+                            Integer.parseInt(address.substring(colon + 1)),
                             new ChannelInitializer<Channel>() {
                                 @Override
                                 protected void initChannel(Channel channel) {
@@ -121,15 +124,15 @@
                             })
                     .connect();
         } catch (RuntimeException e) {
-            onClosed(connection, "address: found '" + name + "', allowed: host:port");
+            onClosed(connection, "address: found '" + address + "', allowed: host:port");
             return;
         }
-        connecting.addListener(done -> {
+        connectFuture.addListener(done -> {
             if (!done.isSuccess()) {
-                onClosed(connection, "not connected: " + done.cause().getMessage());
+                onClosed(connection, "connect failed: " + done.cause().getMessage());
                 return;
             }
-            Channel channel = connecting.channel();
+            Channel channel = connectFuture.channel();
             channel.eventLoop()
                     .schedule(
                             () -> {
@@ -138,7 +141,7 @@
                                         return;
                                     }
                                 }
-                                onClosed(connection, "accepted, and says nothing");
+                                onClosed(connection, "no SETTINGS received within the connect timeout");
                                 channel.close();
                             },
                             transport.connectTimeout().toMillis(),
@@ -157,7 +160,8 @@
                         exchange.start(stream);
                     } else {
                         onStreamClosed(connection);
-                        exchange.notSent("no stream: " + opened.cause().getMessage());
+                        exchange.failUnsent(
+                                "stream not opened: " + opened.cause().getMessage());
                     }
                 });
     }
@@ -187,7 +191,7 @@
                 }
             }
         }
-        startable.forEach(e -> openStream(connection, e));
+        startable.forEach(exchange -> openStream(connection, exchange));
         unplaced.forEach(this::send);
     }
 
@@ -199,7 +203,7 @@
             waiting = new ArrayList<>(connection.waiting);
             connection.waiting.clear();
         }
-        waiting.forEach(e -> e.notSent(reason));
+        waiting.forEach(exchange -> exchange.failUnsent(reason));
     }
 
     void close() {
@@ -216,7 +220,7 @@
         }
     }
 
-    /** What the gateway says of the connection itself. */
+    /** Handles the frames and events that concern the connection as a whole. */
     private final class ConnectionHandler extends ChannelInboundHandlerAdapter {
         private final Connection connection;
 
@@ -229,7 +233,7 @@
             if (message instanceof Http2SettingsFrame settings) {
                 onReady(connection, ctx.channel(), settings.settings().maxConcurrentStreams());
             } else if (message instanceof Http2GoAwayFrame) {
-                synchronized (GatewayConnections.this) { // no new streams; those open are answered
+                synchronized (GatewayConnections.this) { // no new streams; the open ones continue
                     connection.draining = true;
                     connections.remove(connection);
                     if (connection.streams == 0) {
--- a/client-http/src/main/java/wharfhinge/client/http/HttpTransport.java
+++ b/client-http/src/main/java/wharfhinge/client/http/HttpTransport.java
@@ -22,9 +22,9 @@
 import wharfhinge.client.Transport;
 
 /**
- * Carries tries over HTTP/2 (prior knowledge, or TLS with ALPN), many on one connection, several connections to a gateway where one
- * has no free stream. A connection counts as made once the gateway's SETTINGS came: a gateway that accepts and says nothing has got
- * nothing. Any thread may call.
+ * Sends attempts over HTTP/2 (prior knowledge, or TLS with ALPN), with many streams per connection, and further connections to a
+ * gateway when none has a free stream. A connection counts as established only once the gateway's SETTINGS frame is received. So no
+ * attempt is sent to a gateway that accepts connections but does not respond, and its calls can be retried elsewhere. Thread-safe.
  */
 public final class HttpTransport implements Transport {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -36,12 +36,12 @@
     private final Supplier<String> token;
 
     /**
-     * A transport.
+     * Creates a transport.
      *
-     * @param connectTimeout   until the gateway's first words; then tries that wait end as not sent
-     * @param connectionsPerGateway most connections to one gateway
-     * @param tls             null without TLS
-     * @param token           asked for each try, a bearer token or null; null where there are none
+     * @param connectTimeout        time limit for the gateway's SETTINGS frame; after it waiting attempts end as not sent
+     * @param connectionsPerGateway maximum number of connections to one gateway
+     * @param tls                   the TLS context, or null without TLS
+     * @param token                 supplies the bearer token (or null) for each attempt; null if no tokens are used
      */
     public HttpTransport(
             Duration connectTimeout,
@@ -56,7 +56,11 @@
         this.tls = tls;
     }
 
-    /** TLS towards gateways whose certificate comes from these authorities (PEM). @throws IOException where they can't be read */
+    /**
+     * Creates a TLS context that trusts gateways whose certificate is signed by one of these authorities (PEM).
+     *
+     * @throws IOException if the file can't be read
+     */
     public static SslContext tls(Path authorities) throws IOException {
         return SslContextBuilder.forClient()
                 .trustManager(authorities.toFile())
@@ -73,7 +77,7 @@
         Exchange exchange =
                 new Exchange(gateway, call, remainingNanos, repeat, maxResponseBytes, token.get(), listener);
         connectionsByGateway
-                .computeIfAbsent(gateway, name -> new GatewayConnections(name, this))
+                .computeIfAbsent(gateway, address -> new GatewayConnections(address, this))
                 .send(exchange);
         return exchange;
     }
@@ -86,7 +90,7 @@
         return connectTimeout;
     }
 
-    /** Begins a connection; the initializer gets the channel before TLS is done. */
+    /** Prepares a connection; the initializer runs before the TLS handshake is complete. */
     Bootstrap bootstrap(String host, int port, ChannelInitializer<Channel> initializer) {
         return new Bootstrap()
                 .group(group)
--- a/client-http/src/main/java/wharfhinge/client/http/StreamedResponseHandler.java
+++ b/client-http/src/main/java/wharfhinge/client/http/StreamedResponseHandler.java
@@ -15,16 +15,17 @@
 import wharfhinge.protocol.ClientProtocol;
 
 /**
- * Hands a served answer on in parts, one read at a time; any other answer is short, collected and told whole. On the stream's event loop.
+ * Delivers a served answer part by part, reading on only when the listener requests it. Any other response is short: it is collected
+ * and reported as a whole. Confined to the stream's event loop.
  */
 final class StreamedResponseHandler extends SimpleChannelInboundHandler<HttpObject> {
     private final Exchange exchange;
     private final Transport.Listener listener;
     private final int maxResponseBytes;
-    private final ByteArrayOutputStream words = new ByteArrayOutputStream(); // of an answer that is not a stream
+    private final ByteArrayOutputStream errorBody = new ByteArrayOutputStream(); // of a response not streamed
     private HttpResponse head;
-    private boolean streams;
-    private boolean asked; // the caller wants more than what was read
+    private boolean streaming;
+    private boolean readRequested; // the listener is ready for the next part
 
     StreamedResponseHandler(Exchange exchange, Transport.Listener listener, int maxResponseBytes) {
         this.exchange = exchange;
@@ -36,9 +37,9 @@
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         if (message instanceof HttpResponse response) {
             head = response;
-            streams = "served".equals(response.headers().get(ClientProtocol.ANSWER));
-            asked = true;
-            if (streams && !exchange.ended()) {
+            streaming = "served".equals(response.headers().get(ClientProtocol.ANSWER));
+            readRequested = true;
+            if (streaming && !exchange.ended()) {
                 listener.onStreamStarted(
                         response.headers().get(ClientProtocol.WORKER),
                         response.headers().get(HttpHeaderNames.CONTENT_TYPE));
@@ -46,19 +47,19 @@
         }
         if (message instanceof HttpContent content) {
             ByteBuf bytes = content.content();
-            if (streams && bytes.isReadable() && !exchange.ended()) {
-                asked = false;
+            if (streaming && bytes.isReadable() && !exchange.ended()) {
+                readRequested = false;
                 listener.onPart(
                         ByteBufUtil.getBytes(bytes), () -> ctx.executor().execute(() -> {
-                            asked = true;
+                            readRequested = true;
                             ctx.read();
                         }));
-            } else if (!streams && words.size() + bytes.readableBytes() <= maxResponseBytes) {
-                words.writeBytes(ByteBufUtil.getBytes(bytes));
+            } else if (!streaming && errorBody.size() + bytes.readableBytes() <= maxResponseBytes) {
+                errorBody.writeBytes(ByteBufUtil.getBytes(bytes));
             }
             if (message instanceof LastHttpContent) {
                 exchange.end(
-                        streams
+                        streaming
                                 ? new Transport.Reply(
                                         AttemptResult.SERVED,
                                         new byte[0],
@@ -66,15 +67,15 @@
                                         head.headers().get(ClientProtocol.WORKER),
                                         0,
                                         null)
-                                : Exchange.reply(head, words.toByteArray()));
+                                : Exchange.reply(head, errorBody.toByteArray()));
             }
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (asked || head == null) {
-            ctx.read(); // a read may bring the head alone, or nothing that the caller was told of
+        if (readRequested || head == null) {
+            ctx.read(); // the read may have brought only the head, or nothing for the listener
         }
     }
 
--- a/client-http/src/main/java/wharfhinge/client/http/package-info.java
+++ b/client-http/src/main/java/wharfhinge/client/http/package-info.java
@@ -1,2 +1,2 @@
-/** Carries calls over HTTP/2. Decides nothing. */
+/** The HTTP/2 transport of the client library. */
 package wharfhinge.client.http;
--- a/client/src/main/java/wharfhinge/client/Call.java
+++ b/client/src/main/java/wharfhinge/client/Call.java
@@ -4,16 +4,20 @@
 import java.util.Objects;
 
 /**
- * A call to be made. Function, class, deadline and whether a repeat is harmless have no default: they must be told. Immutable.
+ * A call to be made. The function, its request class, the deadline and whether the call is idempotent have no defaults. Immutable.
  *
- * @param requestClass a class of the gateways' settings
- * @param deadline     for all tries together, from the moment of calling
- * @param safe         a repeat is harmless even where the call may have run
- * @param hedge        a second copy may be sent while the first is out; safe calls alone
- * @param streams      its class is answered in parts, see {@link WharfhingeClient#stream}
- * @param tenant       whose it is, or null
- * @param id           the caller's own name for it, or null
- * @param lanes        and the following: figures for the gateway, 0 where untold
+ * @param requestClass a request class of the gateways' settings
+ * @param deadline     time limit for all attempts together, from the start of the call
+ * @param safe         whether the call is idempotent: a retry is harmless even if the call was possibly executed
+ * @param hedge        whether a hedged request may be sent while the first attempt is in flight; only for idempotent calls
+ * @param streams      whether the request class has streamed answers, see {@link WharfhingeClient#stream}
+ * @param tenant       the tenant on whose behalf the call is made, or null
+ * @param id           an identifier chosen by the caller, or null
+ * @param costUs       expected work in microseconds on a standard core, or 0 if unknown
+ * @param memoryMb     memory that a copy of the function needs, or 0 if unknown
+ * @param lanes        calls that a copy of the function can run at the same time, or 0 if unknown
+ * @param loadMillis   usual time to load the function, or 0 if unknown
+ * @param write        whether the call writes
  */
 public record Call(
         String function,
@@ -32,7 +36,7 @@
         double loadMillis,
         boolean write) {
 
-    /** Checks what is needed. */
+    /** Validates the call. */
     public Call {
         Objects.requireNonNull(function, "function");
         Objects.requireNonNull(requestClass, "requestClass");
@@ -43,21 +47,21 @@
         }
         if (hedge && !safe) {
             throw new IllegalArgumentException(
-                    "hedge: found on a call that is not safe to repeat, allowed: on safe ones");
+                    "hedge: found on a call that is not idempotent, allowed: on idempotent calls");
         }
     }
 
-    /** A call that may be repeated whatever became of it. */
+    /** Starts to build an idempotent call, which can be retried even if it was possibly executed. */
     public static Builder safe(String function, String requestClass, Duration deadline) {
         return new Builder(function, requestClass, deadline, true);
     }
 
-    /** A call that must not run twice. */
+    /** Starts to build a call that must not be executed twice. */
     public static Builder once(String function, String requestClass, Duration deadline) {
         return new Builder(function, requestClass, deadline, false);
     }
 
-    /** Adds what may be left out. */
+    /** Builds a call; sets its optional properties. */
     public static final class Builder {
         private final String function;
         private final String requestClass;
@@ -82,44 +86,44 @@
             this.safe = safe;
         }
 
-        /** The function's input. */
+        /** Sets the function's input and its content type. */
         public Builder body(byte[] bytes, String type) {
             this.body = bytes;
             this.contentType = type;
             return this;
         }
 
-        /** A second copy may be sent while the first is out. */
+        /** Allows a hedged request while the first attempt is in flight. */
         public Builder hedged() {
             this.hedge = true;
             return this;
         }
 
-        /** Its class is answered in parts. */
+        /** Marks the answer as streamed, as its request class requires. */
         public Builder streamed() {
             this.streams = true;
             return this;
         }
 
-        /** Whose call it is. */
+        /** Sets the tenant on whose behalf the call is made. */
         public Builder tenant(String name) {
             this.tenant = name;
             return this;
         }
 
-        /** The caller's own name for it. */
+        /** Sets an identifier chosen by the caller. */
         public Builder id(String name) {
             this.id = name;
             return this;
         }
 
-        /** Expected work in microseconds on a standard core. */
+        /** Sets the expected work in microseconds on a standard core. */
         public Builder costUs(long us) {
             this.costUs = us;
             return this;
         }
 
-        /** What a copy of the function needs. */
+        /** Sets the memory, the concurrency and the usual load time of a copy of the function. */
         public Builder copy(double megabytes, int lanesOfCopy, double usualLoadMillis) {
             this.memoryMb = megabytes;
             this.lanes = lanesOfCopy;
@@ -127,13 +131,13 @@
             return this;
         }
 
-        /** The call writes. */
+        /** Marks the call as one that writes. */
         public Builder writes() {
             this.write = true;
             return this;
         }
 
-        /** The call. */
+        /** Creates the call. */
         public Call build() {
             return new Call(
                     function,
--- a/client/src/main/java/wharfhinge/client/ResponsePartListener.java
+++ b/client/src/main/java/wharfhinge/client/ResponsePartListener.java
@@ -1,13 +1,13 @@
 package wharfhinge.client;
 
-/** Receives a streamed answer on the client's own thread, which other calls share: no method may block. */
+/** Receives a streamed answer. The methods run on the client's thread, which all calls share, and must not block. */
 public interface ResponsePartListener {
-    /** The answer started: from now on there is no deadline and no retry. */
+    /** The answer starts; from here on there is no deadline and no retry. */
     void onStarted(String worker, String contentType);
 
     /**
-     * The next part. Until {@code more} is run, on any thread, nothing more is read: a slow reader holds the worker back through the
-     * gateway instead of filling memory on the way.
+     * Receives the next part. Nothing more is read until {@code more} is run, on any thread, so that a slow reader slows the worker
+     * down through flow control instead of filling buffers on the way.
      */
     void onPart(byte[] bytes, Runnable more);
 }
--- a/client/src/main/java/wharfhinge/client/WharfhingeClient.java
+++ b/client/src/main/java/wharfhinge/client/WharfhingeClient.java
@@ -20,17 +20,18 @@
 import wharfhinge.client.core.ClientPolicy;
 
 /**
- * Calls through one or more gateways. All decisions are those of {@link ClientDecisions}, on one thread; the transport only carries.
- * Any thread may call. Every call ends with exactly one {@link Result}, at its deadline at the latest; no exception stands for one.
+ * Makes calls through one or more gateways. {@link ClientDecisions} makes all decisions, on one thread; the transport only sends
+ * attempts. Thread-safe. Every call ends with exactly one {@link Result}, at its deadline at the latest, unless its streamed answer
+ * has started. A result is never reported as an exception.
  */
 public final class WharfhingeClient implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(WharfhingeClient.class);
 
-    /** A call under way. */
+    /** A call that has not ended. */
     private static final class PendingCall {
         private final Call call;
         private final CompletableFuture<Result> result;
-        private final ResponsePartListener parts; // null for answers that come whole
+        private final ResponsePartListener parts; // null unless the answer is streamed
         private final Map<Integer, Transport.AttemptHandle> attemptsInFlight = new HashMap<>();
         private final Map<Integer, Transport.Reply> replies = new HashMap<>();
         private final List<Future<?>> timers = new ArrayList<>(2);
@@ -51,49 +52,49 @@
     private volatile boolean closed;
 
     /**
-     * A client.
+     * Creates a client and starts its thread.
      *
      * @param transport closed with the client
-     * @param gateways  their addresses, {@code host:port}; may change later
+     * @param gateways  the gateways' addresses ({@code host:port}), which {@link #gateways} replaces
      */
     public WharfhingeClient(Transport transport, ClientPolicy policy, List<String> gateways) {
         this.transport = Objects.requireNonNull(transport, "transport");
         Objects.requireNonNull(policy, "policy");
-        this.executor = new ScheduledThreadPoolExecutor(1, r -> {
-            Thread daemon = new Thread(r, "wharfhinge-client");
+        this.executor = new ScheduledThreadPoolExecutor(1, task -> {
+            Thread daemon = new Thread(task, "wharfhinge-client");
             daemon.setDaemon(true);
             return daemon;
         });
         executor.setRemoveOnCancelPolicy(true);
-        executor.setRejectedExecutionHandler((late, pool) -> LOG.debug("told after the client was closed"));
+        executor.setRejectedExecutionHandler((late, pool) -> LOG.debug("event ignored: the client is closed"));
         this.decisions = new ClientDecisions(policy, RandomGenerator.getDefault(), new TransportActions());
         gateways(gateways);
     }
 
     private long now() {
-        return System.nanoTime() - origin; // the wall clock may jump as it likes
+        return System.nanoTime() - origin; // monotonic, unlike the wall clock
     }
 
-    /** The gateways there are from now on; calls under way end where they are. */
+    /** Replaces the list of gateways; attempts in flight continue at their gateway. */
     public void gateways(List<String> names) {
         List<String> list = List.copyOf(names);
         executor.execute(() -> decisions.onGatewayList(list));
     }
 
-    /** What is counted; asked of the client's own thread. */
+    /** The current metrics, read on the client's thread. */
     public CompletableFuture<ClientDecisions.Metrics> metrics() {
         return CompletableFuture.supplyAsync(decisions::metrics, executor);
     }
 
-    /** Calls. Cancelling the future gives the call up: its tries are abandoned and gateways told. */
+    /** Starts a call. Cancelling the future abandons its attempts, and the gateways are notified. */
     public CompletableFuture<Result> call(Call call) {
         return start(call, null);
     }
 
     /**
-     * Calls for an answer in parts. The result comes after the last part: served with an empty body, or failed (broke-off) where the parts
-     * are not all. Refusals, further tries and the deadline are as for other calls until the answer begins. Cancelling the future ends the
-     * stream; what {@code to} throws ends it too, as cancelled.
+     * Starts a call with a streamed answer. Its result follows the last part: served with an empty body, or failed (broke-off) if the
+     * stream ended early. Rejections, retries and the deadline are as for other calls until the answer starts. Cancelling the future ends
+     * the stream; so does an exception thrown by {@code to}, with a cancelled result.
      */
     public CompletableFuture<Result> stream(Call call, ResponsePartListener to) {
         return start(call, Objects.requireNonNull(to, "to"));
@@ -103,7 +104,7 @@
         if (call.streams() != (parts != null)) {
             throw new IllegalArgumentException("call " + call.function() + ": found "
                     + (call.streams() ? "one that streams" : "one that " + "does not stream")
-                    + ", allowed: streamed ones with stream(), others with call()");
+                    + ", allowed: stream() for calls that stream, call() for others");
         }
         CompletableFuture<Result> result = new CompletableFuture<>();
         long id = ids.incrementAndGet();
@@ -118,10 +119,10 @@
             long remainingNanos = Math.max(1, call.deadline().toNanos() - waitedNanos);
             decisions.onCall(now(), id, new CallPlan(remainingNanos, call.safe(), call.hedge()));
         });
-        if (closed) { // while it was handed over: nobody may be left to take it
+        if (closed) { // closed in the meantime: the task may never run
             result.complete(new Result.Cancelled(false, 0));
         }
-        result.whenComplete((r, e) -> {
+        result.whenComplete((ignoredResult, ignoredFailure) -> {
             if (result.isCancelled() && !closed) {
                 executor.execute(() -> decisions.onCancelled(now(), id));
             }
@@ -129,7 +130,7 @@
         return result;
     }
 
-    /** Calls and waits. An interrupt gives the call up. */
+    /** Makes a call and waits for its result. An interrupt cancels the call. */
     public Result callAndWait(Call call) throws InterruptedException {
         CompletableFuture<Result> result = call(call);
         try {
@@ -142,7 +143,7 @@
         }
     }
 
-    /** Gives up what is open, each call with {@link Result.Cancelled}, and closes the transport; waits a second at most. */
+    /** Cancels all pending calls with {@link Result.Cancelled} and closes the transport; waits at most one second. */
     @Override
     public void close() throws InterruptedException {
         closed = true;
@@ -153,7 +154,7 @@
         transport.close();
     }
 
-    /** What the decisions ask for; on the client's thread. */
+    /** Executes the actions of the decisions, on the client's thread. */
     private final class TransportActions implements ClientDecisions.Actions {
         @Override
         public void sendAttempt(long id, int index, String gateway, long remainingNanos, boolean repeat) {
@@ -177,11 +178,11 @@
         }
 
         @Override
-        public void finish(long id, CallResult end, int index) {
+        public void finish(long id, CallResult callResult, int index) {
             PendingCall pendingCall = calls.remove(id);
-            pendingCall.timers.forEach(t -> t.cancel(false)); // long deadlines must not pile up
+            pendingCall.timers.forEach(timer -> timer.cancel(false)); // else timers of long deadlines would accumulate
             Transport.Reply reply = index < 0 ? null : pendingCall.replies.get(index);
-            pendingCall.result.complete(result(end, reply));
+            pendingCall.result.complete(result(callResult, reply));
         }
 
         @Override
@@ -193,7 +194,7 @@
                                 try {
                                     decisions.onTimer(now(), id, token);
                                 } catch (RuntimeException e) {
-                                    LOG.error("client's decisions", e);
+                                    LOG.error("unexpected exception while handling a timer of a call", e);
                                 }
                             },
                             delayNanos,
@@ -201,12 +202,12 @@
         }
     }
 
-    /** What the transport tells of one try, handed to the client's thread in order. */
+    /** Passes the events of one attempt to the client's thread, in order. */
     private final class AttemptListener implements Transport.Listener {
         private final long id;
         private final int index;
         private final PendingCall pendingCall;
-        private boolean streaming; // on the client's thread
+        private boolean streaming; // used only on the client's thread
 
         AttemptListener(long id, int index, PendingCall pendingCall) {
             this.id = id;
@@ -245,28 +246,30 @@
             try {
                 delivery.run();
             } catch (RuntimeException e) {
-                LOG.warn("the reader of a streamed answer failed, it is given up", e);
+                LOG.warn("listener of a streamed answer threw an exception; the call is cancelled", e);
                 decisions.onCancelled(now(), id);
             }
         }
     }
 
-    private static Result result(CallResult end, Transport.Reply reply) {
+    private static Result result(CallResult callResult, Transport.Reply reply) {
         String reason = (reply == null || reply.reason() == null ? "" : reply.reason())
-                + (end.reason() == CallResult.Reason.ANSWERED
+                + (callResult.reason() == CallResult.Reason.ANSWERED
                         ? ""
                         : " ("
-                                + end.reason()
+                                + callResult
+                                        .reason()
                                         .name()
                                         .toLowerCase(java.util.Locale.ROOT)
                                         .replace('_', '-') + ")");
-        return switch (end.kind()) {
-            case SERVED -> new Result.Served(reply.body(), reply.contentType(), reply.worker(), end.attempts());
-            case REFUSED -> new Result.Refused(Duration.ofNanos(end.retryAfterNanos()), reason.strip(), end.attempts());
-            case FAILED -> new Result.Failed(reason.strip(), end.attempts());
-            case LATE -> new Result.Late(end.mayHaveRun(), end.attempts());
-            case INVALID -> new Result.Invalid(reason.strip(), end.attempts());
-            case CANCELLED -> new Result.Cancelled(end.mayHaveRun(), end.attempts());
+        return switch (callResult.kind()) {
+            case SERVED -> new Result.Served(reply.body(), reply.contentType(), reply.worker(), callResult.attempts());
+            case REFUSED -> new Result.Refused(
+                    Duration.ofNanos(callResult.retryAfterNanos()), reason.strip(), callResult.attempts());
+            case FAILED -> new Result.Failed(reason.strip(), callResult.attempts());
+            case LATE -> new Result.Late(callResult.mayHaveRun(), callResult.attempts());
+            case INVALID -> new Result.Invalid(reason.strip(), callResult.attempts());
+            case CANCELLED -> new Result.Cancelled(callResult.mayHaveRun(), callResult.attempts());
         };
     }
 }
--- a/client/src/main/java/wharfhinge/client/package-info.java
+++ b/client/src/main/java/wharfhinge/client/package-info.java
@@ -1,2 +1,2 @@
-/** Calls through gateways: one client, whatever carries it. Start at {@link wharfhinge.client.WharfhingeClient}. */
+/** The client library, independent of the transport. The entry point is {@link wharfhinge.client.WharfhingeClient}. */
 package wharfhinge.client;
