--- a/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointListView.java
+++ b/gateway/src/main/java/wharfhinge/gateway/discovery/EndpointListView.java
@@ -30,7 +30,7 @@
     /** Older and repeated revisions change nothing; a gap requests the full list. */
     FrameResult apply(RosterFrame frame) {
         return switch (frame.kind()) {
-            case BEAT -> isNewer(frame) ? FrameResult.REQUEST_FULL_LIST : FrameResult.UNCHANGED;
+            case HEARTBEAT -> isNewer(frame) ? FrameResult.REQUEST_FULL_LIST : FrameResult.UNCHANGED;
             case ALL -> isNewer(frame) ? advance(EndpointUpdateMode.FULL, frame) : FrameResult.UNCHANGED;
             case CHANGES -> applyChanges(frame);
         };
--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseHead.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseHead.java
@@ -56,7 +56,7 @@
 
     /** How many calls ran on the worker beside this one, or 0. */
     int concurrentOnWorker() {
-        return number(WorkerProtocol.COMPANY);
+        return number(WorkerProtocol.CONCURRENT_CALLS);
     }
 
     /** How many copies of the function are loaded, or 0. */
--- a/gateway/src/test/java/wharfhinge/gateway/discovery/EndpointListTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/discovery/EndpointListTest.java
@@ -49,9 +49,9 @@
                 view.apply(changes(4, 7)).update().isPresent(), "changes since before what is held tell the same end");
         assertTrue(view.apply(changes(9, 10)).requestsFullList(), "a gap");
         assertTrue(
-                view.apply(new RosterFrame(Kind.BEAT, 0, 10, List.of())).requestsFullList(),
+                view.apply(new RosterFrame(Kind.HEARTBEAT, 0, 10, List.of())).requestsFullList(),
                 "a beat beyond what is held");
-        assertFalse(view.apply(new RosterFrame(Kind.BEAT, 0, 7, List.of())).requestsFullList());
+        assertFalse(view.apply(new RosterFrame(Kind.HEARTBEAT, 0, 7, List.of())).requestsFullList());
         assertEquals(7, view.revision());
     }
 
--- a/protocol-grpc/src/main/java/wharfhinge/protocol/grpc/GrpcProtocol.java
+++ b/protocol-grpc/src/main/java/wharfhinge/protocol/grpc/GrpcProtocol.java
@@ -2,19 +2,19 @@
 
 import io.grpc.Metadata;
 
-/** Names in headers and trailers; what they mean is in {@code docs/protocol-grpc.md}. */
+/** Headers and trailers of the gRPC protocol, which {@code docs/protocol-grpc.md} specifies. */
 public final class GrpcProtocol {
-    /** What the final answer is, in a word; a trailer. */
+    /** Trailer: the final result of the call, in the words of the HTTP header of this name. */
     public static final Metadata.Key<String> ANSWER = text("wh-answer");
-    /** What became of each attempt, or why there was none; a trailer. */
+    /** Trailer: the outcome of each attempt, or the reason why none was made. */
     public static final Metadata.Key<String> REASON = text("wh-reason");
-    /** How many attempts there were; a trailer. */
+    /** Trailer: number of attempts. */
     public static final Metadata.Key<String> ATTEMPTS = text("wh-attempts");
-    /** When to come back, in milliseconds; a trailer. */
+    /** Trailer: Retry-After in milliseconds. */
     public static final Metadata.Key<String> RETRY_AFTER_MS = text("wh-retry-after-ms");
-    /** A token; a header. */
+    /** Header: the client's bearer token. */
     public static final Metadata.Key<String> AUTHORIZATION = text("authorization");
-    /** What became of a chain that was refused or failed, as JSON; a trailer. */
+    /** Trailer: result of a chain that was rejected or failed, as JSON. */
     public static final Metadata.Key<byte[]> CHAIN = Metadata.Key.of("wh-chain-bin", Metadata.BINARY_BYTE_MARSHALLER);
 
     private GrpcProtocol() {}
--- a/protocol/src/main/java/wharfhinge/protocol/AnswerCode.java
+++ b/protocol/src/main/java/wharfhinge/protocol/AnswerCode.java
@@ -1,14 +1,17 @@
 package wharfhinge.protocol;
 
-/** What a worker says of a call in {@link WorkerProtocol#OUTCOME}. */
+/** Outcome of a call on a worker, sent in {@link WorkerProtocol#OUTCOME}. */
 public enum AnswerCode {
-    /** The call ran; the body is its answer. */
+    /** The call ran; the body is its response. */
     SERVED("served", 200),
-    /** The call may have run and gave no answer. */
+    /** The call may have run and gave no response. */
     ERROR("error", 500),
-    /** Turned away unseen: queue full, no memory to be had, or draining. Proves that the call never ran. */
+    /** Rejected before execution: the queue is full, memory is short or the worker drains. The call never ran. */
     FULL("full", 503),
-    /** The function is not loaded and no load is under way, or the load waited for failed. It never ran. */
+    /**
+     * The function is not loaded and no load is in progress, or the load that the call waited for failed. The call never
+     * ran.
+     */
     MISS("miss", 404);
 
     private final String word;
@@ -19,17 +22,17 @@
         this.status = status;
     }
 
-    /** The word on the wire. */
+    /** The value on the wire. */
     public String word() {
         return word;
     }
 
-    /** The HTTP status that goes with it. */
+    /** The HTTP status sent with it. */
     public int status() {
         return status;
     }
 
-    /** The code of a word; null where it is none of them. */
+    /** Parses a value; null if it is absent or unknown. */
     public static AnswerCode of(CharSequence word) {
         for (AnswerCode code : values()) {
             if (word != null && code.word.contentEquals(word)) {
--- a/protocol/src/main/java/wharfhinge/protocol/ClientProtocol.java
+++ b/protocol/src/main/java/wharfhinge/protocol/ClientProtocol.java
@@ -2,45 +2,48 @@
 
 import io.netty.util.AsciiString;
 
-/** Names that a client and a gateway use; docs/protocol-client.md is the page. */
+/** Paths and headers of the protocol between client and gateway, which docs/protocol-client.md specifies. */
 public final class ClientProtocol {
-    /** A call: {@code POST} to this and the function's name. */
+    /** Path of a call, followed by the function's name: {@code POST}. */
     public static final String CALL_PATH = "/v1/call/";
-    /** A chain: {@code POST} to this. */
+    /** Path of a chain: {@code POST}. */
     public static final String CHAIN_PATH = "/v1/chain";
-    /** What the gateway says of itself: {@code GET}, lines of a name and a value. */
+    /** Path of the gateway's status: {@code GET}; each line of the response holds a name and a value. */
     public static final String STATUS_PATH = "/v1/status";
 
-    /** An id of the client's, 1 to 64 of letters, digits, {@code . _ -}; handed on to the worker. */
+    /** The call's id, chosen by the client: 1 to 64 letters, digits, {@code . _ -}. It is passed on to the worker. */
     public static final AsciiString ID = AsciiString.cached("wh-id");
-    /** The class; may be left out where the gateway has only one. */
+    /** The call's request class; may be absent if the gateway has only one. */
     public static final AsciiString CLASS = AsciiString.cached("wh-class");
-    /** Whose call it is. */
+    /** The tenant that the call belongs to. */
     public static final AsciiString TENANT = AsciiString.cached("wh-tenant");
-    /** How long the client waits, in milliseconds; cut to the class's give-up time, which is the default. */
+    /**
+     * How long the client waits, in milliseconds; the maximum deadline of the request class is both the limit and the
+     * default.
+     */
     public static final AsciiString DEADLINE_MS = AsciiString.cached("wh-deadline-ms");
     /** Expected work in microseconds on a standard core. */
     public static final AsciiString COST_US = AsciiString.cached("wh-cost-us");
     /** Memory of one copy of the function in MB. */
     public static final AsciiString MEMORY_MB = AsciiString.cached("wh-memory-mb");
-    /** Calls that one copy runs at a time. */
+    /** Number of calls that one copy runs concurrently. */
     public static final AsciiString LANES = AsciiString.cached("wh-lanes");
-    /** The usual time of a load in milliseconds. */
+    /** Typical time of a load in milliseconds. */
     public static final AsciiString LOAD_MS = AsciiString.cached("wh-load-ms");
-    /** 1 where this is the client's own repeat. */
+    /** 1 if the client retries an earlier call of its own. */
     public static final AsciiString REPEAT = AsciiString.cached("wh-repeat");
-    /** 1 where the call writes. */
+    /** 1 if the call writes data. */
     public static final AsciiString WRITE = AsciiString.cached("wh-write");
 
-    /** A {@link FinalAnswer}. */
+    /** The final result of the call, a {@link FinalAnswer}. */
     public static final AsciiString ANSWER = AsciiString.cached("wh-answer");
-    /** The worker that served. */
+    /** The worker that served the call. */
     public static final AsciiString WORKER = AsciiString.cached("wh-worker");
-    /** What became of each attempt, or why there was none. */
+    /** The outcome of each attempt, or the reason why none was made. */
     public static final AsciiString REASON = AsciiString.cached("wh-reason");
-    /** How many attempts there were. */
+    /** Number of attempts. */
     public static final AsciiString ATTEMPTS = AsciiString.cached("wh-attempts");
-    /** When to come back, in milliseconds; the standard header has whole seconds, rounded up. */
+    /** Retry-After in milliseconds; the standard header holds whole seconds, rounded up. */
     public static final AsciiString RETRY_AFTER_MS = AsciiString.cached("wh-retry-after-ms");
 
     private ClientProtocol() {}
--- a/protocol/src/main/java/wharfhinge/protocol/CopyNote.java
+++ b/protocol/src/main/java/wharfhinge/protocol/CopyNote.java
@@ -1,16 +1,16 @@
 package wharfhinge.protocol;
 
-/** What a worker says in {@link WorkerProtocol#NOTE} of the copy that a call met. */
+/** State of the function's copy on the worker when a call arrived, reported in {@link WorkerProtocol#NOTE}. */
 public enum CopyNote {
-    /** Nothing is told. */
+    /** Not reported. */
     NONE("-"),
-    /** A loaded copy stood. */
+    /** A copy was already loaded. */
     FOUND("found"),
-    /** This call began the load. */
+    /** This call started the load. */
     BEGAN("began"),
-    /** The call waited for a load begun before. */
+    /** The call waited for a load that was already in progress. */
     WAITED("waited"),
-    /** A load failed: with {@code miss} the call never ran, with {@code error} nothing is proven. */
+    /** The load failed. With the outcome {@code miss} the call never ran; with {@code error} it may have run. */
     LOAD_FAILED("load-failed");
 
     private final String word;
@@ -19,12 +19,12 @@
         this.word = word;
     }
 
-    /** The word on the wire. */
+    /** The value on the wire. */
     public String word() {
         return word;
     }
 
-    /** The note of a word; {@link #NONE} where it is absent or unknown, so that newer workers do no harm. */
+    /** Parses a value; an absent or unknown one, such as that of a newer worker, gives {@link #NONE}. */
     public static CopyNote of(CharSequence word) {
         for (CopyNote note : values()) {
             if (word != null && note.word.contentEquals(word)) {
--- a/protocol/src/main/java/wharfhinge/protocol/FinalAnswer.java
+++ b/protocol/src/main/java/wharfhinge/protocol/FinalAnswer.java
@@ -1,12 +1,12 @@
 package wharfhinge.protocol;
 
-/** How a call ended for its client, in {@link ClientProtocol#ANSWER}. */
+/** Final result of a call for its client, sent in {@link ClientProtocol#ANSWER}. */
 public enum FinalAnswer {
-    /** A worker's answer follows. */
+    /** The body is a worker's response. */
     SERVED("served", 200),
-    /** Turned away: a repeat is harmless, whatever the class. */
+    /** Rejected: a retry is harmless in any request class. */
     REFUSED("refused", 503),
-    /** No answer; it may have run. */
+    /** No response was received; the call may have been executed. */
     FAILED("failed", 502);
 
     private final String word;
@@ -17,12 +17,12 @@
         this.status = status;
     }
 
-    /** The word on the wire. */
+    /** The value on the wire. */
     public String word() {
         return word;
     }
 
-    /** The HTTP status that goes with it. */
+    /** The HTTP status sent with it. */
     public int status() {
         return status;
     }
--- a/protocol/src/main/java/wharfhinge/protocol/LoadReport.java
+++ b/protocol/src/main/java/wharfhinge/protocol/LoadReport.java
@@ -4,22 +4,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The report of a worker's load: {@code name:value} pairs set apart by commas, such as {@code rif:7,x0:0.4}. */
+/** Codec of a worker's load report: {@code name:value} pairs separated by commas, such as {@code rif:7,x0:0.4}. */
 public final class LoadReport {
-    private static final int MOST_PAIRS = 8;
-    private static final int MOST_LENGTH = 256;
+    private static final int MAX_PAIRS = 8;
+    private static final int MAX_LENGTH = 256;
 
     private LoadReport() {}
 
-    /** Reads a report; one that is absent or not well formed is empty, for a report is advice, not an answer. */
+    /** Parses a report. An absent or malformed one counts as empty, since a report is only a hint. */
     public static Map<String, Double> parse(CharSequence text) {
-        if (text == null || text.length() == 0 || text.length() > MOST_LENGTH) {
+        if (text == null || text.length() == 0 || text.length() > MAX_LENGTH) {
             return Map.of();
         }
         Map<String, Double> report = new LinkedHashMap<>();
         for (String pair : text.toString().split(",")) {
             int colon = pair.indexOf(':');
-            if (colon < 1 || report.size() == MOST_PAIRS) {
+            if (colon < 1 || report.size() == MAX_PAIRS) {
                 return Map.of();
             }
             try {
@@ -35,7 +35,7 @@
         return Collections.unmodifiableMap(report);
     }
 
-    /** Writes a report. */
+    /** Formats a report; values that are not whole are rounded to four decimals. */
     public static String format(Map<String, Double> report) {
         StringBuilder text = new StringBuilder();
         report.forEach((name, value) -> {
--- a/protocol/src/main/java/wharfhinge/protocol/ProtocolException.java
+++ b/protocol/src/main/java/wharfhinge/protocol/ProtocolException.java
@@ -1,15 +1,15 @@
 package wharfhinge.protocol;
 
-/** Something on the wire is not as the protocol has it; the message names the place, what was found and what is allowed. */
+/** Malformed data on the wire; the message names the place, what was found and what is allowed. */
 public final class ProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** A fault at {@code place}, such as a header's name or a line's number. */
+    /** Malformed data at {@code place}, which is a header's name or a line number for instance. */
     public ProtocolException(String place, String found, String allowed) {
-        super(place + ": found " + shown(found) + ", allowed: " + allowed);
+        super(place + ": found " + quoted(found) + ", allowed: " + allowed);
     }
 
-    private static String shown(String found) {
+    private static String quoted(String found) {
         if (found == null) {
             return "nothing";
         }
--- a/protocol/src/main/java/wharfhinge/protocol/RosterEntry.java
+++ b/protocol/src/main/java/wharfhinge/protocol/RosterEntry.java
@@ -1,27 +1,28 @@
 package wharfhinge.protocol;
 
 /**
- * One worker as the roster lists it.
+ * One worker in the endpoint list.
  *
- * @param id     {@code address:port}
- * @param cell   the group of workers that discard repeats among them
- * @param ageMillis  how long its process runs, in milliseconds; {@link #UNKNOWN_AGE} where that is not told
- * @param boot   names the process, so that one back under the same address is known for new; {@code -} untold
+ * @param id        {@code address:port}
+ * @param cell      the group of workers that together discard repeated calls
+ * @param ageMillis how long the worker's process has been running, or {@link #UNKNOWN_AGE}
+ * @param boot      incarnation: identifies the process, so that a process restarted under the same address is
+ *     recognized as new; {@link #NO_BOOT} if unknown
  */
 public record RosterEntry(
         String id, String zone, String kind, int cell, State state, double weight, long ageMillis, String boot) {
-    /** No age is told. */
+    /** The age is unknown. */
     public static final long UNKNOWN_AGE = -1;
-    /** The process is not told. */
+    /** The incarnation is unknown. */
     public static final String NO_BOOT = "-";
 
-    /** What the roster says of a worker. */
+    /** State of a worker in the endpoint list. */
     public enum State {
-        /** It runs. */
+        /** The worker accepts calls. */
         UP('U'),
-        /** It finishes what it has; nothing new may be sent. */
+        /** The worker finishes its calls; no new work may be sent to it. */
         DRAINING('L'),
-        /** It is gone; only in changes. */
+        /** The worker was removed from the list; used in {@link RosterFrame.Kind#CHANGES} only. */
         GONE('D');
 
         private final char letter;
--- a/protocol/src/main/java/wharfhinge/protocol/RosterFrame.java
+++ b/protocol/src/main/java/wharfhinge/protocol/RosterFrame.java
@@ -3,23 +3,22 @@
 import java.util.List;
 
 /**
- * One message of a roster's stream.
+ * One message of the endpoint service's stream.
  *
- * @param kind     what it is
- * @param from     for {@link Kind#CHANGES} the revision they apply to, else 0
- * @param revision the revision that holds after it
- * @param entries  none for {@link Kind#BEAT}
+ * @param from     the revision that {@link Kind#CHANGES} apply to; 0 for the other kinds
+ * @param revision the revision of the endpoint list after this message
+ * @param entries  the listed or changed workers; empty for {@link Kind#HEARTBEAT}
  */
 public record RosterFrame(Kind kind, long from, long revision, List<RosterEntry> entries) {
 
-    /** Kinds of message. */
+    /** Kind of a message. */
     public enum Kind {
-        /** The whole list. */
+        /** The full endpoint list. */
         ALL("all"),
-        /** What changed since a revision. */
+        /** The changes since a revision. */
         CHANGES("changes"),
-        /** A sign of life. */
-        BEAT("beat");
+        /** Confirms that the connection is alive and the revision is current. */
+        HEARTBEAT("beat");
 
         private final String word;
 
@@ -28,14 +27,14 @@
         }
     }
 
-    /** The frame as lines of text, each ended by a line feed. */
+    /** The wire format: lines of text, each ended by a line feed. */
     public String text() {
         StringBuilder text = new StringBuilder(kind.word);
         if (kind == Kind.CHANGES) {
             text.append(' ').append(from);
         }
         text.append(' ').append(revision);
-        if (kind != Kind.BEAT) {
+        if (kind != Kind.HEARTBEAT) {
             text.append(' ').append(entries.size());
         }
         text.append('\n');
--- a/protocol/src/main/java/wharfhinge/protocol/RosterProtocol.java
+++ b/protocol/src/main/java/wharfhinge/protocol/RosterProtocol.java
@@ -1,14 +1,17 @@
 package wharfhinge.protocol;
 
-/** Names that a gateway and a roster use; docs/protocol-roster.md is the page. */
+/**
+ * Paths and headers of the protocol between gateway and endpoint service (the roster), which docs/protocol-roster.md
+ * specifies.
+ */
 public final class RosterProtocol {
-    /** The whole list, once: {@code GET}. */
+    /** Path of the full endpoint list, sent once: {@code GET}. */
     public static final String LIST_PATH = "/v1/roster";
-    /** The stream of changes, with {@link #FROM_PARAMETER} where a revision is held: {@code GET}. */
+    /** Path of the stream of changes: {@code GET}, with {@link #FROM_PARAMETER} if the gateway holds a revision. */
     public static final String WATCH_PATH = "/v1/roster/watch";
-    /** The revision that the asker holds. */
+    /** Parameter of {@link #WATCH_PATH}: the revision that the gateway holds. */
     public static final String FROM_PARAMETER = "?from=";
-    /** The header in which a gateway gives its name. */
+    /** The header that holds the gateway's name. */
     public static final String GATEWAY = WorkerProtocol.GATEWAY.toString();
 
     private RosterProtocol() {}
--- a/protocol/src/main/java/wharfhinge/protocol/package-info.java
+++ b/protocol/src/main/java/wharfhinge/protocol/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What goes over the wire between client, gateway, worker and roster: names, words and codecs. Nothing here
- * decides, opens a socket or reads a clock. The pages docs/protocol-client.md, docs/protocol-worker.md and
- * docs/protocol-roster.md say the same in prose.
+ * The wire protocols between client, gateway, worker and endpoint service (the roster): names of paths and headers,
+ * their values, and codecs. This package makes no decisions, opens no sockets and reads no clock. The protocols are
+ * specified in docs/protocol-client.md, docs/protocol-worker.md and docs/protocol-roster.md.
  */
 package wharfhinge.protocol;
--- a/protocol/src/test/java/wharfhinge/protocol/CodecTest.java
+++ b/protocol/src/test/java/wharfhinge/protocol/CodecTest.java
@@ -15,26 +15,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Codecs of the wire protocols. */
 class CodecTest {
     private static final RosterEntry ENTRY =
             new RosterEntry("127.0.0.1:8001", "hall-a", "std", 3, RosterEntry.State.DRAINING, 1.5, 1200, "b7");
 
     @Test
-    void framesSurviveAnyCut() throws ProtocolException {
+    void streamSplitAnywhere_decodesToTheSameFrames() throws ProtocolException {
         List<RosterFrame> sent = List.of(
                 new RosterFrame(RosterFrame.Kind.ALL, 0, 7, List.of(ENTRY)),
-                new RosterFrame(RosterFrame.Kind.BEAT, 0, 7, List.of()),
+                new RosterFrame(RosterFrame.Kind.HEARTBEAT, 0, 7, List.of()),
                 new RosterFrame(RosterFrame.Kind.CHANGES, 7, 9, List.of(ENTRY, ENTRY)));
         StringBuilder text = new StringBuilder();
         sent.forEach(frame -> text.append(frame.text()));
         byte[] bytes = text.toString().getBytes(StandardCharsets.UTF_8);
-        for (int cut = 1; cut < 40; cut++) {
-            List<RosterFrame> got = new ArrayList<>();
+        for (int chunkLength = 1; chunkLength < 40; chunkLength++) {
+            List<RosterFrame> received = new ArrayList<>();
             RosterDecoder decoder = new RosterDecoder();
-            for (int i = 0; i < bytes.length; i += cut) {
-                decoder.decode(Unpooled.wrappedBuffer(bytes, i, Math.min(cut, bytes.length - i)), got::add);
+            for (int i = 0; i < bytes.length; i += chunkLength) {
+                decoder.decode(
+                        Unpooled.wrappedBuffer(bytes, i, Math.min(chunkLength, bytes.length - i)), received::add);
             }
-            assertEquals(sent, got);
+            assertEquals(sent, received);
             assertFalse(decoder.midFrame());
         }
     }
@@ -52,10 +54,10 @@
                 "all 1 1\nw a:1 z k 0 U NaN - -\n",
                 "all 99999999999999999999 0\n"
             })
-    void aBadLineIsNamed(String text) {
-        ProtocolException e = assertThrows(ProtocolException.class, () -> new RosterDecoder()
+    void malformedLine_isNamedInTheMessage(String text) {
+        ProtocolException exception = assertThrows(ProtocolException.class, () -> new RosterDecoder()
                 .decode(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8), frame -> {}));
-        assertTrue(e.getMessage().matches("line \\d: found .*, allowed: .*"), e.getMessage());
+        assertTrue(exception.getMessage().matches("line \\d: found .*, allowed: .*"), exception.getMessage());
     }
 
     @ParameterizedTest
@@ -71,24 +73,24 @@
         "wh-tenant,a b",
         "wh-cost-us,99999999999999999999"
     })
-    void aBadHeaderIsNamed(String name, String value) {
-        ProtocolException e = assertThrows(
+    void malformedHeader_isNamedInTheMessage(String name, String value) {
+        ProtocolException exception = assertThrows(
                 ProtocolException.class,
                 () -> CallHead.parse("/v1/call/f", h -> h.toString().equals(name) ? value : null));
-        assertTrue(e.getMessage().startsWith(name + ": found"), e.getMessage());
+        assertTrue(exception.getMessage().startsWith(name + ": found"), exception.getMessage());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "a/b", "a%20b", "ä"})
-    void aBadFunctionIsNamed(String function) {
+    void malformedFunction_isRejected(String function) {
         assertThrows(ProtocolException.class, () -> CallHead.parse("/v1/call/" + function, h -> null));
     }
 
     @Test
-    void reportsAreReadAndBadOnesAreEmpty() {
+    void loadReport_malformed_isEmpty() {
         assertEquals(Map.of("rif", 7.0, "x0", 0.4), LoadReport.parse("rif:7,x0:0.4"));
         assertEquals("rif:7", LoadReport.format(Map.of("rif", 7.0)));
-        for (String bad : List.of(
+        for (String malformed : List.of(
                 "",
                 "rif",
                 "rif:",
@@ -97,12 +99,12 @@
                 "rif:NaN",
                 "a:1,b:1,c:1,d:1,e:1,f:1,g:1,h:1,i:1",
                 "a:1".repeat(200))) {
-            assertEquals(Map.of(), LoadReport.parse(bad), bad);
+            assertEquals(Map.of(), LoadReport.parse(malformed), malformed);
         }
     }
 
     @Test
-    void unknownWordsDoNoHarm() {
+    void unknownWireValues_areTolerated() {
         assertEquals(CopyNote.NONE, CopyNote.of("unheard-of"));
         assertEquals(null, AnswerCode.of("unheard-of"));
     }
--- a/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
@@ -49,7 +49,7 @@
         this.listening = Net.listenHttp(loop, port, Requests::new);
         this.port = Net.port(listening);
         loop.scheduleAtFixedRate(
-                () -> push(new RosterFrame(RosterFrame.Kind.BEAT, 0, revision, List.of())),
+                () -> push(new RosterFrame(RosterFrame.Kind.HEARTBEAT, 0, revision, List.of())),
                 BEAT_MS,
                 BEAT_MS,
                 TimeUnit.MILLISECONDS);
@@ -131,7 +131,7 @@
     private void write(Channel channel, String gateway, RosterFrame frame) {
         boolean all = frame.kind() == RosterFrame.Kind.ALL;
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(frame.text(), StandardCharsets.UTF_8)));
-        if (frame.kind() != RosterFrame.Kind.BEAT) {
+        if (frame.kind() != RosterFrame.Kind.HEARTBEAT) {
             for (RosterEntry e : frame.entries()) {
                 trace.note(
                         "told",
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
@@ -160,7 +160,7 @@
                                 if (note != CopyNote.NONE) {
                                     response.headers().set(WorkerProtocol.NOTE, note.word());
                                 }
-                                response.headers().setInt(WorkerProtocol.COMPANY, company);
+                                response.headers().setInt(WorkerProtocol.CONCURRENT_CALLS, company);
                                 reported(response);
                                 open = null;
                                 ctx.writeAndFlush(response);
--- a/worker/src/main/java/wharfhinge/worker/WorkerServer.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerServer.java
@@ -244,7 +244,7 @@
                             if (note != CopyNote.NONE) {
                                 response.headers().set(WorkerProtocol.NOTE, note.word());
                             }
-                            response.headers().setInt(WorkerProtocol.COMPANY, company);
+                            response.headers().setInt(WorkerProtocol.CONCURRENT_CALLS, company);
                             write(ctx, response);
                         });
                 call = answered[0] ? 0 : number;
