--- a/policy/src/test/java/wharfhinge/policy/AdmissionControllerTest.java
+++ b/policy/src/test/java/wharfhinge/policy/AdmissionControllerTest.java
@@ -15,12 +15,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Shedding, rejections and their advice. */
+/** Load shedding, rejections and their Retry-After. */
 class AdmissionControllerTest {
 
-    /** Overload: a dispatcher whose answers come late, or tell saturation, takes fewer requests. */
+    /** Guards against overload that shows in late responses only: a part of the new requests is shed. */
     @Test
-    void mostAnswersTellSaturation_requestsAreShed() {
+    void mostResponsesLate_requestsAreShed() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         int rejected = 0;
@@ -36,7 +36,7 @@
         assertTrue(rejected > 10 && rejected < 55, "rejected " + rejected);
     }
 
-    /** A client with little time left does not wait for half the class's latency objective. */
+    /** A request with little time left is queued for less than the half of the latency objective that others wait. */
     @Test
     void requestNearItsDeadline_isRejectedInTime() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -54,9 +54,9 @@
         assertTrue(host.hasRecorded("reject short"));
     }
 
-    /** With few answers in memory a dispatcher among many must still shed when all of them tell saturation. */
+    /** A dispatcher in a large group has few recent responses; it must still shed if all of them show saturation. */
     @Test
-    void fewAnswersThatAllTellSaturation_shedMostRequests() {
+    void fewResponsesThatAllShowSaturation_shedMostRequests() {
         int rejected = 0;
         for (int seed = 0; seed < 200; seed++) {
             FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(300, false, true), seed);
@@ -73,7 +73,7 @@
         assertTrue(rejected > 150 && rejected < 190, "rejected " + rejected);
     }
 
-    /** Rejected at once, with a Retry-After that the site passes on, or none where it passes none on. */
+    /** A rejection has a Retry-After within the configured maximum, or of 0 where the settings do not allow one. */
     @Test
     void rejection_advisesRetryAfterWhereAllowed() {
         for (boolean retryAfterAllowed : List.of(true, false)) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** While nothing can take it a request may wait, but not past the time that serving it needs. */
+    /** A request that no worker can take is rejected once the time left is shorter than its estimated service time. */
     @Test
     void queuedRequestThatCannotBeServedInTime_isRejectedAtOnce() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -111,7 +111,7 @@
         assertTrue(host.hasRecorded("reject " + request));
     }
 
-    /** A request that waits for an order not yet sent is rejected when the load would end past its deadline. */
+    /** A request that waits for a pending load order is rejected once the load would end after its deadline. */
     @Test
     void waitForALoadThatEndsPastTheDeadline_isRejectedAtOnce() {
         FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.settings(
@@ -119,17 +119,19 @@
         host.listWorkers("b", "c", "d", "e");
         String ordered = host.sendRequest("f0");
         host.complete(ordered, 0, NOT_LOADED, UNKNOWN, 5);
-        String waits = host.sendRequest("f1");
-        host.complete(waits, 0, NOT_LOADED, UNKNOWN, 5);
+        String waiting = host.sendRequest("f1");
+        host.complete(waiting, 0, NOT_LOADED, UNKNOWN, 5);
         assertEquals(
                 1,
-                host.actions.stream().filter(l -> l.startsWith("ensureLoaded ")).count());
+                host.actions.stream()
+                        .filter(action -> action.startsWith("ensureLoaded "))
+                        .count());
         host.advanceMillis(1800);
         host.fireTimer("sweep");
-        assertFalse(host.hasRecorded("reject " + waits));
+        assertFalse(host.hasRecorded("reject " + waiting));
         host.advanceMillis(100);
         host.fireTimer("sweep");
-        assertTrue(host.hasRecorded("reject " + waits));
+        assertTrue(host.hasRecorded("reject " + waiting));
         assertFalse(host.hasRecorded("reject " + ordered));
     }
 }
--- a/policy/src/test/java/wharfhinge/policy/CacheAwareDispatcherTest.java
+++ b/policy/src/test/java/wharfhinge/policy/CacheAwareDispatcherTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The way of a request through the dispatcher: waiting, endpoint changes, repeatable decisions. */
+/** A request's path through the whole dispatcher: queueing, endpoint updates, reproducible decisions. */
 class CacheAwareDispatcherTest {
 
     @Test
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void queuedRequest_onNewWorker_isSent() {
+    void queuedRequest_isSentToANewWorker() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers();
         String request = host.sendRequest("f");
--- a/policy/src/test/java/wharfhinge/policy/ConcurrencyLimiterTest.java
+++ b/policy/src/test/java/wharfhinge/policy/ConcurrencyLimiterTest.java
@@ -10,12 +10,15 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How long a worker that was found saturated is left alone. */
+/** How long a worker that was found saturated gets no requests. */
 class ConcurrencyLimiterTest {
 
-    /** Many dispatchers send to a worker seldom: each rejection for saturation has to tell for longer. */
+    /**
+     * Where each of many dispatchers sends to a worker seldom, each gets few rejections: every further one has to extend the
+     * pause.
+     */
     @Test
-    void saturatedAnswers_doubleThePauseOfADispatcherThatSendsSeldom() {
+    void repeatedSaturation_doublesThePauseOfADispatcherThatSendsSeldom() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         String first = host.sendRequest("f");
@@ -36,16 +39,16 @@
     }
 
     /**
-     * Many dispatchers that each send seldom: one that finds a worker saturated leaves it alone for longer than
-     * before.
+     * Each of many dispatchers sends seldom: one that finds a worker saturated must pause for longer than its previous
+     * interval between sends.
      */
     @Test
-    void largeGroup_cutDoublesTheOwnSendInterval() {
+    void largeGroup_decreaseDoublesTheOwnSendInterval() {
         assertTrue(millisUntilNextRequestAfterSaturation(300) >= 1800);
         assertTrue(millisUntilNextRequestAfterSaturation(2) < 1000);
     }
 
-    /** Milliseconds until a worker gets a request again, which had one each second and was then found saturated. */
+    /** Milliseconds until the next request for a worker that got one per second and was then found saturated. */
     private static long millisUntilNextRequestAfterSaturation(int groupSize) {
         FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(groupSize, false, true));
         host.listWorkers("b", "c");
--- a/policy/src/test/java/wharfhinge/policy/DeployFileTest.java
+++ b/policy/src/test/java/wharfhinge/policy/DeployFileTest.java
@@ -16,32 +16,32 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file names the files that decide. */
+/** The deploy file lists the source files that make the decisions. */
 class DeployFileTest {
 
     /**
-     * Operators and the bench read from the deploy file which files decide: each is named there, and nothing that is
-     * not there.
+     * Operators and the benchmark read from the deploy file which source files make the decisions: all of them must be
+     * listed, and each listed file must exist.
      */
     @Test
-    void everyFileOfTheModule_isNamedInTheDeployFile() throws Exception {
+    void everyFileOfTheModule_isListedInTheDeployFile() throws Exception {
         String deploy = Files.readString(Path.of("../deploy/balancer.toml"));
         Matcher list = Pattern.compile("(?m)^policy = \\[([^\\]]*)\\]").matcher(deploy);
         assertTrue(list.find());
-        Set<String> named =
+        Set<String> listed =
                 new TreeSet<>(List.of(list.group(1).replaceAll("[\"\\s]", "").split(",")));
         Set<String> present = new TreeSet<>();
         try (Stream<Path> files = Files.walk(Path.of("src/main/java"))) {
             files.filter(file -> file.toString().endsWith(".java")).forEach(file -> present.add("policy/" + file));
         }
-        assertTrue(present.containsAll(named), () -> "named but absent: " + named);
-        present.removeAll(named);
+        assertTrue(present.containsAll(listed), () -> "listed files, some of which do not exist: " + listed);
+        present.removeAll(listed);
         assertEquals(
-                Set.of(), present.stream().filter(DeployFileTest::hasStatements).collect(Collectors.toSet()));
+                Set.of(), present.stream().filter(DeployFileTest::declaresClass).collect(Collectors.toSet()));
     }
 
-    /** Whether a file holds more than a message's components or an interface's signatures. */
-    private static boolean hasStatements(String file) {
+    /** Whether a file declares a class, and not only a record, an enum or an interface. */
+    private static boolean declaresClass(String file) {
         try {
             return Pattern.compile("(?m)^(\\w+ )*class ")
                     .matcher(Files.readString(Path.of("..").resolve(file)))
--- a/policy/src/test/java/wharfhinge/policy/EmbeddingPageTest.java
+++ b/policy/src/test/java/wharfhinge/policy/EmbeddingPageTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The embedding example compiles and runs as the page prints it. */
+/** The example of docs/embedding.md compiles and runs as it is printed there. */
 class EmbeddingPageTest {
 
     @Test
@@ -34,7 +34,7 @@
     }
 
     private static String printed(Path folder) throws Exception {
-        PrintStream before = System.out;
+        PrintStream originalOut = System.out;
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (URLClassLoader loader =
                 new URLClassLoader(new URL[] {folder.toUri().toURL()}, EmbeddingPageTest.class.getClassLoader())) {
@@ -43,7 +43,7 @@
             main.setAccessible(true);
             main.invoke(null, (Object) new String[0]);
         } finally {
-            System.setOut(before);
+            System.setOut(originalOut);
         }
         return out.toString(StandardCharsets.UTF_8);
     }
--- a/policy/src/test/java/wharfhinge/policy/EndpointLeasesTest.java
+++ b/policy/src/test/java/wharfhinge/policy/EndpointLeasesTest.java
@@ -12,55 +12,58 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is sent while the source of the endpoint list is not heard; the drain grace is 500 ms. */
+/**
+ * Leases of workers: what is sent to them while the source of the endpoint list does not confirm it. The drain grace
+ * period is 500 ms.
+ */
 class EndpointLeasesTest {
     private final FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(100, false, true));
 
     private static FakeDispatcherHost withoutQueries() {
-        DispatcherSettings s = FakeDispatcherHost.inGroup(100, false, true);
-        FunctionLoading f = s.functionLoading();
-        FunctionLoading withoutOrders = new FunctionLoading(
-                f.idleRetentionNanos(),
+        DispatcherSettings base = FakeDispatcherHost.inGroup(100, false, true);
+        FunctionLoading loading = base.functionLoading();
+        FunctionLoading loadingWithoutOrders = new FunctionLoading(
+                loading.idleRetentionNanos(),
                 false,
-                f.onMiss(),
-                f.loadTimeoutNanos(),
-                f.loadQuotaPeriodNanos(),
-                f.loadQuotaPerRequest(),
-                f.loadQuotaBase(),
-                f.idlePrice(),
-                f.memoryMbByKind(),
-                f.reportX0(),
-                f.reportX1(),
-                f.reportsConcurrency(),
-                f.reportsCacheStatus());
+                loading.onMiss(),
+                loading.loadTimeoutNanos(),
+                loading.loadQuotaPeriodNanos(),
+                loading.loadQuotaPerRequest(),
+                loading.loadQuotaBase(),
+                loading.idlePrice(),
+                loading.memoryMbByKind(),
+                loading.reportX0(),
+                loading.reportX1(),
+                loading.reportsConcurrency(),
+                loading.reportsCacheStatus());
         return new FakeDispatcherHost(new DispatcherSettings(
-                s.groupSize(),
-                s.dispatcherNumber(),
-                s.tickNanos(),
-                s.zone(),
-                s.zones(),
-                s.kinds(),
-                s.discovery(),
-                s.weightReporting(),
-                s.priorityUnit(),
-                s.overQuotaPriorityWeight(),
-                s.classes(),
-                s.tenants(),
-                withoutOrders,
-                s.feedback(),
-                s.objectiveWeights(),
-                s.limits(),
-                s.protectionRules(),
-                s.prices(),
-                s.clientBehavior()));
+                base.groupSize(),
+                base.dispatcherNumber(),
+                base.tickNanos(),
+                base.zone(),
+                base.zones(),
+                base.kinds(),
+                base.discovery(),
+                base.weightReporting(),
+                base.priorityUnit(),
+                base.overQuotaPriorityWeight(),
+                base.classes(),
+                base.tenants(),
+                loadingWithoutOrders,
+                base.feedback(),
+                base.objectiveWeights(),
+                base.limits(),
+                base.protectionRules(),
+                base.prices(),
+                base.clientBehavior()));
     }
 
     private static void confirm(FakeDispatcherHost host) {
         host.dispatcher.onEndpointsConfirmed(host.now, host.now);
     }
 
-    /** Loses the list and lets this much time pass. */
-    private static void lose(FakeDispatcherHost host, long millis) {
+    /** The source of the list has to be contacted again; then time passes. */
+    private static void loseConfirmation(FakeDispatcherHost host, long millis) {
         host.dispatcher.onEndpointsUnconfirmed(host.now);
         host.advanceMillis(millis);
     }
@@ -71,55 +74,55 @@
                 .toList();
     }
 
-    /** Answers the one query in flight. */
+    /** Answers the first query in flight. */
     private void answerQuery(Outcome outcome) {
         String[] query = queries(host).get(0).split(" ");
         host.actions.remove(String.join(" ", query));
         host.dispatcher.onLoadCompleted(host.now, query[1], query[2], 1, outcome, MS);
     }
 
-    private String sendUnanswered(String function) {
+    private String sendWithoutQueryReplies(String function) {
         host.answersResidencyQueries = false;
         return host.sendRequest(function);
     }
 
     @Test
-    void listThatIsHeard_needsNoQueries() {
+    void confirmedList_needsNoQueries() {
         host.listWorkers("b", "c", "d");
         confirm(host);
         host.advanceMillis(2100);
-        assertNotNull(host.workerOf(sendUnanswered("f1")));
+        assertNotNull(host.workerOf(sendWithoutQueryReplies("f1")));
     }
 
     @Test
-    void listThatIsNotHeardForTooLong_isStaleWithoutBeingTold() {
+    void listUnconfirmedForTooLong_isStaleWithoutNotice() {
         host.listWorkers("b", "c", "d");
         confirm(host);
         host.advanceMillis(2200 + 200);
-        assertNull(host.workerOf(sendUnanswered("f1")));
+        assertNull(host.workerOf(sendWithoutQueryReplies("f1")));
         assertEquals(1, queries(host).size());
     }
 
-    /** News from before a pause of this process tells nothing of now, however late it is read. */
+    /** After a stall of this process, a confirmation that was sent before the stall must not count as current. */
     @Test
-    void confirmationFromBeforeAPause_doesNotRenew() {
+    void confirmationFromBeforeAStall_doesNotRenewLeases() {
         host.listWorkers("b", "c", "d");
         confirm(host);
-        long before = host.now;
+        long beforeStall = host.now;
         host.advanceMillis(10_000);
-        host.dispatcher.onEndpointsConfirmed(host.now, before + MS);
-        assertNull(host.workerOf(sendUnanswered("f1")));
+        host.dispatcher.onEndpointsConfirmed(host.now, beforeStall + MS);
+        assertNull(host.workerOf(sendWithoutQueryReplies("f1")));
         confirm(host);
-        assertNotNull(host.workerOf(sendUnanswered("f2")));
+        assertNotNull(host.workerOf(sendWithoutQueryReplies("f2")));
     }
 
     @Test
-    void staleList_asksTheWorkerAndSendsOnceItAnswers() {
+    void staleList_queriesTheWorkerAndSendsOnceItAnswers() {
         host.listWorkers("b", "c", "d");
         confirm(host);
-        lose(host, 200);
-        String request = sendUnanswered("f1");
-        String other = sendUnanswered("f1");
+        loseConfirmation(host, 200);
+        String request = sendWithoutQueryReplies("f1");
+        String other = sendWithoutQueryReplies("f1");
         assertEquals(1, queries(host).size(), "one query for both");
         String worker = queries(host).get(0).split(" ")[1];
         SendCondition query = host.dispatcher.sendCondition(host.now, worker, SendCondition.Purpose.QUERY);
@@ -136,100 +139,102 @@
     void servedCall_renewsTheLeaseFromWhenItWasSent() {
         host.listWorkers("b");
         confirm(host);
-        String request = sendUnanswered("f1");
-        lose(host, 100);
+        String request = sendWithoutQueryReplies("f1");
+        loseConfirmation(host, 100);
         host.serve(request);
         host.advanceMillis(20);
-        assertNotNull(host.workerOf(sendUnanswered("f1")));
+        assertNotNull(host.workerOf(sendWithoutQueryReplies("f1")));
         host.advanceMillis(10);
-        assertNull(host.workerOf(sendUnanswered("f1")), "130 ms after both the loss and the call");
+        assertNull(
+                host.workerOf(sendWithoutQueryReplies("f1")),
+                "130 ms after the list was last current and the call was sent");
     }
 
     @Test
-    void workerThatTurnsAway_isLeftAloneForAWhile_andTheRequestGoesElsewhere() {
+    void workerThatRejects_isAvoidedForAWhileAndTheRequestGoesElsewhere() {
         for (Outcome outcome : List.of(Outcome.SATURATED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT)) {
             EndpointLeasesTest test = new EndpointLeasesTest();
-            test.turnAwayOnce(outcome);
+            test.rejectOnce(outcome);
         }
     }
 
-    private void turnAwayOnce(Outcome outcome) {
+    private void rejectOnce(Outcome outcome) {
         host.listWorkers("b", "c");
         confirm(host);
-        lose(host, 200);
-        String request = sendUnanswered("f1");
-        String away = queries(host).get(0).split(" ")[1];
+        loseConfirmation(host, 200);
+        String request = sendWithoutQueryReplies("f1");
+        String rejecting = queries(host).get(0).split(" ")[1];
         answerQuery(outcome);
         answerQuery(Outcome.SERVED);
-        assertFalse(host.workerOf(request).equals(away));
-        Set<String> asked = new HashSet<>();
+        assertFalse(host.workerOf(request).equals(rejecting));
+        Set<String> queried = new HashSet<>();
         for (int i = 0; i < 8; i++) {
             host.advanceMillis(50);
-            sendUnanswered("f" + i);
-            queries(host).forEach(query -> asked.add(query.split(" ")[1]));
+            sendWithoutQueryReplies("f" + i);
+            queries(host).forEach(query -> queried.add(query.split(" ")[1]));
             while (!queries(host).isEmpty()) {
                 answerQuery(Outcome.SERVED);
             }
         }
-        assertFalse(asked.contains(away), "not within its backoff");
+        assertFalse(queried.contains(rejecting), "queried during its revocation");
     }
 
-    /** The feed is heard again before it has told that the worker drains. */
+    /** The source confirms the list again before it has reported that the worker drains. */
     @Test
-    void revocation_outlastsTheOutage() {
+    void revocation_outlastsTheUnconfirmedPeriod() {
         host.listWorkers("b", "c");
         confirm(host);
-        lose(host, 200);
-        sendUnanswered("f1");
-        String away = queries(host).get(0).split(" ")[1];
+        loseConfirmation(host, 200);
+        sendWithoutQueryReplies("f1");
+        String rejecting = queries(host).get(0).split(" ")[1];
         answerQuery(Outcome.SATURATED);
         answerQuery(Outcome.SERVED);
         confirm(host);
         for (int i = 0; i < 20; i++) {
-            assertFalse(away.equals(host.workerOf(sendUnanswered("h" + i))));
+            assertFalse(rejecting.equals(host.workerOf(sendWithoutQueryReplies("h" + i))));
         }
         host.advanceMillis(600);
         confirm(host);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            used.add(host.workerOf(sendUnanswered("k" + i)));
+            used.add(host.workerOf(sendWithoutQueryReplies("k" + i)));
         }
-        assertTrue(used.contains(away), "the list is taken at its word again");
+        assertTrue(used.contains(rejecting), "the confirmed list is trusted again");
     }
 
     @Test
     void loadOrder_waitsForTheLease() {
-        FakeDispatcherHost byOrder = new FakeDispatcherHost(FakeDispatcherHost.withMemory(1000, 100));
-        byOrder.answersResidencyQueries = false;
-        byOrder.listWorkers("b");
-        confirm(byOrder);
-        lose(byOrder, 200);
-        byOrder.dispatcher.onRequestExpected(
-                byOrder.now, new Request("x", null, 2500 * MS, 300, "f1", 0, 4, 500, "c", false, false));
-        assertTrue(byOrder.hasRecorded("ensureLoaded b f1 0"));
-        assertFalse(byOrder.hasRecorded("ensureLoaded b f1 1"));
-        byOrder.dispatcher.onLoadCompleted(byOrder.now, "b", "f1", 0, Outcome.SERVED, MS);
-        assertTrue(byOrder.hasRecorded("ensureLoaded b f1 1"));
+        FakeDispatcherHost hostWithOrders = new FakeDispatcherHost(FakeDispatcherHost.withMemory(1000, 100));
+        hostWithOrders.answersResidencyQueries = false;
+        hostWithOrders.listWorkers("b");
+        confirm(hostWithOrders);
+        loseConfirmation(hostWithOrders, 200);
+        hostWithOrders.dispatcher.onRequestExpected(
+                hostWithOrders.now, new Request("x", null, 2500 * MS, 300, "f1", 0, 4, 500, "c", false, false));
+        assertTrue(hostWithOrders.hasRecorded("ensureLoaded b f1 0"));
+        assertFalse(hostWithOrders.hasRecorded("ensureLoaded b f1 1"));
+        hostWithOrders.dispatcher.onLoadCompleted(hostWithOrders.now, "b", "f1", 0, Outcome.SERVED, MS);
+        assertTrue(hostWithOrders.hasRecorded("ensureLoaded b f1 1"));
     }
 
-    /** Refused, then answered: it may be a new process, which gets no more than slow start allows. */
+    /** A worker that refused a connection and answers again may be a new process, which must get a slow start. */
     @Test
     void workerThatRefusedAndAnswersAgain_isWarmedUp() {
         host.listWorkers("b", "c", "d", "e");
         confirm(host);
         for (int i = 0; i < 40; i++) {
             host.advanceMillis(20);
-            host.serve(sendUnanswered("f" + i % 3));
+            host.serve(sendWithoutQueryReplies("f" + i % 3));
             confirm(host);
         }
-        lose(host, 200);
-        sendUnanswered("f1");
+        loseConfirmation(host, 200);
+        sendWithoutQueryReplies("f1");
         String worker = queries(host).get(0).split(" ")[1];
         answerQuery(Outcome.CONNECT_FAILED);
         answerQuery(Outcome.SERVED);
         host.advanceMillis(600);
         for (int i = 0; !isWarmingUp(worker) && i < 50; i++) {
-            sendUnanswered("g" + i);
+            sendWithoutQueryReplies("g" + i);
             while (!queries(host).isEmpty()) {
                 answerQuery(Outcome.SERVED);
             }
@@ -250,7 +255,7 @@
         confirm(noQueries);
         String served = noQueries.sendRequest("f1");
         String worker = noQueries.workerOf(served);
-        lose(noQueries, 300);
+        loseConfirmation(noQueries, 300);
         String second = noQueries.sendRequest("f1");
         noQueries.serve(second);
         worker = noQueries.workerOf(second);
@@ -264,6 +269,6 @@
         String request = noQueries.sendRequest("f1");
         SendCondition condition = noQueries.dispatcher.sendCondition(
                 noQueries.now, noQueries.workerOf(request), SendCondition.Purpose.WORK);
-        assertTrue(condition.onNewConnection(), "none has a lease: tried over a new connection");
+        assertTrue(condition.onNewConnection(), "no worker has a lease: one is tried over a new connection");
     }
 }
--- a/policy/src/test/java/wharfhinge/policy/FakeDispatcherHost.java
+++ b/policy/src/test/java/wharfhinge/policy/FakeDispatcherHost.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A dispatcher under test with short ways to tell it events; every action is recorded as one line. */
+/**
+ * Runs a dispatcher in a test: short methods deliver events to it, and each of its actions is recorded as one line of
+ * text.
+ */
 final class FakeDispatcherHost implements DispatcherActions {
     static final long MS = 1_000_000L;
     final List<String> actions = new ArrayList<>();
@@ -14,9 +17,9 @@
     long now = 100_000 * MS;
     int concurrencyPerCopy = 4;
     double memoryMb = 300;
-    double weight = 1; // of the workers listed from now on
+    double weight = 1; // of workers that are listed or updated from now on
     long retryAfterNanos = -1;
-    final Set<String> loadedCopies = new HashSet<>(); // "worker function", the answers to residency queries
+    final Set<String> loadedCopies = new HashSet<>(); // "worker function" of each copy that residency queries find
     boolean answersResidencyQueries = true;
     private int sequence;
 
@@ -28,7 +31,7 @@
         dispatcher = new CacheAwareDispatcher(now, seed, settings, this);
     }
 
-    /** A host of a small group whose workers load on demand. */
+    /** A host of a dispatcher in a small group whose workers load on demand. */
     static FakeDispatcherHost loadingOnDemand() {
         return new FakeDispatcherHost(settings(Effect.IDEMPOTENT, OnMissBehavior.LOAD, true));
     }
@@ -75,67 +78,67 @@
                 new ClientBehavior(false));
     }
 
-    /** A dispatcher in a group of this size, where answers and probes report load. */
+    /** Settings of a group of this size, where responses and probes report load. */
     static DispatcherSettings inGroup(int groupSize, boolean probes, boolean retryAfter) {
-        DispatcherSettings s = settings(Effect.IDEMPOTENT, OnMissBehavior.LOAD, true);
-        DispatchLimits l = s.limits();
+        DispatcherSettings base = settings(Effect.IDEMPOTENT, OnMissBehavior.LOAD, true);
+        DispatchLimits limits = base.limits();
         return new DispatcherSettings(
                 groupSize,
                 0,
-                s.tickNanos(),
-                s.zone(),
-                s.zones(),
-                s.kinds(),
-                s.discovery(),
-                s.weightReporting(),
-                s.priorityUnit(),
-                s.overQuotaPriorityWeight(),
-                s.classes(),
-                s.tenants(),
-                s.functionLoading(),
+                base.tickNanos(),
+                base.zone(),
+                base.zones(),
+                base.kinds(),
+                base.discovery(),
+                base.weightReporting(),
+                base.priorityUnit(),
+                base.overQuotaPriorityWeight(),
+                base.classes(),
+                base.tenants(),
+                base.functionLoading(),
                 new LoadFeedback(LoadReporting.PIGGYBACK, List.of("rif")),
-                s.objectiveWeights(),
+                base.objectiveWeights(),
                 new DispatchLimits(
-                        l.cancellation(),
-                        l.peerMessages(),
+                        limits.cancellation(),
+                        limits.peerMessages(),
                         probes,
-                        l.hedging(),
+                        limits.hedging(),
                         retryAfter,
-                        l.maxAttempts(),
-                        l.maxOpen(),
+                        limits.maxAttempts(),
+                        limits.maxOpen(),
                         200 * MS,
-                        l.connectTimeoutNanos(),
-                        l.connectionIdleNanos(),
-                        l.streamsPerConnection(),
-                        l.cpuMicrosPerSecond(),
-                        l.cpuMicrosPerRequest()),
-                s.protectionRules(),
-                s.prices(),
-                s.clientBehavior());
+                        limits.connectTimeoutNanos(),
+                        limits.connectionIdleNanos(),
+                        limits.streamsPerConnection(),
+                        limits.cpuMicrosPerSecond(),
+                        limits.cpuMicrosPerRequest()),
+                base.protectionRules(),
+                base.prices(),
+                base.clientBehavior());
     }
 
-    /** Only orders load; each worker has this much memory. */
+    /** Settings where functions are loaded by order only and each worker has this much memory. */
     static DispatcherSettings withMemory(double megabytes, int groupSize) {
-        DispatcherSettings s = settings(Effect.IDEMPOTENT, OnMissBehavior.MISS, false);
-        FunctionLoading f = s.functionLoading();
+        DispatcherSettings base = settings(Effect.IDEMPOTENT, OnMissBehavior.MISS, false);
+        FunctionLoading loading = base.functionLoading();
         return new DispatcherSettings(
                 groupSize,
                 0,
-                s.tickNanos(),
-                s.zone(),
-                s.zones(),
-                s.kinds(),
-                s.discovery(),
-                s.weightReporting(),
-                s.priorityUnit(),
-                s.overQuotaPriorityWeight(),
-                s.classes(),
-                s.tenants(),
+                base.tickNanos(),
+                base.zone(),
+                base.zones(),
+                base.kinds(),
+                base.discovery(),
+                base.weightReporting(),
+                base.priorityUnit(),
+                base.overQuotaPriorityWeight(),
+                base.classes(),
+                base.tenants(),
                 new FunctionLoading(
-                        f.idleRetentionNanos(),
+                        loading.idleRetentionNanos(),
                         true,
                         OnMissBehavior.MISS,
-                        f.loadTimeoutNanos(),
+                        loading.loadTimeoutNanos(),
                         0,
                         0,
                         0,
@@ -145,12 +148,12 @@
                         "",
                         false,
                         true),
-                s.feedback(),
-                s.objectiveWeights(),
-                s.limits(),
-                s.protectionRules(),
-                s.prices(),
-                s.clientBehavior());
+                base.feedback(),
+                base.objectiveWeights(),
+                base.limits(),
+                base.protectionRules(),
+                base.prices(),
+                base.clientBehavior());
     }
 
     private Endpoint worker(String id, Availability availability, long startedAt) {
@@ -211,7 +214,7 @@
 
     long attemptCount(String request) {
         return actions.stream()
-                .filter(l -> l.startsWith("attempt " + request + " "))
+                .filter(action -> action.startsWith("attempt " + request + " "))
                 .count();
     }
 
@@ -244,7 +247,7 @@
         complete(request, (int) attemptCount(request) - 1, Outcome.SERVED, CacheStatus.HIT, 50);
     }
 
-    /** Answers each probe in flight: {@code busy} reports so many requests in flight, the others none. */
+    /** Answers all probes in flight: {@code busy} reports {@code inFlight} requests in flight, the others none. */
     void answerProbes(String busy, double inFlight) {
         for (String action : List.copyOf(actions)) {
             if (action.startsWith("probe ")) {
@@ -275,9 +278,9 @@
     }
 
     @Override
-    public void reject(String request, long adviceNanos) {
+    public void reject(String request, long retryAfter) {
         actions.add("reject " + request);
-        retryAfterNanos = adviceNanos;
+        retryAfterNanos = retryAfter;
     }
 
     @Override
--- a/policy/src/test/java/wharfhinge/policy/FunctionAssignmentTest.java
+++ b/policy/src/test/java/wharfhinge/policy/FunctionAssignmentTest.java
@@ -17,22 +17,25 @@
 /** Assignment of functions to workers within their memory. */
 class FunctionAssignmentTest {
 
-    /** Rendezvous hashing alone puts up to all six on one worker, whose memory then turns over for ever. */
+    /** Rendezvous hashing alone may place all six functions on one worker, which would evict and reload them forever. */
     @Test
     void functionsThatFitTheFleet_areAssignedWithinMemory() {
         FakeDispatcherHost host = fullFleet(1);
-        host.advanceMillis(9000); // beliefs expire, the assignments stay
+        host.advanceMillis(9000); // cache entries expire, the assignments stay
         host.fireTimer("lapse");
-        Map<String, Integer> each = new HashMap<>();
+        Map<String, Integer> functionsByWorker = new HashMap<>();
         for (int i = 0; i < 6; i++) {
             String request = host.sendRequest("f" + i);
-            each.merge(host.workerOf(request), 1, Integer::sum);
+            functionsByWorker.merge(host.workerOf(request), 1, Integer::sum);
             host.serve(request);
         }
-        assertEquals(Map.of("b", 2, "c", 2, "d", 2), each);
+        assertEquals(Map.of("b", 2, "c", 2, "d", 2), functionsByWorker);
     }
 
-    /** A storm on one function: what is more than its copy bears is rejected, no other's last copy goes for it. */
+    /**
+     * A burst of requests for one function: those beyond the capacity of its copy are rejected, and no other function
+     * loses its only copy.
+     */
     @Test
     void fullMemory_noFurtherCopyIsOrdered() {
         FakeDispatcherHost host = fullFleet(1);
@@ -42,12 +45,12 @@
         }
         assertEquals(6, loadOrders(host));
         assertTrue(rejected > 30, "rejected " + rejected);
-        assertTrue(host.workerOf(host.sendRequest("f1")) != null, "others are not rejected");
+        assertTrue(host.workerOf(host.sendRequest("f1")) != null, "requests for other functions are not rejected");
     }
 
     /**
-     * Believed to be loaded, and gone: where memory is full of others its load is ordered on its assigned worker
-     * alone.
+     * A function that is believed to be loaded has been evicted: where memory is full of other functions, its load is
+     * ordered on its assigned worker only.
      */
     @Test
     void missWhereMemoryIsFull_isLoadedOnTheAssignedWorker() {
@@ -58,16 +61,16 @@
         assertEquals(7, loadOrders(host));
         assertTrue(
                 host.actions.stream()
-                                .filter(l -> l.startsWith("ensureLoaded " + assignedWorker + " f0"))
+                                .filter(action -> action.startsWith("ensureLoaded " + assignedWorker + " f0"))
                                 .count()
                         == 2,
-                "it stood at its assignedWorker: there again");
+                "loaded twice on its assigned worker");
     }
 
-    /** Dispatchers that share nothing, and see the same functions in another order, derive the same assignments. */
+    /** Dispatchers without shared state derive the same assignments, in whatever order they see the functions. */
     @Test
     void assignments_doNotDependOnTheOrderOfFunctions() {
-        Map<String, String> first = new HashMap<>();
+        Map<String, String> assignedWorkers = new HashMap<>();
         Random order = new Random(5);
         for (int run = 0; run < 20; run++) {
             FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.withMemory(300, 3), run);
@@ -80,15 +83,15 @@
             host.advanceMillis(9000);
             host.fireTimer("lapse");
             for (String f : functions) {
-                String to = host.workerOf(host.sendRequest(f));
-                assertEquals(first.computeIfAbsent(f, x -> to), to, f);
+                String worker = host.workerOf(host.sendRequest(f));
+                assertEquals(assignedWorkers.computeIfAbsent(f, x -> worker), worker, f);
             }
         }
     }
 
-    /** A fleet whose memory holds six copies of 100 MB on three workers, and where only orders load. */
-    private static FakeDispatcherHost fullFleet(int group) {
-        FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.withMemory(200, group));
+    /** Three workers whose memory is full of six copies of 100 MB; functions are loaded by order only. */
+    private static FakeDispatcherHost fullFleet(int groupSize) {
+        FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.withMemory(200, groupSize));
         host.memoryMb = 100;
         host.listWorkers("b", "c", "d");
         for (int i = 0; i < 6; i++) {
@@ -102,6 +105,8 @@
     }
 
     private static long loadOrders(FakeDispatcherHost host) {
-        return host.actions.stream().filter(l -> l.startsWith("ensureLoaded ")).count();
+        return host.actions.stream()
+                .filter(action -> action.startsWith("ensureLoaded "))
+                .count();
     }
 }
--- a/policy/src/test/java/wharfhinge/policy/IdempotencyGuardTest.java
+++ b/policy/src/test/java/wharfhinge/policy/IdempotencyGuardTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a request is sent again, hedged or rejected, given what a repeat would do. */
+/** When a request may be retried, hedged or rejected, given the effect of executing it twice. */
 class IdempotencyGuardTest {
 
     @Test
--- a/policy/src/test/java/wharfhinge/policy/LoadLimitTest.java
+++ b/policy/src/test/java/wharfhinge/policy/LoadLimitTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The limit on loads in flight where workers load on demand. */
+/** Limit on a dispatcher's loads in flight where workers load on demand. */
 class LoadLimitTest {
 
     @Test
@@ -32,7 +32,10 @@
         assertTrue(host.hasRecorded("reject " + request));
     }
 
-    /** Peers keep functions loaded that are not in the own index: such sends are no loads and are not limited. */
+    /**
+     * Peers keep functions loaded that are not in this dispatcher's cache index. Sends to those cause no loads and must not
+     * be limited like loads.
+     */
     @Test
     void sendsThatFindACopy_doNotCountAgainstTheLoadLimit() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -46,9 +49,9 @@
         }
     }
 
-    /** A network that resets says nothing of the copy behind it; the retry goes elsewhere all the same. */
+    /** A broken connection does not show that the copy is gone, though the retry goes to another worker. */
     @Test
-    void brokenConnection_keepsTheBeliefInTheCopy() {
+    void brokenConnection_copyStaysInTheCacheIndex() {
         for (Outcome outcome : List.of(RESET, CONNECT_FAILED)) {
             FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
             host.listWorkers("b", "c", "d", "e");
@@ -60,12 +63,15 @@
             assertNotEquals(preferredWorker, host.workerOf(broken));
             assertTrue(
                     host.dispatcher.workerStates(host.now, "f").stream()
-                            .anyMatch(b -> b.worker().equals(preferredWorker) && b.loaded()),
+                            .anyMatch(state -> state.worker().equals(preferredWorker) && state.loaded()),
                     outcome.toString());
         }
     }
 
-    /** Nor of the store: loads that broke neither fill the limit on loads in flight nor cut it. */
+    /**
+     * A broken connection does not show an overloaded package store: the load no longer counts as in flight, and the limit
+     * is not decreased.
+     */
     @Test
     void brokenConnections_doNotLowerTheLoadLimit() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -82,7 +88,7 @@
         }
     }
 
-    /** A lone worker may load as many copies as it likes: waiting for slots would only delay requests. */
+    /** Below the load limit a worker may load further copies; waiting for a free slot would only delay requests. */
     @Test
     void belowTheLoadLimit_noRequestWaitsForASlot() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -94,7 +100,7 @@
         }
     }
 
-    /** At the load limit: behind a taken slot the worker would load what the limit holds back. */
+    /** At the load limit, a request sent to a copy without a free slot would make the worker load another copy. */
     @Test
     void atTheLoadLimit_requestWaitsForASlotForAQuarterOfItsObjective() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -102,18 +108,18 @@
         host.listWorkers("b", "c", "d", "e");
         String first = host.sendRequest("f1");
         host.serve(first);
-        String taken = host.sendRequest("f1");
+        String slotHolder = host.sendRequest("f1");
         for (int i = 0; i < 12; i++) {
-            host.sendRequest("g" + i); // nobody has them: as many loads are in flight as may be
+            host.sendRequest("g" + i); // not loaded anywhere: fills the limit on loads in flight
         }
-        String waits = host.sendRequest("f1");
-        assertNull(host.workerOf(waits));
-        host.serve(taken);
+        String waiting = host.sendRequest("f1");
+        assertNull(host.workerOf(waiting));
+        host.serve(slotHolder);
         host.fireTimer("sweep");
-        assertEquals(host.workerOf(taken), host.workerOf(waits));
+        assertEquals(host.workerOf(slotHolder), host.workerOf(waiting));
         String late = host.sendRequest("f1");
         host.advanceMillis(160); // over a quarter of the latency objective
         host.fireTimer("sweep");
-        assertEquals(host.workerOf(taken), host.workerOf(late));
+        assertEquals(host.workerOf(slotHolder), host.workerOf(late));
     }
 }
--- a/policy/src/test/java/wharfhinge/policy/LoadOrderTest.java
+++ b/policy/src/test/java/wharfhinge/policy/LoadOrderTest.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Load orders: when a copy is ordered, where, and what waits for it. */
+/** Load orders: when and on which worker a copy is ordered, and which requests wait for it. */
 class LoadOrderTest {
 
     @Test
@@ -47,7 +47,7 @@
         assertEquals(preferredWorker, host.workerOf(second));
     }
 
-    /** It was loaded on both; the quota may be spent, and a load takes longer than another send. */
+    /** The function is loaded on both workers. A retry is faster than a load, and needs no load quota. */
     @Test
     void miss_whileAnotherWorkerHasACopy_isRetriedThereAtOnce() {
         FakeDispatcherHost host =
@@ -61,7 +61,7 @@
         List<String> busy = List.of(
                 host.sendRequest("f"),
                 host.sendRequest("f"),
-                host.sendRequest("f")); // two slots and one: a further copy
+                host.sendRequest("f")); // two may share the slot; the third needs a further copy
         assertTrue(host.hasRecorded("ensureLoaded " + other + " f 1"));
         host.dispatcher.onLoadCompleted(host.now, other, "f", 1, SERVED, 500 * FakeDispatcherHost.MS);
         busy.forEach(host::serve);
@@ -74,7 +74,7 @@
         assertEquals(
                 host.workerOf(request),
                 host.workerOf(host.sendRequest("f")),
-                "what missed is not believed to be loaded");
+                "the copy that missed is not believed to be loaded");
     }
 
     @Test
@@ -100,7 +100,9 @@
         }
         assertEquals(
                 3,
-                host.actions.stream().filter(l -> l.startsWith("ensureLoaded ")).count());
+                host.actions.stream()
+                        .filter(action -> action.startsWith("ensureLoaded "))
+                        .count());
     }
 
     @Test
@@ -118,11 +120,11 @@
         assertEquals(
                 1,
                 host.actions.stream()
-                        .filter(l -> l.startsWith("ensureLoaded ") && l.contains(" f 1"))
+                        .filter(action -> action.startsWith("ensureLoaded ") && action.contains(" f 1"))
                         .count());
     }
 
-    /** The request itself goes where the function is loaded; only the next ones find the copy. */
+    /** The request itself is sent to the worker that has the function; the further copy serves later requests. */
     @Test
     void busyWorkersFunction_getsAFurtherCopyWhileNoLoadIsInFlight() {
         for (double reportedLoad : new double[] {2, 3}) { // the mean is 2
@@ -139,15 +141,17 @@
             assertEquals(
                     reportedLoad > 2,
                     host.actions.stream()
-                            .anyMatch(l ->
-                                    l.startsWith("ensureLoaded ") && !l.startsWith("ensureLoaded " + preferredWorker)));
+                            .anyMatch(action -> action.startsWith("ensureLoaded ")
+                                    && !action.startsWith("ensureLoaded " + preferredWorker)));
             host.actions.clear();
             host.sendRequest("f");
-            assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("ensureLoaded ")), "one is in flight already");
+            assertFalse(
+                    host.actions.stream().anyMatch(action -> action.startsWith("ensureLoaded ")),
+                    "a load is in flight already");
         }
     }
 
-    /** What is ordered for a busy worker never comes before what a request waits for. */
+    /** Orders that relieve a busy worker must not delay orders that requests wait for. */
     @Test
     void furtherCopiesForBusyWorkers_areOrderedOneAtATime() {
         FakeDispatcherHost host =
@@ -164,28 +168,34 @@
         host.sendRequest("g");
         assertEquals(
                 1,
-                host.actions.stream().filter(l -> l.startsWith("ensureLoaded ")).count());
+                host.actions.stream()
+                        .filter(action -> action.startsWith("ensureLoaded "))
+                        .count());
     }
 
-    /** What is expected is ordered once, within the limit on loads, and its request goes where that copy loads. */
+    /**
+     * The function of an expected request is ordered once, within the limit on loads, and the request then goes to the
+     * worker that loads it.
+     */
     @Test
     void expectedRequest_isPrefetchedOnceAndFollowsItsCopy() {
         for (OnMissBehavior onMiss : OnMissBehavior.values()) {
             FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.settings(IDEMPOTENT, onMiss, false));
             host.listWorkers("b", "c", "d", "e");
-            Request soon = new Request("x", null, 1000 * FakeDispatcherHost.MS, 100, "f", 0, 1, 500, "c", false, false);
+            Request expected =
+                    new Request("x", null, 1000 * FakeDispatcherHost.MS, 100, "f", 0, 1, 500, "c", false, false);
             assertFalse(host.dispatcher.isCached(host.now, "f"));
-            host.dispatcher.onRequestExpected(host.now, soon);
-            host.dispatcher.onRequestExpected(host.now, soon);
+            host.dispatcher.onRequestExpected(host.now, expected);
+            host.dispatcher.onRequestExpected(host.now, expected);
             List<String> orders = host.actions.stream()
-                    .filter(l -> l.startsWith("ensureLoaded "))
+                    .filter(action -> action.startsWith("ensureLoaded "))
                     .toList();
             assertEquals(1, orders.size(), "ordered once");
-            assertFalse(host.dispatcher.isCached(host.now, "f"), "a copy that loads is not loaded yet");
+            assertFalse(host.dispatcher.isCached(host.now, "f"), "a copy that is being loaded is not cached yet");
             String worker = orders.get(0).split(" ")[1];
             String request = host.sendRequest("f");
             if (onMiss == OnMissBehavior.LOAD) {
-                assertEquals(worker, host.workerOf(request), "it waits where its copy loads");
+                assertEquals(worker, host.workerOf(request), "the request waits on the worker that loads the copy");
             }
             host.dispatcher.onLoadCompleted(host.now, worker, "f", 1, Outcome.SERVED, 500 * FakeDispatcherHost.MS);
             assertTrue(host.dispatcher.isCached(host.now, "f"));
--- a/policy/src/test/java/wharfhinge/policy/OutlierDetectorTest.java
+++ b/policy/src/test/java/wharfhinge/policy/OutlierDetectorTest.java
@@ -44,10 +44,10 @@
     void silentWorker_isEjectedAndItsRequestsAreHedged() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
-        List<String> out = List.of(host.sendRequest("f"), host.sendRequest("f"), host.sendRequest("f"));
-        String preferredWorker = host.workerOf(out.get(0));
+        List<String> inFlight = List.of(host.sendRequest("f"), host.sendRequest("f"), host.sendRequest("f"));
+        String preferredWorker = host.workerOf(inFlight.get(0));
         host.advanceMillis(1600);
-        for (String request : out) {
+        for (String request : inFlight) {
             assertEquals(preferredWorker, host.workerOf(request));
             assertFalse(host.hasRecorded("logDiagnostic ejected " + preferredWorker + " silent"));
             host.fireTimer("0:" + request);
@@ -66,7 +66,7 @@
             String request = host.sendRequest("f" + i);
             host.complete(request, 0, SERVED, HIT, i % 13 == 5 ? 2000 : 50 + i);
         }
-        assertFalse(host.actions.stream().anyMatch(l -> l.endsWith(" slow")));
+        assertFalse(host.actions.stream().anyMatch(action -> action.endsWith(" slow")));
     }
 
     @Test
@@ -83,7 +83,7 @@
         assertTrue(host.workerOf(host.sendRequest("g")) != null);
     }
 
-    /** Where each dispatcher sees little, trials could become most of its traffic. */
+    /** Where each dispatcher sends few requests, most of them could otherwise be trials. */
     @Test
     void trials_areAtMostOneInTwentyRequests() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -98,7 +98,7 @@
         assertEquals(
                 3,
                 host.actions.stream()
-                        .filter(l -> l.startsWith("logDiagnostic ejected"))
+                        .filter(action -> action.startsWith("logDiagnostic ejected"))
                         .distinct()
                         .count());
         host.advanceMillis(9000);
@@ -108,12 +108,12 @@
             host.complete(request, 0, "bcd".contains("" + host.workerOf(request)) ? TIMEOUT : SERVED, HIT, 1);
         }
         long trials = host.actions.subList(before, host.actions.size()).stream()
-                .filter(l -> l.matches("attempt \\S+ [bcd]"))
+                .filter(action -> action.matches("attempt \\S+ [bcd]"))
                 .count();
         assertTrue(trials <= 4, "trials " + trials);
     }
 
-    /** A miss shows that the worker answers: it is well again, and loads as others do. */
+    /** A miss proves that the worker responds: it is restored and gets load orders again. */
     @Test
     void trialThatMisses_restoresTheWorker() {
         FakeDispatcherHost host =
@@ -134,10 +134,14 @@
             trial = preferredWorker.equals(host.workerOf(request)) ? request : null;
         }
         host.complete(trial, 0, NOT_LOADED, UNKNOWN, 1);
-        assertTrue(host.actions.stream().anyMatch(l -> l.startsWith("ensureLoaded " + preferredWorker + " g")));
+        assertTrue(
+                host.actions.stream().anyMatch(action -> action.startsWith("ensureLoaded " + preferredWorker + " g")));
     }
 
-    /** What no worker ever served and two failed is its callers' fault; what they serve well tells how they are. */
+    /**
+     * Errors of a function that no worker has served and that failed on two workers are the caller's fault. They must not
+     * eject workers that serve other functions.
+     */
     @Test
     void errorsOnUnknownFunctions_ejectNobody() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -150,21 +154,21 @@
             }
             host.advanceMillis(60);
         }
-        assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("logDiagnostic ejected")));
+        assertFalse(host.actions.stream().anyMatch(action -> action.startsWith("logDiagnostic ejected")));
     }
 
-    /** After a stall of this process every timer is late: that tells nothing of the workers. */
+    /** After a stall of this process every timer is late, which says nothing about the workers. */
     @Test
     void stallOfThisProcess_ejectsNobody() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
-        List<String> out = new ArrayList<>();
+        List<String> inFlight = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            out.add(host.sendRequest("f"));
+            inFlight.add(host.sendRequest("f"));
         }
         host.advanceMillis(1900);
-        out.forEach(request -> host.fireTimer("0:" + request));
-        assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("logDiagnostic ejected")));
-        out.forEach(request -> assertEquals(1, host.attemptCount(request)));
+        inFlight.forEach(request -> host.fireTimer("0:" + request));
+        assertFalse(host.actions.stream().anyMatch(action -> action.startsWith("logDiagnostic ejected")));
+        inFlight.forEach(request -> assertEquals(1, host.attemptCount(request)));
     }
 }
--- a/policy/src/test/java/wharfhinge/policy/ProbeCoordinatorTest.java
+++ b/policy/src/test/java/wharfhinge/policy/ProbeCoordinatorTest.java
@@ -14,10 +14,13 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Probes and reported load. */
+/** Probes before the first send of a request, and the use of the load that workers report. */
 class ProbeCoordinatorTest {
 
-    /** Many dispatchers meet on a busy worker, which own sends do not show: two are probed before a send. */
+    /**
+     * Guards against many dispatchers that send to the same busy worker, since a dispatcher's own sends do not show how
+     * busy it is.
+     */
     @Test
     void largeGroup_lessBusyOfTwoProbedWorkersIsTaken() {
         FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(300, true, true));
@@ -25,9 +28,12 @@
         String first = host.sendRequest("f");
         assertNull(host.workerOf(first));
         assertEquals(
-                2, host.actions.stream().filter(l -> l.startsWith("probe ")).count());
+                2,
+                host.actions.stream()
+                        .filter(action -> action.startsWith("probe "))
+                        .count());
         String busy = host.actions.stream()
-                .filter(l -> l.startsWith("probe "))
+                .filter(action -> action.startsWith("probe "))
                 .findFirst()
                 .orElseThrow();
         host.answerProbes(busy.substring(6), 10);
@@ -41,11 +47,11 @@
             FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(300, true, true));
             host.concurrencyPerCopy = 1;
             host.listWorkers("b", "c", "d", "e");
-            List<String> both = List.of(host.sendRequest("f"), host.sendRequest("f"));
+            List<String> occupying = List.of(host.sendRequest("f"), host.sendRequest("f"));
             host.answerProbes("none", 0);
-            List<String> copies = both.stream().map(host::workerOf).toList();
+            List<String> copies = occupying.stream().map(host::workerOf).toList();
             assertNotEquals(copies.get(0), copies.get(1));
-            both.forEach(host::serve);
+            occupying.forEach(host::serve);
             host.advanceMillis(400);
             String third = host.sendRequest("f");
             host.answerProbes(copies.get(busy), 1);
@@ -53,24 +59,24 @@
         }
     }
 
-    /** Two of three requests there are peers'; one that is alone sees all it sends and needs no report. */
+    /** In a group of three, peers make two thirds of the sends; a single dispatcher knows all sends without reports. */
     @Test
     void reportedLoad_countsInSmallGroupsButNotAlone() {
-        for (int group : new int[] {1, 3}) {
-            FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(group, true, true));
+        for (int groupSize : new int[] {1, 3}) {
+            FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(groupSize, true, true));
             host.listWorkers("b", "c", "d", "e");
             String first = host.sendRequest("f");
             host.serve(first);
             host.dispatcher.onProbeCompleted(
                     host.now, host.workerOf(first), SERVED, FakeDispatcherHost.MS, Map.of("rif", 20.0));
             String next = host.sendRequest("f");
-            assertEquals(group == 1, host.workerOf(first).equals(host.workerOf(next)));
+            assertEquals(groupSize == 1, host.workerOf(first).equals(host.workerOf(next)));
         }
     }
 
-    /** A wait for a probe may still serve the request; it is bounded, and a late probe counts as saturated. */
+    /** The wait for replies to probes is bounded; workers that have not replied by then count as saturated. */
     @Test
-    void lateProbe_doesNotDelayARequest() {
+    void lateProbeReply_delaysTheRequestByABoundedTime() {
         FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(300, true, true));
         host.listWorkers("b", "c", "d", "e");
         String request = host.sendRequest("f");
@@ -84,13 +90,13 @@
     }
 
     @Test
-    void smallGroupOrNoProbesAllowed_sendsAtOnce() {
-        for (DispatcherSettings s :
+    void smallGroupOrProbesNotAllowed_sendsAtOnce() {
+        for (DispatcherSettings settings :
                 List.of(FakeDispatcherHost.inGroup(3, true, true), FakeDispatcherHost.inGroup(300, false, true))) {
-            FakeDispatcherHost host = new FakeDispatcherHost(s);
+            FakeDispatcherHost host = new FakeDispatcherHost(settings);
             host.listWorkers("b", "c", "d", "e");
             assertEquals(1, host.attemptCount(host.sendRequest("f")));
-            assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("probe ")));
+            assertFalse(host.actions.stream().anyMatch(action -> action.startsWith("probe ")));
         }
     }
 
@@ -109,7 +115,7 @@
         for (int i = 0; i < 40; i++) {
             host.sendRequest("g" + i);
         }
-        assertTrue(host.actions.stream().anyMatch(l -> l.startsWith("attempt ")));
-        assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("probe ")));
+        assertTrue(host.actions.stream().anyMatch(action -> action.startsWith("attempt ")));
+        assertFalse(host.actions.stream().anyMatch(action -> action.startsWith("probe ")));
     }
 }
--- a/policy/src/test/java/wharfhinge/policy/ResidencyQueriesTest.java
+++ b/policy/src/test/java/wharfhinge/policy/ResidencyQueriesTest.java
@@ -10,12 +10,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Queries of workers for a copy before a first send. */
+/** Residency queries before the first send of a request. */
 class ResidencyQueriesTest {
 
     /**
-     * One that starts anew knows nothing: the request goes where a peer's copy is, which need not be its preferred
-     * worker.
+     * A dispatcher that was restarted does not know where functions are loaded: its request goes to the worker that has a
+     * copy, which need not be the preferred worker.
      */
     @Test
     void functionNotKnownToBeLoaded_isQueriedAndSentWhereACopyIs() {
@@ -28,8 +28,8 @@
     }
 
     /**
-     * Where memory is short a copy that is not on its assigned worker is not kept in use: it evicts others, whose
-     * requests load for ever.
+     * Where memory is short, a copy on another worker than the assigned one is not kept in use: it would evict other
+     * functions, whose requests would then cause loads forever.
      */
     @Test
     void copyOffItsAssignedWorker_isNotUsedWhereMemoryIsShort() {
@@ -48,37 +48,37 @@
         assertNull(host.workerOf(request));
         host.dispatcher.onLoadCompleted(host.now, "d", "f1", 1, SERVED, FakeDispatcherHost.MS);
         assertEquals("d", host.workerOf(request));
-        host.dispatcher.onLoadCompleted(host.now, "b", "f1", 0, TIMEOUT, 40); // late replies tell of no load
+        host.dispatcher.onLoadCompleted(host.now, "b", "f1", 0, TIMEOUT, 40); // late replies are not mistaken for loads
         host.dispatcher.onLoadCompleted(host.now, "e", "f1", 1, SERVED, 40);
         assertEquals(1, host.attemptCount(request));
     }
 
     @Test
     void noReply_requestGoesToItsPreferredWorker() {
-        FakeDispatcherHost asks = withUnansweredQueries(FakeDispatcherHost.loadingOnDemand());
-        String request = asks.sendRequest("f1");
-        asks.fireTimer("look:" + request);
-        FakeDispatcherHost none = FakeDispatcherHost.loadingOnDemand();
-        none.listWorkers("b", "c", "d", "e");
-        assertEquals(none.workerOf(none.sendRequest("f1")), asks.workerOf(request));
+        FakeDispatcherHost withoutReplies = withUnansweredQueries(FakeDispatcherHost.loadingOnDemand());
+        String request = withoutReplies.sendRequest("f1");
+        withoutReplies.fireTimer("look:" + request);
+        FakeDispatcherHost withReplies = FakeDispatcherHost.loadingOnDemand();
+        withReplies.listWorkers("b", "c", "d", "e");
+        assertEquals(withReplies.workerOf(withReplies.sendRequest("f1")), withoutReplies.workerOf(request));
     }
 
-    /** Clients that repeat what was rejected would have the preferred workers queried again each time. */
+    /** Otherwise each retry of a rejected request would query the preferred workers again. */
     @Test
-    void functionThatNobodyHas_isNotQueriedAgainAtOnce() {
+    void functionLoadedNowhere_isNotQueriedAgainAtOnce() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.listWorkers("b", "c", "d", "e");
         for (int i = 0; i < 12; i++) {
-            host.sendRequest("g" + i); // nobody has them: as many loads are in flight as may be
+            host.sendRequest("g" + i); // not loaded anywhere: fills the limit on loads in flight
         }
         assertTrue(host.hasRecorded("reject " + host.sendRequest("f1")));
         host.answersResidencyQueries = false;
         host.actions.clear();
         assertTrue(host.hasRecorded("reject " + host.sendRequest("f1")));
-        assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("ensureLoaded ")));
+        assertFalse(host.actions.stream().anyMatch(action -> action.startsWith("ensureLoaded ")));
         host.advanceMillis(1100);
         host.sendRequest("f1");
-        assertTrue(host.actions.stream().anyMatch(l -> l.startsWith("ensureLoaded ")));
+        assertTrue(host.actions.stream().anyMatch(action -> action.startsWith("ensureLoaded ")));
     }
 
     @Test
@@ -86,13 +86,16 @@
         FakeDispatcherHost host =
                 withUnansweredQueries(new FakeDispatcherHost(FakeDispatcherHost.inGroup(100, false, true)));
         assertTrue(host.workerOf(host.sendRequest("f1")) != null);
-        assertFalse(host.actions.stream().anyMatch(l -> l.startsWith("ensureLoaded ")));
+        assertFalse(host.actions.stream().anyMatch(action -> action.startsWith("ensureLoaded ")));
     }
 
-    /** Where the fourth function goes, each of which fills a worker, if that worker has a copy of it. */
+    /**
+     * The worker that gets the fourth function, if {@code workerWithCopy} has a copy of it (null: no worker has). Each
+     * function fills the memory of a worker.
+     */
     private static String workerOfFourthFunctionOnFullFleet(String workerWithCopy) {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
-        host.memoryMb = 600; // of 1,000 on each
+        host.memoryMb = 600; // of 1,000 MB on each worker
         host.listWorkers("b", "c", "d", "e");
         for (int i = 0; i < 3; i++) {
             host.sendRequest("g" + i);
--- a/policy/src/test/java/wharfhinge/policy/SlowStartBudgetTest.java
+++ b/policy/src/test/java/wharfhinge/policy/SlowStartBudgetTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The budget of workers that are warming up. */
+/** Slow-start budget of workers that are warming up. */
 class SlowStartBudgetTest {
 
     @Test
@@ -27,7 +27,7 @@
             host.serve(request);
             host.advanceMillis(10);
         }
-        // 100 a second on two workers: one that warms up at 0.2 to 0.28 of its capacity, twice that allowed
+        // 100 requests/s on two workers; one warms up at 0.2 to 0.28 of its capacity, and twice that is allowed
         assertTrue(sent > 0 && sent <= 17, "sent " + sent);
     }
 
@@ -44,7 +44,7 @@
         assertTrue(sent <= 1, "sent " + sent);
     }
 
-    /** Each dispatcher keeps the budget alone: together they stay within the configured one, and use it. */
+    /** Each dispatcher applies the budget on its own; together they must stay within the configured one, and use it. */
     @Test
     void hundredDispatchers_togetherStayWithinTheBudget() {
         int sent = 0;
@@ -64,18 +64,19 @@
                 host.advanceMillis(250);
             }
         }
-        // 400 a second on five workers, warming up at 0.2 to 0.36 of 80, twice that allowed in 2 s: 64 to 90
+        // 400 requests/s on five workers, one of which warms up at 0.2 to 0.36 of 80/s; twice that is allowed, so 64
+        // to 90 in 2 s
         assertTrue(sent >= 10 && sent <= 64, "sent " + sent);
     }
 
     /**
-     * Nobody needs the worker that warms up for seconds, then all do in one window: what each could have sent it
-     * meanwhile may not add up beyond the budget N of that window and what chance adds, 2 x root of N + 2.
+     * For seconds no dispatcher sends to the worker that warms up, then all do in one window. The tokens that they did not
+     * use meanwhile must not add up to more than the budget N of that window and a random variation of 2 * sqrt(N) + 2.
      */
     @Test
     void unusedTokensOfManyDispatchers_doNotAddUp() {
-        for (int[] group :
-                new int[][] {{20, 120}, {30, 250}, {100, 1000}}) { // dispatchers, pause between the requests of one, ms
+        // Number of dispatchers, and interval between the requests of each in ms.
+        for (int[] group : new int[][] {{20, 120}, {30, 250}, {100, 1000}}) {
             for (int idleMillis = 2000; idleMillis <= 8000; idleMillis += 2000) {
                 int sent = 0;
                 for (int seed = 0; seed < group[0]; seed++) {
@@ -87,11 +88,13 @@
                         host.advanceMillis(group[1]);
                     }
                     host.updateWorker("x", UP, host.now);
-                    for (int i = 0; i < idleMillis / group[1]; i++) { // what is loaded elsewhere goes there
+                    // These requests go to another worker, which has the function loaded.
+                    for (int i = 0; i < idleMillis / group[1]; i++) {
                         host.serve(host.sendRequest("f"));
                         host.advanceMillis(group[1]);
                     }
-                    for (int i = 0; i < 20; i++) { // what is loaded nowhere; some of it prefers x
+                    // These functions are loaded nowhere; some of them prefer x.
+                    for (int i = 0; i < 20; i++) {
                         String request = host.sendRequest("g" + i);
                         sent += "x".equals(host.workerOf(request)) ? 1 : 0;
                         host.serve(request);
@@ -99,20 +102,20 @@
                     }
                 }
                 double capacity = group[0] * 1000.0 / group[1] / 5
-                        / 0.65; // a second, of each worker: before, they were busy to 0.65
-                double n = 2 * (0.2 + 0.8 * Math.min(1, (idleMillis + 1000) / 10_000.0)) * capacity;
+                        / 0.65; // requests/s of each worker; its utilization was 0.65 before
+                double budget = 2 * (0.2 + 0.8 * Math.min(1, (idleMillis + 1000) / 10_000.0)) * capacity;
                 assertTrue(
-                        sent <= n + 2 * Math.sqrt(n) + 2,
-                        group[0] + " dispatchers after " + idleMillis + " ms: " + sent + " of " + n);
+                        sent <= budget + 2 * Math.sqrt(budget) + 2,
+                        group[0] + " dispatchers after " + idleMillis + " ms: " + sent + " of " + budget);
             }
         }
     }
 
     /**
-     * The budget of a worker that warms up is of the whole group: whatever the number of dispatchers and however
-     * unevenly calls reach them, each window gets at most the N calls that the settings allow it then, and what chance
-     * adds. Every request prefers that worker, and the fleet serves at its capacity; {@code idle}: nobody sends to it
-     * for seconds, then all do at once.
+     * The budget of a worker that warms up applies to the whole group. For any number of dispatchers, and however
+     * unevenly calls reach them, the worker gets in each window at most the N calls that the settings allow at that time,
+     * plus random variation. All requests prefer that worker, and the fleet serves at its capacity. With {@code idle}, no
+     * dispatcher sends to the worker for seconds, then all do at once.
      */
     @ParameterizedTest
     @CsvSource({
--- a/policy/src/test/java/wharfhinge/policy/SlowStartGroup.java
+++ b/policy/src/test/java/wharfhinge/policy/SlowStartGroup.java
@@ -8,52 +8,54 @@
 import java.util.Random;
 
 /**
- * A group of dispatchers whose requests all prefer one worker that warms up; counts what they send it in every window.
+ * A group of dispatchers whose requests all prefer one worker that warms up; counts the requests that they send to it in
+ * each window.
  */
 final class SlowStartGroup {
-    private static final List<String> WARM = List.of("b", "c", "d", "e");
-    private static final String WARMING_UP = "x";
-    private static final int BEFORE_MS = 6000; // so that each dispatcher knows how fast its requests are answered
+    private static final List<String> WARM_WORKERS = List.of("b", "c", "d", "e");
+    private static final String WARMING_UP_WORKER = "x";
+    private static final int LEARNING_MS = 6000; // in which each dispatcher learns the rate of its responses
     private static final int IDLE_MS = 4000;
     private static final int PREFERRED_MS = 2000;
-    private static final double SLOW_START_FROM = 0.2; // as FakeDispatcherHost's settings have it
+    private static final double SLOW_START_FROM = 0.2; // as in FakeDispatcherHost.settings
     private static final double SLOW_START_MS = 10_000;
     private static final double OVERLOAD_FACTOR = 2;
     private static final int WINDOW_MS = 1000;
-    private static final double BURST = 1.5; // times as many requests come while they prefer it
+    // Factor of the request rate while requests prefer the worker.
+    private static final double PREFERRED_RATE_FACTOR = 1.5;
     private static final int TICK_MS = 20;
-    private static final List<String> PREFERRING = functionsThatPreferIt();
+    private static final List<String> PREFERRING_FUNCTIONS = functionsThatPreferWarmingUpWorker();
 
     private SlowStartGroup() {}
 
     /**
-     * Asserts that every window stays within the budget.
+     * Asserts that the worker gets at most its budget in every window.
      *
-     * @param allowed N of the window in which requests prefer the worker first
-     * @param idle    whether requests prefer it only some seconds after its start
-     * @param weight  of the warm workers, each of which bears so many times what the one that warms up will
-     * @param uneven  deviation of the logarithm of the dispatchers' shares of the requests; 0 for like shares
+     * @param allowed the budget N of the first window in which requests prefer the worker
+     * @param idle    whether requests start to prefer it some seconds after its start
+     * @param weight  capacity of each warm worker, as a multiple of that of the one that warms up
+     * @param uneven  standard deviation of the logarithm of the dispatchers' shares of the requests; 0 for equal shares
      */
     static void assertWithinBudget(
             int dispatchers, int allowed, boolean idle, double weight, double uneven, long seed) {
         double firstMillis = idle ? IDLE_MS + WINDOW_MS : WINDOW_MS;
         double perWorker = allowed
                 / (OVERLOAD_FACTOR
-                        * share(firstMillis)); // requests in a window that the worker bears once it has warmed up
-        double requestsPerMillis = perWorker * (WARM.size() * weight + 1) / WINDOW_MS;
+                        * rampShare(firstMillis)); // requests per window that the worker serves once it is warm
+        double requestsPerMillis = perWorker * (WARM_WORKERS.size() * weight + 1) / WINDOW_MS;
         Random random = new Random(seed);
-        double[] shares = shares(dispatchers, uneven, random);
-        ArrayDeque<Integer> sent = new ArrayDeque<>(); // when, since the start, ms
+        double[] shares = randomShares(dispatchers, uneven, random);
+        ArrayDeque<Integer> sent = new ArrayDeque<>(); // send times in ms since the worker's start
         List<FakeDispatcherHost> group = new ArrayList<>();
         for (int i = 0; i < dispatchers; i++) {
             FakeDispatcherHost host =
                     new FakeDispatcherHost(FakeDispatcherHost.inGroup(dispatchers, false, true), seed * 10_000 + i);
-            host.memoryMb = 0; // so that none evicts another
+            host.memoryMb = 0; // functions do not evict each other
             host.weight = weight;
-            host.listWorkers(WARM.toArray(new String[0]));
+            host.listWorkers(WARM_WORKERS.toArray(new String[0]));
             group.add(host);
         }
-        int startMillis = BEFORE_MS;
+        int startMillis = LEARNING_MS;
         int preferredFromMillis = startMillis + (idle ? IDLE_MS : 0);
         double[] due = new double[dispatchers];
         int[] next = new int[dispatchers];
@@ -63,9 +65,9 @@
                 host.actions.clear();
                 if (ms == startMillis) {
                     host.weight = 1;
-                    host.updateWorker(WARMING_UP, Availability.UP, host.now);
+                    host.updateWorker(WARMING_UP_WORKER, Availability.UP, host.now);
                 }
-                for (due[i] += (ms < preferredFromMillis ? 1 : BURST)
+                for (due[i] += (ms < preferredFromMillis ? 1 : PREFERRED_RATE_FACTOR)
                                 * shares[i]
                                 * requestsPerMillis
                                 * TICK_MS
@@ -74,8 +76,10 @@
                         due[i] >= 1;
                         due[i]--) {
                     String request = host.sendRequest(
-                            ms < preferredFromMillis ? "f" : PREFERRING.get(next[i]++ % PREFERRING.size()));
-                    if (WARMING_UP.equals(host.workerOf(request))) {
+                            ms < preferredFromMillis
+                                    ? "f"
+                                    : PREFERRING_FUNCTIONS.get(next[i]++ % PREFERRING_FUNCTIONS.size()));
+                    if (WARMING_UP_WORKER.equals(host.workerOf(request))) {
                         sent.add(ms - startMillis);
                     }
                     host.serve(request);
@@ -86,21 +90,21 @@
             while (!sent.isEmpty() && sent.peek() <= now - WINDOW_MS) {
                 sent.poll();
             }
-            double n = OVERLOAD_FACTOR * share(Math.max(now, 0)) * perWorker;
-            double most = n + (n < 30 ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2);
+            double budget = OVERLOAD_FACTOR * rampShare(Math.max(now, 0)) * perWorker;
+            double max = budget + (budget < 30 ? 3 * Math.sqrt(budget) + 3 : 2 * Math.sqrt(budget) + 2);
             assertTrue(
-                    sent.size() <= most,
+                    sent.size() <= max,
                     dispatchers + " dispatchers, seed " + seed + ", weight " + weight + ", uneven " + uneven + ", "
-                            + now + " ms after the start: " + sent.size() + " in a window, allowed " + n + " and "
-                            + (most - n) + " by chance");
+                            + now + " ms after the start: " + sent.size() + " in a window, allowed " + budget + " and "
+                            + (max - budget) + " by chance");
         }
     }
 
-    private static double share(double ageMillis) {
+    private static double rampShare(double ageMillis) {
         return SLOW_START_FROM + (1 - SLOW_START_FROM) * Math.min(1, ageMillis / SLOW_START_MS);
     }
 
-    private static double[] shares(int dispatchers, double uneven, Random random) {
+    private static double[] randomShares(int dispatchers, double uneven, Random random) {
         double[] shares = random.doubles(dispatchers).map(u -> 1).toArray();
         double sum = 0;
         for (int i = 0; i < dispatchers; i++) {
@@ -113,15 +117,15 @@
         return shares;
     }
 
-    /** Functions that a dispatcher sends to the worker first. */
-    private static List<String> functionsThatPreferIt() {
+    /** Functions whose first preferred worker is the one that warms up. */
+    private static List<String> functionsThatPreferWarmingUpWorker() {
         List<String> found = new ArrayList<>();
         FakeDispatcherHost host = new FakeDispatcherHost(FakeDispatcherHost.inGroup(1, false, true));
         host.memoryMb = 0;
-        host.listWorkers("b", "c", "d", "e", WARMING_UP);
+        host.listWorkers("b", "c", "d", "e", WARMING_UP_WORKER);
         for (int i = 0; found.size() < 100; i++) {
             String request = host.sendRequest("g" + i);
-            if (WARMING_UP.equals(host.workerOf(request))) {
+            if (WARMING_UP_WORKER.equals(host.workerOf(request))) {
                 found.add("g" + i);
             }
             host.serve(request);
--- a/policy/src/test/java/wharfhinge/policy/WorkerRankerTest.java
+++ b/policy/src/test/java/wharfhinge/policy/WorkerRankerTest.java
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Peers send a like share to the same preferred workers, which own sends do not show. */
+    /** Peers send an equal share to the same preferred workers, which a dispatcher's own sends do not show. */
     @Test
     void functionWithTrafficShare_usesThatShareOfWorkers() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
@@ -79,9 +79,9 @@
         }
     }
 
-    /** Queues that peers made show only in answers: the slower of two workers with a copy comes last for a while. */
+    /** Queues caused by peers show only in response times: the slower of two workers with a copy ranks last for a while. */
     @Test
-    void amongEquals_recentlySlowWorkerComesLast() {
+    void amongEquals_recentlySlowWorkerRanksLast() {
         FakeDispatcherHost host = FakeDispatcherHost.loadingOnDemand();
         host.concurrencyPerCopy = 1;
         host.listWorkers("b", "c");
