--- a/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseHead.java
+++ b/gateway/src/main/java/wharfhinge/gateway/upstream/WorkerResponseHead.java
@@ -56,7 +56,7 @@
 
     /** How many other calls ran on the worker at the same time, or 0 if absent. */
     int concurrentOnWorker() {
-        return number(WorkerProtocol.COMPANY);
+        return number(WorkerProtocol.CONCURRENT_CALLS);
     }
 
     /** How many copies of the function are loaded, or 0 if absent. */
--- a/gateway/src/test/java/wharfhinge/gateway/discovery/EndpointListTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/discovery/EndpointListTest.java
@@ -50,9 +50,9 @@
                 "changes since an older revision than the held one still apply");
         assertTrue(view.apply(changes(9, 10)).requestsFullList(), "gap between revisions");
         assertTrue(
-                view.apply(new RosterFrame(Kind.BEAT, 0, 10, List.of())).requestsFullList(),
+                view.apply(new RosterFrame(Kind.HEARTBEAT, 0, 10, List.of())).requestsFullList(),
                 "heartbeat with a newer revision");
-        assertFalse(view.apply(new RosterFrame(Kind.BEAT, 0, 7, List.of())).requestsFullList());
+        assertFalse(view.apply(new RosterFrame(Kind.HEARTBEAT, 0, 7, List.of())).requestsFullList());
         assertEquals(7, view.revision());
     }
 
