--- a/app/src/main/java/wharfhinge/app/WorkerCommand.java
+++ b/app/src/main/java/wharfhinge/app/WorkerCommand.java
@@ -48,7 +48,8 @@
                             Logs.flush();
                         },
                         "stop"));
-        System.out.println("worker " + settings.name() + " 127.0.0.1:" + server.port() + " boot " + server.boot());
+        System.out.println(
+                "worker " + settings.name() + " 127.0.0.1:" + server.port() + " boot " + server.incarnation());
         System.gc(); // what reading the settings left is given back before calls come
         server.await();
         return Program.OK;
--- a/worker/src/main/java/wharfhinge/worker/EventLog.java
+++ b/worker/src/main/java/wharfhinge/worker/EventLog.java
@@ -14,34 +14,34 @@
  */
 interface EventLog extends AutoCloseable {
     /** Writes nothing. */
-    EventLog NONE = (word, pairs) -> {};
+    EventLog NONE = (event, pairs) -> {};
 
     /** Notes something, with names and values in turn. */
-    void note(String word, Object... pairs);
+    void log(String event, Object... pairs);
 
     @Override
     default void close() throws IOException {}
 
     /** Writes to a file, after what it holds. */
-    static EventLog to(Path file) throws IOException {
-        return new ToFile(
+    static EventLog appendTo(Path file) throws IOException {
+        return new FileEventLog(
                 FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND));
     }
 
     /** Into a file. */
-    final class ToFile implements EventLog {
+    final class FileEventLog implements EventLog {
         private final FileChannel file;
 
-        private ToFile(FileChannel file) {
+        private FileEventLog(FileChannel file) {
             this.file = file;
         }
 
         @Override
-        public void note(String word, Object... pairs) {
+        public void log(String event, Object... pairs) {
             StringBuilder line = new StringBuilder(128)
                     .append(System.nanoTime())
                     .append('\t')
-                    .append(word);
+                    .append(event);
             for (int i = 0; i < pairs.length; i += 2) {
                 line.append('\t').append(pairs[i]).append('=').append(pairs[i + 1]);
             }
--- a/worker/src/main/java/wharfhinge/worker/LoadTimes.java
+++ b/worker/src/main/java/wharfhinge/worker/LoadTimes.java
@@ -16,7 +16,7 @@
         startNanos += start;
     }
 
-    synchronized void into(Map<String, Long> figures) {
+    synchronized void addTo(Map<String, Long> figures) {
         figures.put("loads_done", loads);
         figures.put("fetch_us", fetchNanos / 1000);
         figures.put("verify_us", verifyNanos / 1000);
--- a/worker/src/main/java/wharfhinge/worker/ProcessMemory.java
+++ b/worker/src/main/java/wharfhinge/worker/ProcessMemory.java
@@ -8,17 +8,18 @@
 
 /** What this process holds, as the system and the JVM tell it. Linux; elsewhere only the JVM's part is known. */
 final class ProcessMemory {
-    private static final Path ROLLUP = Path.of("/proc/self/smaps_rollup");
-    private final BufferPoolMXBean mapped = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
+    private static final Path SMAPS_ROLLUP = Path.of("/proc/self/smaps_rollup");
+    private final BufferPoolMXBean mappedPool = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
             .filter(pool -> pool.getName().equals("mapped"))
             .findFirst()
             .orElseThrow();
-    private final long before = mapped.getTotalCapacity(); // what others had mapped when the worker began
+    private final long initialMappedBytes =
+            mappedPool.getTotalCapacity(); // what others had mapped when the worker began
 
     /** Resident memory in KiB, or -1 where the system does not tell. */
     long residentKb() {
         try {
-            for (String line : Files.readAllLines(ROLLUP)) {
+            for (String line : Files.readAllLines(SMAPS_ROLLUP)) {
                 if (line.startsWith("Rss:")) {
                     return Long.parseLong(line.replaceAll("[^0-9]", ""));
                 }
@@ -31,7 +32,7 @@
 
     /** Memory in mapped buffers in KiB, whoever mapped them since the worker began. */
     long mappedKb() {
-        return (mapped.getTotalCapacity() - before) / 1024;
+        return (mappedPool.getTotalCapacity() - initialMappedBytes) / 1024;
     }
 
     /**
@@ -43,8 +44,8 @@
      * @param bookedKb   mapped for copies by the books
      * @param ownKb      what the process may hold beside them
      */
-    static long leakedKb(long residentKb, long mappedKb, long copiesKb, long bookedKb, long ownKb) {
-        long outside = residentKb < 0 ? 0 : residentKb - copiesKb - ownKb;
-        return Math.max(0, Math.max(outside, mappedKb - bookedKb));
+    static long leakedKb(long residentKb, long mappedKb, long copiesResidentKb, long copiesMappedKb, long ownMemoryKb) {
+        long excessResidentKb = residentKb < 0 ? 0 : residentKb - copiesResidentKb - ownMemoryKb;
+        return Math.max(0, Math.max(excessResidentKb, mappedKb - copiesMappedKb));
     }
 }
--- a/worker/src/main/java/wharfhinge/worker/Worker.java
+++ b/worker/src/main/java/wharfhinge/worker/Worker.java
@@ -43,31 +43,31 @@
  */
 final class Worker implements CopyScheduler.Actions, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Worker.class);
-    private static final long MS = 1_000_000L;
-    private static final int AGAIN_MS = 200;
-    private static final int LEAK_ROUNDS = 5;
+    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final int RELEASE_RETRY_MS = 200;
+    private static final int REFRESHES_PER_LEAK_CHECK = 5;
 
     /** Where a call's answer goes; on the loop. */
     interface Reply {
-        void answer(AnswerCode code, CopyNote note, int company, byte[] body);
+        void answer(AnswerCode code, CopyNote note, int concurrentCalls, byte[] body);
     }
 
     /** Where an order's answer goes; on the loop. */
     interface OrderReply {
-        void answer(AnswerCode code, int ready);
+        void answer(AnswerCode code, int readyCopies);
     }
 
     private static final class Call {
-        private final WorkerCall head;
+        private final WorkerCall headers;
         private final byte[] body;
         private final Reply reply;
         private long copy;
-        private LoadedCopy.Running running;
-        private Future<?> limit;
+        private LoadedCopy.Execution execution;
+        private Future<?> limitTimer;
         private byte[] output;
 
-        Call(WorkerCall head, byte[] body, Reply reply) {
-            this.head = head;
+        Call(WorkerCall headers, byte[] body, Reply reply) {
+            this.headers = headers;
             this.body = body;
             this.reply = reply;
         }
@@ -76,40 +76,40 @@
     private final EventLoop loop;
     private final WorkerSettings settings;
     private final EventLog events;
-    private final CopyScheduler decisions;
+    private final CopyScheduler scheduler;
     private final Regions regions;
     private final Images images;
-    private final ProcessMemory process = new ProcessMemory();
-    private final ExecutorService loaders;
-    private final ExecutorService stoppers = Executors.newCachedThreadPool(threads("stop"));
+    private final ProcessMemory processMemory = new ProcessMemory();
+    private final ExecutorService loadExecutor;
+    private final ExecutorService stopExecutor = Executors.newCachedThreadPool(daemonThreads("stop"));
     private final Map<Long, Call> calls = new HashMap<>();
     private final Map<Long, OrderReply> orders = new HashMap<>();
     private final Map<Long, LoadedCopy> copies = new HashMap<>();
-    private final List<Runnable> whenDrained = new ArrayList<>();
+    private final List<Runnable> drainListeners = new ArrayList<>();
     private final LoadTimes loadTimes = new LoadTimes();
-    private String id = "-";
-    private long next = 1;
-    private int rounds;
+    private String address = "-";
+    private long nextNumber = 1;
+    private int refreshCount;
     private String report = "";
     private volatile boolean closed;
 
     /** A worker that holds nothing; {@code base} is what paths in the settings are relative to. */
-    Worker(WorkerSettings settings, Path base, EventLoop loop, EventLog events) throws IOException {
+    Worker(WorkerSettings settings, Path baseFolder, EventLoop loop, EventLog events) throws IOException {
         this.loop = loop;
         this.settings = settings;
         this.events = events;
-        this.decisions = new CopyScheduler(settings.copies(), this);
-        this.loaders = Executors.newFixedThreadPool(settings.loadsAtOnce(), threads("load"));
-        Path folder = base.resolve(settings.imagesFolder());
+        this.scheduler = new CopyScheduler(settings.copySettings(), this);
+        this.loadExecutor = Executors.newFixedThreadPool(settings.maxConcurrentLoads(), daemonThreads("load"));
+        Path folder = baseFolder.resolve(settings.imagesFolder());
         List<PublicKey> trusted = new ArrayList<>();
         for (String file : settings.keyFiles()) {
-            trusted.add(Keys.publicKey(base.resolve(file)));
+            trusted.add(Keys.publicKey(baseFolder.resolve(file)));
         }
         this.images = new Images(
-                new ImageCache(folder, settings.imagesBytes()),
+                new ImageCache(folder, settings.maxImageBytes()),
                 settings.storeUrl(),
                 trusted,
-                settings.fetchNanos(),
+                settings.fetchTimeoutNanos(),
                 settings.freshNanos());
         this.regions = new Regions(folder);
         refresh();
@@ -117,7 +117,7 @@
                 this::refresh, settings.refreshMillis(), settings.refreshMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private static ThreadFactory threads(String name) {
+    private static ThreadFactory daemonThreads(String name) {
         AtomicInteger number = new AtomicInteger();
         return task -> {
             Thread thread = new Thread(task, name + '-' + number.getAndIncrement());
@@ -127,34 +127,34 @@
     }
 
     /** What it is called in the event log. */
-    void named(String address) {
-        id = address;
+    void setAddress(String value) {
+        address = value;
     }
 
     // ---- From the sockets, on the loop ------------------------------------------------------
 
     /** A call; the number is for {@link #cancel}. */
-    long call(String function, WorkerCall head, byte[] body, Reply reply) {
-        long number = next++;
+    long call(String function, WorkerCall headers, byte[] body, Reply reply) {
+        long number = nextNumber++;
         long now = System.nanoTime();
-        calls.put(number, new Call(head, body, reply));
-        events.note(
+        calls.put(number, new Call(headers, body, reply));
+        events.log(
                 "recv",
                 "worker",
-                id,
+                address,
                 "call",
-                head.id(),
+                headers.id(),
                 "attempt",
-                head.attempt(),
+                headers.attempt(),
                 "gw",
-                head.gateway(),
+                headers.gateway(),
                 "class",
-                head.requestClass(),
+                headers.requestClass(),
                 "fn",
                 function,
                 "work_us",
-                head.costUs());
-        decisions.onCall(now, number, function, head.hint(), now + head.waitMillis() * MS);
+                headers.costUs());
+        scheduler.onCall(now, number, function, headers.memoryEstimate(), now + headers.waitMillis() * NANOS_PER_MS);
         return number;
     }
 
@@ -162,9 +162,9 @@
     void cancel(long number) {
         Call call = calls.get(number);
         if (call != null) {
-            events.note("cancelled", "worker", id, "call", call.head.id(), "attempt", call.head.attempt());
-            boolean waits = call.running == null;
-            decisions.onCallCancelled(System.nanoTime(), number);
+            events.log("cancelled", "worker", address, "call", call.headers.id(), "attempt", call.headers.attempt());
+            boolean waits = call.execution == null;
+            scheduler.onCallCancelled(System.nanoTime(), number);
             if (waits) {
                 calls.remove(number);
             }
@@ -172,31 +172,31 @@
     }
 
     /** An order to hold copies. */
-    long hold(String function, int count, WorkerCall head, OrderReply reply) {
-        long number = next++;
+    long orderCopies(String function, int count, WorkerCall headers, OrderReply reply) {
+        long number = nextNumber++;
         orders.put(number, reply);
-        events.note("hold", "worker", id, "fn", function, "count", count, "gw", head.gateway());
-        decisions.onLoadOrder(System.nanoTime(), number, function, count, head.hint());
+        events.log("hold", "worker", address, "fn", function, "count", count, "gw", headers.gateway());
+        scheduler.onLoadOrder(System.nanoTime(), number, function, count, headers.memoryEstimate());
         return number;
     }
 
     /** Nobody waits for an order any more. */
     void cancelOrder(long number) {
         if (orders.remove(number) != null) {
-            decisions.onLoadOrderCancelled(System.nanoTime(), number);
+            scheduler.onLoadOrderCancelled(System.nanoTime(), number);
         }
     }
 
     /** Idle copies of a function go. */
-    void unload(String function, WorkerCall head) {
-        events.note("unload", "worker", id, "fn", function, "gw", head.gateway());
-        decisions.onUnloadOrder(System.nanoTime(), function);
+    void unload(String function, WorkerCall headers) {
+        events.log("unload", "worker", address, "fn", function, "gw", headers.gateway());
+        scheduler.onUnloadOrder(System.nanoTime(), function);
     }
 
     /** Takes nothing new; tells once all is answered. */
-    void drain(Runnable drained) {
-        whenDrained.add(drained);
-        decisions.onDrain(System.nanoTime());
+    void drain(Runnable onAllAnswered) {
+        drainListeners.add(onAllAnswered);
+        scheduler.onDrain(System.nanoTime());
     }
 
     /** The report of the last refresh, as answers carry it. */
@@ -205,26 +205,26 @@
     }
 
     /** The books as they are now, in KiB, by name. */
-    Map<String, Long> books() {
-        MemoryAccounting l = decisions.memory();
-        Map<String, Long> books = new LinkedHashMap<>();
-        books.put("total_kb", l.totalKb());
-        books.put("free_kb", l.freeKb());
+    Map<String, Long> memoryStatus() {
+        MemoryAccounting memory = scheduler.memory();
+        Map<String, Long> figures = new LinkedHashMap<>();
+        figures.put("total_kb", memory.totalKb());
+        figures.put("free_kb", memory.freeKb());
         for (Part part : Part.values()) {
-            books.put(part.name().toLowerCase(java.util.Locale.ROOT) + "_kb", l.bookedKb(part));
+            figures.put(part.name().toLowerCase(java.util.Locale.ROOT) + "_kb", memory.bookedKb(part));
         }
-        books.put("leaked_kb", l.leakedKb());
-        books.put("resident_kb", regions.residentKb());
-        books.put("copies", (long) decisions.copyCount());
-        books.put("calls_held", (long) decisions.callsInFlight());
-        books.put("loads", (long) decisions.pendingLoads());
-        loadTimes.into(books);
-        return books;
+        figures.put("leaked_kb", memory.leakedKb());
+        figures.put("resident_kb", regions.residentKb());
+        figures.put("copies", (long) scheduler.copyCount());
+        figures.put("calls_held", (long) scheduler.callsInFlight());
+        figures.put("loads", (long) scheduler.pendingLoads());
+        loadTimes.addTo(figures);
+        return figures;
     }
 
-    private void onLoop(Runnable what) {
+    private void runOnLoop(Runnable task) {
         try {
-            loop.execute(what);
+            loop.execute(task);
         } catch (RejectedExecutionException e) {
             LOG.debug("told after the end", e);
         }
@@ -232,89 +232,89 @@
 
     private void refresh() {
         long now = System.nanoTime();
-        decisions.onTick(now);
-        if (rounds++ % LEAK_ROUNDS == 0) {
-            decisions.onLeakMeasured(
+        scheduler.onTick(now);
+        if (refreshCount++ % REFRESHES_PER_LEAK_CHECK == 0) {
+            scheduler.onLeakMeasured(
                     now,
                     ProcessMemory.leakedKb(
-                            process.residentKb(),
-                            process.mappedKb(),
+                            processMemory.residentKb(),
+                            processMemory.mappedKb(),
                             regions.residentKb(),
                             regions.mappedKb(),
-                            settings.ownKb()));
+                            settings.ownMemoryKb()));
         }
-        Map<String, Double> fresh = new LinkedHashMap<>();
-        fresh.put("rif", (double) decisions.callsInFlight());
-        fresh.put("x0", decisions.memory().busyShare());
-        fresh.put("q", (double) decisions.queuedCalls());
-        fresh.put("x1", (double) decisions.pendingLoads());
-        report = LoadReport.format(fresh);
+        Map<String, Double> loadFigures = new LinkedHashMap<>();
+        loadFigures.put("rif", (double) scheduler.callsInFlight());
+        loadFigures.put("x0", scheduler.memory().busyShare());
+        loadFigures.put("q", (double) scheduler.queuedCalls());
+        loadFigures.put("x1", (double) scheduler.pendingLoads());
+        report = LoadReport.format(loadFigures);
     }
 
     // ---- Decisions' actions, on the loop ----------------------------------------------------
 
     @Override
-    public void startLoad(long copy, String function, long bookedKb) {
-        loaders.execute(() -> loadNow(copy, function));
+    public void startLoad(long copy, String function, long reservedKb) {
+        loadExecutor.execute(() -> load(copy, function));
     }
 
     /** On a loader's thread. */
-    private void loadNow(long copy, String function) {
-        LoadedCopy made = null;
+    private void load(long copy, String function) {
+        LoadedCopy loaded = null;
         try {
             Images.Image image = images.get(function);
-            long began = System.nanoTime();
-            MemoryEstimate figures = new MemoryEstimate(
+            long startedAt = System.nanoTime();
+            MemoryEstimate estimate = new MemoryEstimate(
                     image.contents().manifest().memoryMb() * 1024L,
-                    image.contents().manifest().lanes());
-            boolean fits = loop.submit(() -> decisions.onMemoryMeasured(System.nanoTime(), copy, figures))
+                    image.contents().manifest().slots());
+            boolean fits = loop.submit(() -> scheduler.onMemoryMeasured(System.nanoTime(), copy, estimate))
                     .get();
             if (!fits) {
-                tell(copy, function, LoadEnd.NEEDS_MORE_MEMORY, null, "needs " + figures.memoryKb() + " KiB");
+                reportLoadEnd(copy, function, LoadEnd.NEEDS_MORE_MEMORY, null, "needs " + estimate.memoryKb() + " KiB");
                 return;
             }
-            made = new LoadedCopy(function, image.contents(), regions.map(figures.memoryKb()));
-            made.start(function);
-            loadTimes.add(image.fetchNanos(), image.verifyNanos(), System.nanoTime() - began);
-            tell(copy, function, LoadEnd.READY, made, "");
+            loaded = new LoadedCopy(function, image.contents(), regions.map(estimate.memoryKb()));
+            loaded.start(function);
+            loadTimes.add(image.fetchNanos(), image.verifyNanos(), System.nanoTime() - startedAt);
+            reportLoadEnd(copy, function, LoadEnd.READY, loaded, "");
         } catch (LoadFailedException e) {
-            tell(copy, function, LoadEnd.FAILED, null, e.getMessage());
+            reportLoadEnd(copy, function, LoadEnd.FAILED, null, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (Exception | Error e) { // whatever the package's code did, the books are kept
-            failed(copy, function, made, e);
+            loadFailed(copy, function, loaded, e);
         }
     }
 
-    private void failed(long copy, String function, LoadedCopy made, Throwable cause) {
+    private void loadFailed(long copy, String function, LoadedCopy loaded, Throwable cause) {
         boolean released = true;
-        if (made != null) {
+        if (loaded != null) {
             try {
-                released = made.release(settings.stopMillis());
+                released = loaded.release(settings.stopTimeoutMillis());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 released = false;
             }
         }
-        tell(
+        reportLoadEnd(
                 copy,
                 function,
                 released ? LoadEnd.FAILED : LoadEnd.FAILED_STUCK,
-                released ? null : made,
+                released ? null : loaded,
                 cause.getMessage());
     }
 
-    private void tell(long copy, String function, LoadEnd how, LoadedCopy made, String why) {
-        onLoop(() -> {
-            if (how != LoadEnd.READY) {
-                LOG.warn("load of {} ended as {}: {}", function, how, why);
+    private void reportLoadEnd(long copy, String function, LoadEnd end, LoadedCopy loaded, String reason) {
+        runOnLoop(() -> {
+            if (end != LoadEnd.READY) {
+                LOG.warn("load of {} ended as {}: {}", function, end, reason);
             }
-            events.note("loaded", "worker", id, "fn", function, "well", how == LoadEnd.READY);
-            if (made != null) {
-                copies.put(copy, made);
+            events.log("loaded", "worker", address, "fn", function, "well", end == LoadEnd.READY);
+            if (loaded != null) {
+                copies.put(copy, loaded);
             }
-            decisions.onLoadCompleted(System.nanoTime(), copy, how);
-            if (how == LoadEnd.FAILED_STUCK) {
+            scheduler.onLoadCompleted(System.nanoTime(), copy, end);
+            if (end == LoadEnd.FAILED_STUCK) {
                 releaseLater(copy);
             }
         });
@@ -323,61 +323,61 @@
     @Override
     public void startCall(long number, long copy) {
         Call call = calls.get(number);
-        LoadedCopy on = copies.get(copy);
+        LoadedCopy loadedCopy = copies.get(copy);
         call.copy = copy;
-        events.note("run", "worker", id, "call", call.head.id(), "attempt", call.head.attempt());
-        long limit = on.manifest().callMillis() * MS;
-        call.running = on.run(
-                call.head.id(),
-                call.head.attempt(),
+        events.log("run", "worker", address, "call", call.headers.id(), "attempt", call.headers.attempt());
+        long limitNanos = loadedCopy.manifest().callMillis() * NANOS_PER_MS;
+        call.execution = loadedCopy.run(
+                call.headers.id(),
+                call.headers.attempt(),
                 call.body,
-                limit,
-                (running, outcome) -> onLoop(() -> ended(number, outcome)),
-                running -> onLoop(() -> back(copy)));
-        call.limit = loop.schedule(() -> overLimit(number), limit, TimeUnit.NANOSECONDS);
+                limitNanos,
+                (execution, outcome) -> runOnLoop(() -> callEnded(number, outcome)),
+                execution -> runOnLoop(() -> threadReturned(copy)));
+        call.limitTimer = loop.schedule(() -> callOverLimit(number), limitNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void ended(long number, LoadedCopy.Outcome outcome) {
+    private void callEnded(long number, LoadedCopy.Outcome outcome) {
         Call call = calls.get(number);
-        call.limit.cancel(false); // else thousands would wait for limits that are far
+        call.limitTimer.cancel(false); // else thousands would wait for limits that are far
         if (outcome.cause() != null) {
-            LOG.debug("call {} failed", call.head.id(), outcome.cause());
+            LOG.debug("call {} failed", call.headers.id(), outcome.cause());
         }
         call.output = outcome.output();
-        decisions.onCallCompleted(
+        scheduler.onCallCompleted(
                 System.nanoTime(),
                 number,
-                switch (outcome.how()) {
+                switch (outcome.result()) {
                     case SERVED -> CallEnd.SERVED;
                     case ERROR -> CallEnd.ERROR;
-                    case BROKE -> CallEnd.COPY_BROKEN;
+                    case COPY_BROKEN -> CallEnd.COPY_BROKEN;
                 });
         calls.remove(number);
     }
 
-    private void overLimit(long number) {
+    private void callOverLimit(long number) {
         Call call = calls.get(number);
-        if (call != null && call.running != null && call.running.giveUp()) {
-            LOG.warn("call {} is over its limit and given up, its copy is replaced", call.head.id());
-            decisions.onCallCompleted(System.nanoTime(), number, CallEnd.OVER_LIMIT);
+        if (call != null && call.execution != null && call.execution.giveUp()) {
+            LOG.warn("call {} is over its limit and given up, its copy is replaced", call.headers.id());
+            scheduler.onCallCompleted(System.nanoTime(), number, CallEnd.OVER_LIMIT);
             calls.remove(number);
         }
     }
 
-    private void back(long copy) {
-        decisions.onOverdueThreadReturned(System.nanoTime(), copy);
+    private void threadReturned(long copy) {
+        scheduler.onOverdueThreadReturned(System.nanoTime(), copy);
     }
 
     @Override
     public void interruptCall(long number) {
         Call call = calls.get(number);
-        if (call != null && call.running != null) {
-            call.running.cancel();
+        if (call != null && call.execution != null) {
+            call.execution.cancel();
         }
     }
 
     @Override
-    public void completeCall(long number, Answer answer, CopyUse met, int company) {
+    public void completeCall(long number, Answer answer, CopyUse copyUse, int concurrentCalls) {
         Call call = calls.get(number);
         AnswerCode code =
                 switch (answer) {
@@ -388,22 +388,31 @@
                 };
         CopyNote note = answer == Answer.MISS_LOAD_FAILED
                 ? CopyNote.LOAD_FAILED
-                : met == null
+                : copyUse == null
                         ? CopyNote.NONE
-                        : switch (met) {
+                        : switch (copyUse) {
                             case ALREADY_LOADED -> CopyNote.FOUND;
                             case COLD_START -> CopyNote.BEGAN;
                             case AWAITED_LOAD -> CopyNote.WAITED;
                         };
-        events.note("reply", "worker", id, "call", call.head.id(), "attempt", call.head.attempt(), "code", code.word());
-        if (call.running == null) {
+        events.log(
+                "reply",
+                "worker",
+                address,
+                "call",
+                call.headers.id(),
+                "attempt",
+                call.headers.attempt(),
+                "code",
+                code.word());
+        if (call.execution == null) {
             calls.remove(number);
         }
-        call.reply.answer(code, note, Math.min(30, company), call.output == null ? new byte[0] : call.output);
+        call.reply.answer(code, note, Math.min(30, concurrentCalls), call.output == null ? new byte[0] : call.output);
     }
 
     @Override
-    public void completeOrder(long order, OrderAnswer answer, int ready) {
+    public void completeOrder(long order, OrderAnswer answer, int readyCopies) {
         OrderReply reply = orders.remove(order);
         if (reply != null) {
             reply.answer(
@@ -412,24 +421,24 @@
                         case FULL -> AnswerCode.FULL;
                         case ERROR -> AnswerCode.ERROR;
                     },
-                    ready);
+                    readyCopies);
         }
     }
 
     @Override
     public void unloadCopy(long copy) {
         LoadedCopy stopping = copies.get(copy);
-        stoppers.execute(() -> {
+        stopExecutor.execute(() -> {
             boolean released = release(stopping);
-            onLoop(() -> {
+            runOnLoop(() -> {
                 if (released) {
                     copies.remove(copy);
-                    decisions.onCopyUnloaded(System.nanoTime(), copy);
+                    scheduler.onCopyUnloaded(System.nanoTime(), copy);
                 } else {
                     LOG.warn(
                             "a copy of {} does not stop; its memory stays counted as not free",
                             stopping.manifest().name());
-                    decisions.onCopyStuck(System.nanoTime(), copy);
+                    scheduler.onCopyStuck(System.nanoTime(), copy);
                     releaseLater(copy);
                 }
             });
@@ -438,7 +447,7 @@
 
     private boolean release(LoadedCopy copy) {
         try {
-            return copy.release(settings.stopMillis());
+            return copy.release(settings.stopTimeoutMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
@@ -451,12 +460,12 @@
                 () -> {
                     LoadedCopy stuck = copies.get(copy);
                     if (stuck != null && !closed) {
-                        stoppers.execute(() -> {
+                        stopExecutor.execute(() -> {
                             boolean released = release(stuck);
-                            onLoop(() -> {
+                            runOnLoop(() -> {
                                 if (released) {
                                     copies.remove(copy);
-                                    decisions.onCopyUnloaded(System.nanoTime(), copy);
+                                    scheduler.onCopyUnloaded(System.nanoTime(), copy);
                                 } else {
                                     releaseLater(copy);
                                 }
@@ -464,26 +473,26 @@
                         });
                     }
                 },
-                AGAIN_MS,
+                RELEASE_RETRY_MS,
                 TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void onDrained() {
-        whenDrained.forEach(Runnable::run);
-        whenDrained.clear();
+        drainListeners.forEach(Runnable::run);
+        drainListeners.clear();
     }
 
     /** Stops its copies, as far as they stop in their time, and ends its threads; the loop must have ended. */
     @Override
     public void close() throws IOException {
         closed = true;
-        loaders.shutdownNow();
-        copies.values().forEach(copy -> stoppers.execute(() -> release(copy)));
-        stoppers.shutdown();
+        loadExecutor.shutdownNow();
+        copies.values().forEach(copy -> stopExecutor.execute(() -> release(copy)));
+        stopExecutor.shutdown();
         try {
-            if (!stoppers.awaitTermination(4 * settings.stopMillis(), TimeUnit.MILLISECONDS)) {
-                stoppers.shutdownNow();
+            if (!stopExecutor.awaitTermination(4 * settings.stopTimeoutMillis(), TimeUnit.MILLISECONDS)) {
+                stopExecutor.shutdownNow();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/worker/src/main/java/wharfhinge/worker/WorkerCall.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerCall.java
@@ -16,35 +16,35 @@
         int attempt,
         String gateway,
         String requestClass,
-        String boot,
-        MemoryEstimate hint,
+        String incarnation,
+        MemoryEstimate memoryEstimate,
         long waitMillis,
         long costUs) {
-    private static final long MOST_MS = 3_600_000;
-    private static final long MOST_KB = 2047 * 1024;
-    private static final int MOST_LANES = 256;
+    private static final long MAX_WAIT_MS = 3_600_000;
+    private static final long MAX_MEMORY_KB = 2047 * 1024;
+    private static final int MAX_SLOTS = 256;
 
     static WorkerCall of(HttpHeaders headers) {
         return of(headers::get);
     }
 
-    static WorkerCall of(Function<CharSequence, String> h) {
-        long kb = (long) (number(h.apply(WorkerProtocol.MEMORY_MB), MOST_KB / 1024.0) * 1024);
-        int lanes = (int) number(h.apply(WorkerProtocol.LANES), MOST_LANES);
-        double wait = number(h.apply(WorkerProtocol.DEADLINE_MS), MOST_MS);
+    static WorkerCall of(Function<CharSequence, String> headerValues) {
+        long memoryKb = (long) (number(headerValues.apply(WorkerProtocol.MEMORY_MB), MAX_MEMORY_KB / 1024.0) * 1024);
+        int slots = (int) number(headerValues.apply(WorkerProtocol.LANES), MAX_SLOTS);
+        double deadlineMillis = number(headerValues.apply(WorkerProtocol.DEADLINE_MS), MAX_WAIT_MS);
         return new WorkerCall(
-                word(h.apply(WorkerProtocol.CALL)),
-                (int) number(h.apply(WorkerProtocol.ATTEMPT), 1e6),
-                word(h.apply(WorkerProtocol.GATEWAY)),
-                word(h.apply(WorkerProtocol.CLASS)),
-                h.apply(WorkerProtocol.BOOT),
-                new MemoryEstimate(kb, lanes),
-                wait > 0 ? Math.max(1, (long) wait) : MOST_MS,
-                (long) number(h.apply(WorkerProtocol.COST_US), 1e12));
+                printableWord(headerValues.apply(WorkerProtocol.CALL)),
+                (int) number(headerValues.apply(WorkerProtocol.ATTEMPT), 1e6),
+                printableWord(headerValues.apply(WorkerProtocol.GATEWAY)),
+                printableWord(headerValues.apply(WorkerProtocol.CLASS)),
+                headerValues.apply(WorkerProtocol.BOOT),
+                new MemoryEstimate(memoryKb, slots),
+                deadlineMillis > 0 ? Math.max(1, (long) deadlineMillis) : MAX_WAIT_MS,
+                (long) number(headerValues.apply(WorkerProtocol.COST_US), 1e12));
     }
 
     /** Tabs and line ends would forge lines of the event log. */
-    private static String word(String text) {
+    private static String printableWord(String text) {
         if (text == null || text.isEmpty()) {
             return "-";
         }
@@ -52,13 +52,13 @@
         return cut.replaceAll("[^\\x21-\\x7e]", "?");
     }
 
-    private static double number(String text, double most) {
+    private static double number(String text, double max) {
         if (text == null || text.length() > 32) {
             return 0;
         }
         try {
             double value = Double.parseDouble(text);
-            return value >= 0 && value <= most ? value : 0;
+            return value >= 0 && value <= max ? value : 0;
         } catch (NumberFormatException e) {
             return 0;
         }
--- a/worker/src/main/java/wharfhinge/worker/WorkerServer.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerServer.java
@@ -51,31 +51,32 @@
  */
 public final class WorkerServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerServer.class);
-    private static final int MOST_STREAMS = 4096;
-    private static final int MOST_HEADERS = 16_384;
-    private static final Pattern FUNCTION = Pattern.compile("[A-Za-z0-9._-]{1,128}");
+    private static final int MAX_CONCURRENT_STREAMS = 4096;
+    private static final int MAX_HEADER_LIST_BYTES = 16_384;
+    private static final Pattern FUNCTION_NAME = Pattern.compile("[A-Za-z0-9._-]{1,128}");
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final Worker worker;
     private final WorkerSettings settings;
     private final EventLog events;
-    private final Channel listening;
+    private final Channel listenChannel;
     private final Set<Channel> connections = new LinkedHashSet<>();
-    private final CountDownLatch over = new CountDownLatch(1);
-    private final String boot;
-    private final String id;
+    private final CountDownLatch closedLatch = new CountDownLatch(1);
+    private final String incarnation;
+    private final String address;
 
     /** Listens on loopback; {@code base} is what paths in the settings are relative to. */
-    public WorkerServer(WorkerSettings settings, Path base) throws IOException {
+    public WorkerServer(WorkerSettings settings, Path baseFolder) throws IOException {
         this.settings = settings;
         byte[] random = new byte[8];
         new SecureRandom().nextBytes(random);
-        this.boot = HexFormat.of().formatHex(random);
-        this.events =
-                settings.eventsFile().isEmpty() ? EventLog.NONE : EventLog.to(base.resolve(settings.eventsFile()));
-        this.worker = new Worker(settings, base, loop, events);
-        this.listening = new ServerBootstrap()
+        this.incarnation = HexFormat.of().formatHex(random);
+        this.events = settings.eventsFile().isEmpty()
+                ? EventLog.NONE
+                : EventLog.appendTo(baseFolder.resolve(settings.eventsFile()));
+        this.worker = new Worker(settings, baseFolder, loop, events);
+        this.listenChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -84,23 +85,23 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted(channel);
+                        initConnection(channel);
                     }
                 })
                 .bind("127.0.0.1", settings.port())
                 .syncUninterruptibly()
                 .channel();
-        this.id = "127.0.0.1:" + port();
-        loop.submit(() -> worker.named(id)).syncUninterruptibly();
+        this.address = "127.0.0.1:" + port();
+        loop.submit(() -> worker.setAddress(address)).syncUninterruptibly();
         if (events != EventLog.NONE) {
-            ProcessorWaitWatch.start(loop, millis -> events.note("worker-not-run", "worker", id, "ms", millis));
+            ProcessorWaitWatch.start(loop, millis -> events.log("worker-not-run", "worker", address, "ms", millis));
         }
-        events.note(
+        events.log(
                 "start",
                 "worker",
-                id,
+                address,
                 "boot",
-                boot,
+                incarnation,
                 "cold",
                 true,
                 "cores",
@@ -115,12 +116,12 @@
 
     /** Where it listens. */
     public int port() {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) listenChannel.localAddress()).getPort();
     }
 
     /** Names this process among those that had the address before. */
-    public String boot() {
-        return boot;
+    public String incarnation() {
+        return incarnation;
     }
 
     /**
@@ -131,32 +132,33 @@
     public boolean drain() throws InterruptedException {
         CountDownLatch drained = new CountDownLatch(1);
         loop.execute(() -> {
-            events.note("draining", "worker", id);
-            connections.forEach(c -> c.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR)));
+            events.log("draining", "worker", address);
+            connections.forEach(
+                    connection -> connection.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR)));
             worker.drain(drained::countDown);
         });
-        boolean all = drained.await(settings.drainMillis(), TimeUnit.MILLISECONDS);
-        if (!all) {
+        boolean allAnswered = drained.await(settings.drainTimeoutMillis(), TimeUnit.MILLISECONDS);
+        if (!allAnswered) {
             LOG.warn("drain ended with calls open");
         }
         close();
-        return all;
+        return allAnswered;
     }
 
     /** Blocks until it is closed. */
     public void await() throws InterruptedException {
-        over.await();
+        closedLatch.await();
     }
 
     @Override
     public void close() {
-        if (over.getCount() == 0) {
+        if (closedLatch.getCount() == 0) {
             return;
         }
-        listening.close().syncUninterruptibly();
-        loop.submit(() -> Set.copyOf(connections).forEach(c -> {
-                    c.flush();
-                    c.close();
+        listenChannel.close().syncUninterruptibly();
+        loop.submit(() -> Set.copyOf(connections).forEach(connection -> {
+                    connection.flush();
+                    connection.close();
                 }))
                 .syncUninterruptibly();
         group.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).awaitUninterruptibly(1000);
@@ -165,18 +167,18 @@
         } catch (IOException e) {
             LOG.warn("closing: {}", e.getMessage());
         }
-        over.countDown();
+        closedLatch.countDown();
     }
 
-    private void accepted(Channel channel) {
+    private void initConnection(Channel channel) {
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
         channel.pipeline()
                 .addLast(
                         Http2FrameCodecBuilder.forServer()
                                 .initialSettings(Http2Settings.defaultSettings()
-                                        .maxConcurrentStreams(MOST_STREAMS)
-                                        .maxHeaderListSize(MOST_HEADERS))
+                                        .maxConcurrentStreams(MAX_CONCURRENT_STREAMS)
+                                        .maxHeaderListSize(MAX_HEADER_LIST_BYTES))
                                 .decoderEnforceMaxRstFramesPerWindow(0, 0)
                                 .build(), // gateways cancel by the thousand, and are trusted
                         new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
@@ -185,159 +187,188 @@
                                 stream.pipeline()
                                         .addLast(
                                                 new Http2StreamFrameToHttpObjectCodec(true),
-                                                new HttpObjectAggregator(settings.mostBodyBytes()),
-                                                new Requests());
+                                                new HttpObjectAggregator(settings.maxBodyBytes()),
+                                                new RequestHandler());
                             }
                         }),
-                        new Breaks());
+                        new ConnectionErrorHandler());
     }
 
     /** A connection that breaks is closed; its streams tell the worker that nobody waits. */
-    private static final class Breaks extends ChannelInboundHandlerAdapter {
+    private static final class ConnectionErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
     }
 
     /** One stream, one request. */
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private long call;
-        private long order;
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private long openCall;
+        private long openOrder;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String path = request.uri();
-            WorkerCall head = WorkerCall.of(request.headers());
-            boolean mine = head.boot() == null || head.boot().equals(boot);
+            WorkerCall headers = WorkerCall.of(request.headers());
+            boolean isForThisIncarnation =
+                    headers.incarnation() == null || headers.incarnation().equals(incarnation);
             if (path.equals(WorkerProtocol.PROBE_PATH)) {
-                events.note("probe", "worker", id, "gw", head.gateway());
-                write(ctx, response(AnswerCode.SERVED, new byte[0]));
+                events.log("probe", "worker", address, "gw", headers.gateway());
+                write(context, answerResponse(AnswerCode.SERVED, new byte[0]));
             } else if (path.equals(WorkerProtocol.MEMORY_PATH)) {
-                write(ctx, books());
+                write(context, memoryStatus());
             } else if (path.startsWith(WorkerProtocol.CALL_PATH)
                     && request.method().equals(HttpMethod.POST)) {
-                called(ctx, path.substring(WorkerProtocol.CALL_PATH.length()), head, mine, request);
+                handleCall(
+                        context,
+                        path.substring(WorkerProtocol.CALL_PATH.length()),
+                        headers,
+                        isForThisIncarnation,
+                        request);
             } else if (path.startsWith(WorkerProtocol.COPIES_PATH)) {
-                copies(ctx, path.substring(WorkerProtocol.COPIES_PATH.length()), head, mine, request.method());
+                handleCopies(
+                        context,
+                        path.substring(WorkerProtocol.COPIES_PATH.length()),
+                        headers,
+                        isForThisIncarnation,
+                        request.method());
             } else {
-                wrong(
-                        ctx,
-                        "found " + shown(path)
+                writeBadRequest(
+                        context,
+                        "found " + quoted(path)
                                 + ", allowed: POST /call/F, PUT or DELETE /copies/F, GET /probe, GET /memory");
             }
         }
 
-        private void called(
-                ChannelHandlerContext ctx, String function, WorkerCall head, boolean mine, FullHttpRequest request) {
-            if (!FUNCTION.matcher(function).matches()) {
-                wrong(ctx, "found function " + shown(function) + ", allowed: 1 to 128 letters, digits, '.', '_', '-'");
-            } else if (!mine) {
-                write(ctx, response(AnswerCode.FULL, new byte[0])); // meant for a process that is no more
+        private void handleCall(
+                ChannelHandlerContext context,
+                String function,
+                WorkerCall headers,
+                boolean isForThisIncarnation,
+                FullHttpRequest request) {
+            if (!FUNCTION_NAME.matcher(function).matches()) {
+                writeBadRequest(
+                        context,
+                        "found function " + quoted(function) + ", allowed: 1 to 128 letters, digits, '.', '_', '-'");
+            } else if (!isForThisIncarnation) {
+                write(context, answerResponse(AnswerCode.FULL, new byte[0])); // meant for a process that is no more
             } else {
                 boolean[] answered = {false};
-                long number = worker.call(
-                        function, head, ByteBufUtil.getBytes(request.content()), (code, note, company, body) -> {
+                long callNumber = worker.call(
+                        function,
+                        headers,
+                        ByteBufUtil.getBytes(request.content()),
+                        (code, note, concurrentCalls, body) -> {
                             answered[0] = true;
-                            call = 0;
-                            FullHttpResponse response = response(code, body);
+                            openCall = 0;
+                            FullHttpResponse response = answerResponse(code, body);
                             if (note != CopyNote.NONE) {
                                 response.headers().set(WorkerProtocol.NOTE, note.word());
                             }
-                            response.headers().setInt(WorkerProtocol.COMPANY, company);
-                            write(ctx, response);
+                            response.headers().setInt(WorkerProtocol.COMPANY, concurrentCalls);
+                            write(context, response);
                         });
-                call = answered[0] ? 0 : number;
+                openCall = answered[0] ? 0 : callNumber;
             }
         }
 
-        private void copies(ChannelHandlerContext ctx, String rest, WorkerCall head, boolean mine, HttpMethod method) {
-            int at = rest.indexOf(WorkerProtocol.COUNT_PARAMETER);
-            String function = at < 0 ? rest : rest.substring(0, at);
-            String count = at < 0 ? "0" : rest.substring(at + WorkerProtocol.COUNT_PARAMETER.length());
-            boolean counted = count.matches("[0-9]{1,2}") && Integer.parseInt(count) <= WorkerProtocol.MOST_COPIES;
-            if (!FUNCTION.matcher(function).matches() || !counted) {
-                wrong(
-                        ctx,
-                        "found " + shown(rest) + ", allowed: a function and a count of 0 to "
+        private void handleCopies(
+                ChannelHandlerContext context,
+                String functionAndCount,
+                WorkerCall headers,
+                boolean isForThisIncarnation,
+                HttpMethod method) {
+            int parameterIndex = functionAndCount.indexOf(WorkerProtocol.COUNT_PARAMETER);
+            String function = parameterIndex < 0 ? functionAndCount : functionAndCount.substring(0, parameterIndex);
+            String count = parameterIndex < 0
+                    ? "0"
+                    : functionAndCount.substring(parameterIndex + WorkerProtocol.COUNT_PARAMETER.length());
+            boolean isValidCount = count.matches("[0-9]{1,2}") && Integer.parseInt(count) <= WorkerProtocol.MOST_COPIES;
+            if (!FUNCTION_NAME.matcher(function).matches() || !isValidCount) {
+                writeBadRequest(
+                        context,
+                        "found " + quoted(functionAndCount) + ", allowed: a function and a count of 0 to "
                                 + WorkerProtocol.MOST_COPIES);
             } else if (method.equals(HttpMethod.DELETE)) {
-                if (mine) {
-                    worker.unload(function, head);
+                if (isForThisIncarnation) {
+                    worker.unload(function, headers);
                 }
-                write(ctx, plain(HttpResponseStatus.NO_CONTENT, new byte[0]));
+                write(context, httpResponse(HttpResponseStatus.NO_CONTENT, new byte[0]));
             } else if (!method.equals(HttpMethod.PUT)) {
-                wrong(ctx, "found " + shown(method.name()) + ", allowed: PUT, DELETE");
-            } else if (!mine) {
-                ordered(ctx, AnswerCode.FULL, 0);
+                writeBadRequest(context, "found " + quoted(method.name()) + ", allowed: PUT, DELETE");
+            } else if (!isForThisIncarnation) {
+                writeOrderAnswer(context, AnswerCode.FULL, 0);
             } else {
                 boolean[] answered = {false};
-                long number = worker.hold(function, Integer.parseInt(count), head, (code, ready) -> {
-                    answered[0] = true;
-                    order = 0;
-                    ordered(ctx, code, ready);
-                });
-                order = answered[0] ? 0 : number;
+                long orderNumber =
+                        worker.orderCopies(function, Integer.parseInt(count), headers, (code, readyCopies) -> {
+                            answered[0] = true;
+                            openOrder = 0;
+                            writeOrderAnswer(context, code, readyCopies);
+                        });
+                openOrder = answered[0] ? 0 : orderNumber;
             }
         }
 
-        private void ordered(ChannelHandlerContext ctx, AnswerCode code, int ready) {
-            FullHttpResponse response = response(code, new byte[0]);
-            response.headers().setInt(WorkerProtocol.COUNT, ready);
-            write(ctx, response);
+        private void writeOrderAnswer(ChannelHandlerContext context, AnswerCode code, int readyCopies) {
+            FullHttpResponse response = answerResponse(code, new byte[0]);
+            response.headers().setInt(WorkerProtocol.COUNT, readyCopies);
+            write(context, response);
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            if (call != 0) {
-                worker.cancel(call);
-                call = 0;
+        public void channelInactive(ChannelHandlerContext context) {
+            if (openCall != 0) {
+                worker.cancel(openCall);
+                openCall = 0;
             }
-            if (order != 0) {
-                worker.cancelOrder(order);
-                order = 0;
+            if (openOrder != 0) {
+                worker.cancelOrder(openOrder);
+                openOrder = 0;
             }
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.close();
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.close();
         }
 
-        private void wrong(ChannelHandlerContext ctx, String why) {
-            write(ctx, plain(HttpResponseStatus.BAD_REQUEST, why.getBytes(StandardCharsets.US_ASCII)));
+        private void writeBadRequest(ChannelHandlerContext context, String reason) {
+            write(context, httpResponse(HttpResponseStatus.BAD_REQUEST, reason.getBytes(StandardCharsets.US_ASCII)));
         }
 
-        private void write(ChannelHandlerContext ctx, FullHttpResponse response) {
-            ctx.writeAndFlush(response);
+        private void write(ChannelHandlerContext context, FullHttpResponse response) {
+            context.writeAndFlush(response);
         }
     }
 
-    private static String shown(String text) {
+    private static String quoted(String text) {
         return "'" + (text.length() > 60 ? text.substring(0, 60) + "..." : text).replaceAll("[^\\x20-\\x7e]", "?")
                 + "'";
     }
 
-    private FullHttpResponse response(AnswerCode code, byte[] body) {
-        FullHttpResponse response = plain(HttpResponseStatus.valueOf(code.status()), body);
+    private FullHttpResponse answerResponse(AnswerCode code, byte[] body) {
+        FullHttpResponse response = httpResponse(HttpResponseStatus.valueOf(code.status()), body);
         response.headers()
                 .set(WorkerProtocol.OUTCOME, code.word())
                 .set(WorkerProtocol.REPORT, worker.report())
-                .set(WorkerProtocol.BOOT, boot);
+                .set(WorkerProtocol.BOOT, incarnation);
         return response;
     }
 
-    private FullHttpResponse books() {
+    private FullHttpResponse memoryStatus() {
         StringBuilder text = new StringBuilder();
-        worker.books()
+        worker.memoryStatus()
                 .forEach((name, value) ->
                         text.append(name).append(' ').append(value).append('\n'));
-        FullHttpResponse response = plain(HttpResponseStatus.OK, text.toString().getBytes(StandardCharsets.US_ASCII));
-        response.headers().set(WorkerProtocol.BOOT, boot);
+        FullHttpResponse response =
+                httpResponse(HttpResponseStatus.OK, text.toString().getBytes(StandardCharsets.US_ASCII));
+        response.headers().set(WorkerProtocol.BOOT, incarnation);
         return response;
     }
 
-    private static FullHttpResponse plain(HttpResponseStatus status, byte[] body) {
+    private static FullHttpResponse httpResponse(HttpResponseStatus status, byte[] body) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         if (!status.equals(HttpResponseStatus.NO_CONTENT)) {
--- a/worker/src/main/java/wharfhinge/worker/WorkerSettings.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerSettings.java
@@ -15,7 +15,7 @@
 @XmlAccessorType(XmlAccessType.FIELD)
 public final class WorkerSettings {
     private static final long KB_IN_MB = 1024;
-    private static final long MS = 1_000_000L;
+    private static final long NANOS_PER_MS = 1_000_000L;
 
     @XmlAttribute(name = "name")
     private String name;
@@ -33,7 +33,7 @@
     private Loads loads = new Loads();
 
     @XmlElement(name = "store")
-    private StoreAt store;
+    private Store store;
 
     @XmlElement(name = "images")
     private Images images;
@@ -64,50 +64,50 @@
         private int copiesMb;
 
         @XmlAttribute(name = "own-mb")
-        private int ownMb = 256;
+        private int ownMemoryMb = 256;
 
         @XmlAttribute(name = "usual-copy-mb")
-        private int usualCopyMb = 64;
+        private int defaultCopyMb = 64;
     }
 
     /** Calls. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Calls {
         @XmlAttribute(name = "queue")
-        private int queue = 64;
+        private int maxQueued = 64;
 
         @XmlAttribute(name = "not-loaded")
-        private String notLoaded = "load";
+        private String onNotLoaded = "load";
 
         @XmlAttribute(name = "further-copies")
-        private String furtherCopies = "own";
+        private String onNoFreeSlot = "own";
 
         @XmlAttribute(name = "keep-ms")
-        private long keepMillis = 60_000;
+        private long idleRetentionMillis = 60_000;
 
         @XmlAttribute(name = "most-body-kb")
-        private int mostBodyKb = 1024;
+        private int maxBodyKb = 1024;
     }
 
     /** Loads. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Loads {
         @XmlAttribute(name = "at-once")
-        private int atOnce = 4;
+        private int maxConcurrent = 4;
 
         @XmlAttribute(name = "line")
-        private int line = 32;
+        private int maxQueued = 32;
 
         @XmlAttribute(name = "fetch-ms")
-        private long fetchMillis = 10_000;
+        private long fetchTimeoutMillis = 10_000;
 
         @XmlAttribute(name = "stop-ms")
-        private long stopMillis = 500;
+        private long stopTimeoutMillis = 500;
     }
 
     /** The store. */
     @XmlAccessorType(XmlAccessType.FIELD)
-    public static final class StoreAt {
+    public static final class Store {
         @XmlAttribute(name = "url")
         private String url;
 
@@ -122,7 +122,7 @@
         private String folder;
 
         @XmlAttribute(name = "most-mb")
-        private long mostMb = 1024;
+        private long maxMb = 1024;
     }
 
     /** Publishers' keys. */
@@ -150,7 +150,7 @@
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Drain {
         @XmlAttribute(name = "within-ms")
-        private long withinMillis = 10_000;
+        private long timeoutMillis = 10_000;
     }
 
     /** The record of what came and went. */
@@ -176,37 +176,37 @@
     }
 
     /** What the decisions go by. */
-    CopySettings copies() {
+    CopySettings copySettings() {
         return new CopySettings(
                 memory.copiesMb * KB_IN_MB,
-                memory.usualCopyMb * KB_IN_MB,
-                calls.queue,
-                loads.atOnce,
-                loads.line,
-                calls.keepMillis * MS,
-                calls.notLoaded.equals("load"),
-                calls.furtherCopies.equals("own"));
+                memory.defaultCopyMb * KB_IN_MB,
+                calls.maxQueued,
+                loads.maxConcurrent,
+                loads.maxQueued,
+                calls.idleRetentionMillis * NANOS_PER_MS,
+                calls.onNotLoaded.equals("load"),
+                calls.onNoFreeSlot.equals("own"));
     }
 
     /** What the process may hold beside its copies, KiB. */
-    long ownKb() {
-        return memory.ownMb * KB_IN_MB;
+    long ownMemoryKb() {
+        return memory.ownMemoryMb * KB_IN_MB;
     }
 
-    int loadsAtOnce() {
-        return loads.atOnce;
+    int maxConcurrentLoads() {
+        return loads.maxConcurrent;
     }
 
-    int mostBodyBytes() {
-        return calls.mostBodyKb * 1024;
+    int maxBodyBytes() {
+        return calls.maxBodyKb * 1024;
     }
 
-    long fetchNanos() {
-        return loads.fetchMillis * MS;
+    long fetchTimeoutNanos() {
+        return loads.fetchTimeoutMillis * NANOS_PER_MS;
     }
 
-    long stopMillis() {
-        return loads.stopMillis;
+    long stopTimeoutMillis() {
+        return loads.stopTimeoutMillis;
     }
 
     String storeUrl() {
@@ -214,7 +214,7 @@
     }
 
     long freshNanos() {
-        return store.freshMillis * MS;
+        return store.freshMillis * NANOS_PER_MS;
     }
 
     /** Where images are, as written: relative to the file. */
@@ -222,13 +222,13 @@
         return images.folder;
     }
 
-    long imagesBytes() {
-        return images.mostMb << 20;
+    long maxImageBytes() {
+        return images.maxMb << 20;
     }
 
     /** Files of trusted keys, as written: relative to the file. */
     public List<String> keyFiles() {
-        return keys.keys.stream().map(k -> k.file).toList();
+        return keys.keys.stream().map(key -> key.file).toList();
     }
 
     long refreshMillis() {
@@ -236,8 +236,8 @@
     }
 
     /** Within which a drain ends, whatever still runs. */
-    public long drainMillis() {
-        return drain.withinMillis;
+    public long drainTimeoutMillis() {
+        return drain.timeoutMillis;
     }
 
     /** Where events are written, as written: relative to the file; empty for nowhere. */
--- a/worker/src/main/java/wharfhinge/worker/copy/CallSlot.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/CallSlot.java
@@ -13,7 +13,7 @@
         RUNNING,
         INTERRUPTING,
         INTERRUPTED,
-        OVER,
+        FINISHED,
         GIVING_UP,
         GIVEN_UP
     }
@@ -45,20 +45,20 @@
     /** The worker gives up on it: true where it had not ended; then its thread is interrupted and what it returns ignored. */
     boolean giveUp() {
         while (true) {
-            State now = state.get();
-            switch (now) {
-                case OVER, GIVING_UP, GIVEN_UP -> {
+            State current = state.get();
+            switch (current) {
+                case FINISHED, GIVING_UP, GIVEN_UP -> {
                     return false;
                 }
                 case INTERRUPTING -> Thread.onSpinWait();
                 case READY -> {
-                    if (state.compareAndSet(now, State.GIVEN_UP)) {
+                    if (state.compareAndSet(current, State.GIVEN_UP)) {
                         cancelled = true;
                         return true;
                     }
                 }
                 default -> {
-                    if (state.compareAndSet(now, State.GIVING_UP)) {
+                    if (state.compareAndSet(current, State.GIVING_UP)) {
                         cancelled = true;
                         thread.interrupt();
                         state.set(State.GIVEN_UP);
@@ -72,13 +72,13 @@
     /** On its thread, once the code has returned: true where nobody gave up on it. Clears a late interrupt. */
     boolean finish() {
         while (true) {
-            State now = state.get();
-            if (now == State.INTERRUPTING || now == State.GIVING_UP) {
+            State current = state.get();
+            if (current == State.INTERRUPTING || current == State.GIVING_UP) {
                 Thread.onSpinWait();
-            } else if (now == State.GIVEN_UP) {
+            } else if (current == State.GIVEN_UP) {
                 Thread.interrupted();
                 return false;
-            } else if (state.compareAndSet(now, State.OVER)) {
+            } else if (state.compareAndSet(current, State.FINISHED)) {
                 Thread.interrupted();
                 return true;
             }
--- a/worker/src/main/java/wharfhinge/worker/copy/LoadedCopy.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/LoadedCopy.java
@@ -22,21 +22,21 @@
  * never is, for that would end the process.
  */
 public final class LoadedCopy {
-    private static final int KEEP_THREADS_S = 10;
-    private static final int SETTLE_MS = 100;
+    private static final int THREAD_KEEP_ALIVE_S = 10;
+    private static final int MIN_TERMINATION_WAIT_MS = 100;
 
     /** How a run ended. {@code output} is null unless SERVED. */
-    public record Outcome(How how, byte[] output, Throwable cause) {}
+    public record Outcome(Result result, byte[] output, Throwable cause) {}
 
     /** What a run of code came to. */
-    public enum How {
+    public enum Result {
         SERVED,
         ERROR,
-        BROKE
+        COPY_BROKEN
     }
 
     /** A call on its way through the copy. */
-    public final class Running {
+    public final class Execution {
         private final CallSlot slot = new CallSlot();
 
         /** Asks the code to end. */
@@ -64,9 +64,9 @@
         this.group = new ThreadGroup(name);
         this.loader = new PackageLoader(contents.files());
         this.threads = new ThreadPoolExecutor(
-                manifest.lanes(),
-                manifest.lanes(),
-                KEEP_THREADS_S,
+                manifest.slots(),
+                manifest.slots(),
+                THREAD_KEEP_ALIVE_S,
                 TimeUnit.SECONDS,
                 new LinkedBlockingQueue<>(),
                 task -> {
@@ -96,9 +96,9 @@
             if (!Function.class.isAssignableFrom(type)) {
                 throw new ClassCastException(manifest.entry() + " is no " + Function.class.getName());
             }
-            Function made = (Function) type.getConstructor().newInstance();
-            made.start(new CopyContext(name, manifest.version(), region.view()));
-            function = made;
+            Function instance = (Function) type.getConstructor().newInstance();
+            instance.start(new CopyContext(name, manifest.version(), region.view()));
+            function = instance;
             return null;
         });
         try {
@@ -117,42 +117,42 @@
      * @param ended told once, on that thread, unless the call was given up on
      * @param back  told in its place where it was
      */
-    public Running run(
+    public Execution run(
             String id,
             int attempt,
             byte[] input,
             long limitNanos,
-            BiConsumer<Running, Outcome> ended,
-            Consumer<Running> back) {
-        Running running = new Running();
-        long endsAt = System.nanoTime() + limitNanos;
+            BiConsumer<Execution, Outcome> onEnd,
+            Consumer<Execution> onThreadReturned) {
+        Execution execution = new Execution();
+        long deadlineNanos = System.nanoTime() + limitNanos;
         try {
             threads.execute(() -> {
-                Outcome outcome = running.slot.begin()
-                        ? guarded(new Invocation(id, attempt, input, endsAt, running.slot::cancelled))
+                Outcome outcome = execution.slot.begin()
+                        ? runGuarded(new Invocation(id, attempt, input, deadlineNanos, execution.slot::cancelled))
                         : null;
-                if (running.slot.finish()) {
-                    ended.accept(running, outcome);
+                if (execution.slot.finish()) {
+                    onEnd.accept(execution, outcome);
                 } else {
-                    back.accept(running);
+                    onThreadReturned.accept(execution);
                 }
             });
         } catch (RejectedExecutionException e) {
-            ended.accept(running, new Outcome(How.BROKE, null, e));
+            onEnd.accept(execution, new Outcome(Result.COPY_BROKEN, null, e));
         }
-        return running;
+        return execution;
     }
 
-    private Outcome guarded(Invocation call) {
+    private Outcome runGuarded(Invocation call) {
         try {
             byte[] output = function.call(call);
             return output == null
-                    ? new Outcome(How.ERROR, null, new NullPointerException("the function gave no answer"))
-                    : new Outcome(How.SERVED, output, null);
+                    ? new Outcome(Result.ERROR, null, new NullPointerException("the function gave no answer"))
+                    : new Outcome(Result.SERVED, output, null);
         } catch (Exception e) {
-            return new Outcome(How.ERROR, null, e);
+            return new Outcome(Result.ERROR, null, e);
         } catch (Throwable e) { // memory, links, exits: the copy is not to be trusted, the worker is
-            return new Outcome(How.BROKE, null, e);
+            return new Outcome(Result.COPY_BROKEN, null, e);
         }
     }
 
@@ -173,21 +173,21 @@
         }
         threads.shutdownNow();
         group.interrupt();
-        long end = System.nanoTime() + Math.max(SETTLE_MS, limitMillis) * 1_000_000L;
-        while (alive() && System.nanoTime() < end) {
+        long deadlineNanos = System.nanoTime() + Math.max(MIN_TERMINATION_WAIT_MS, limitMillis) * 1_000_000L;
+        while (hasLiveThreads() && System.nanoTime() < deadlineNanos) {
             Thread.sleep(1);
         }
-        if (alive()) {
+        if (hasLiveThreads()) {
             return false;
         }
         region.close();
         return true;
     }
 
-    private boolean alive() {
+    private boolean hasLiveThreads() {
         Thread[] found = new Thread[Math.max(8, group.activeCount() + 8)];
-        int n = group.enumerate(found, true);
-        for (int i = 0; i < n; i++) {
+        int count = group.enumerate(found, true);
+        for (int i = 0; i < count; i++) {
             if (found[i].isAlive()) {
                 return true;
             }
--- a/worker/src/main/java/wharfhinge/worker/copy/PackageLoader.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/PackageLoader.java
@@ -17,8 +17,8 @@
  * ask. By reflection they still can be reached; docs/design/worker.md lists what can't be held.
  */
 final class PackageLoader extends ClassLoader {
-    private static final String API = "wharfhinge.worker.api.";
-    private static final String REFUSED = "wharfhinge/worker/api/ExitRefused";
+    private static final String API_PACKAGE = "wharfhinge.worker.api.";
+    private static final String EXIT_REFUSED = "wharfhinge/worker/api/ExitRefused";
 
     private final Map<String, byte[]> files;
 
@@ -29,15 +29,15 @@
 
     @Override
     protected Class<?> findClass(String name) throws ClassNotFoundException {
-        if (name.startsWith(API)) {
+        if (name.startsWith(API_PACKAGE)) {
             return Function.class.getClassLoader().loadClass(name);
         }
         byte[] bytes = files.get("classes/" + name.replace('.', '/') + ".class");
         if (bytes == null) {
             throw new ClassNotFoundException(name);
         }
-        byte[] guarded = guarded(bytes);
-        return defineClass(name, guarded, 0, guarded.length);
+        byte[] rewritten = replaceExits(bytes);
+        return defineClass(name, rewritten, 0, rewritten.length);
     }
 
     @Override
@@ -46,27 +46,35 @@
         return bytes == null ? super.getResourceAsStream(name) : new ByteArrayInputStream(bytes);
     }
 
-    private static byte[] guarded(byte[] bytes) {
+    private static byte[] replaceExits(byte[] bytes) {
         ClassReader reader = new ClassReader(bytes);
         ClassWriter writer = new ClassWriter(reader, 0);
         reader.accept(
                 new ClassVisitor(Opcodes.ASM9, writer) {
                     @Override
                     public MethodVisitor visitMethod(
-                            int access, String name, String type, String signature, String[] thrown) {
+                            int access, String name, String descriptor, String signature, String[] exceptions) {
                         return new MethodVisitor(
-                                Opcodes.ASM9, super.visitMethod(access, name, type, signature, thrown)) {
+                                Opcodes.ASM9, super.visitMethod(access, name, descriptor, signature, exceptions)) {
                             @Override
                             public void visitMethodInsn(
-                                    int opcode, String owner, String method, String of, boolean isInterface) {
-                                boolean exits = method.equals("exit") || method.equals("halt");
+                                    int opcode,
+                                    String owner,
+                                    String method,
+                                    String methodDescriptor,
+                                    boolean isInterface) {
+                                boolean isExit = method.equals("exit") || method.equals("halt");
                                 if (owner.equals("java/lang/System") && method.equals("exit")) {
-                                    super.visitMethodInsn(Opcodes.INVOKESTATIC, REFUSED, "exit", "(I)V", false);
-                                } else if (owner.equals("java/lang/Runtime") && exits) {
+                                    super.visitMethodInsn(Opcodes.INVOKESTATIC, EXIT_REFUSED, "exit", "(I)V", false);
+                                } else if (owner.equals("java/lang/Runtime") && isExit) {
                                     super.visitMethodInsn(
-                                            Opcodes.INVOKESTATIC, REFUSED, "exit", "(Ljava/lang/Runtime;I)V", false);
+                                            Opcodes.INVOKESTATIC,
+                                            EXIT_REFUSED,
+                                            "exit",
+                                            "(Ljava/lang/Runtime;I)V",
+                                            false);
                                 } else {
-                                    super.visitMethodInsn(opcode, owner, method, of, isInterface);
+                                    super.visitMethodInsn(opcode, owner, method, methodDescriptor, isInterface);
                                 }
                             }
                         };
--- a/worker/src/main/java/wharfhinge/worker/copy/Regions.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/Regions.java
@@ -20,11 +20,11 @@
  */
 public final class Regions implements AutoCloseable {
     /** The file that is mapped. */
-    public static final String NAME = "copies.map";
+    public static final String FILE_NAME = "copies.map";
 
-    private static final long KB = 1024;
-    private static final int PAGE = 4096;
-    private static final int STEP = 1 << 16;
+    private static final long BYTES_PER_KB = 1024;
+    private static final int PAGE_BYTES = 4096;
+    private static final int TOUCH_STEP_BYTES = 1 << 16;
 
     private final FileChannel file;
     private final AtomicLong residentKb = new AtomicLong();
@@ -32,7 +32,7 @@
 
     /** Uses a file in {@code folder}, which holds no bytes and is unlinked at once. */
     public Regions(Path folder) throws IOException {
-        Path path = Files.createDirectories(folder).resolve(NAME);
+        Path path = Files.createDirectories(folder).resolve(FILE_NAME);
         Files.deleteIfExists(path);
         file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
         Files.delete(path);
@@ -41,13 +41,13 @@
     /** Memory of one copy. */
     public final class Region implements AutoCloseable {
         private final MappedByteBuffer memory;
-        private final long kb;
+        private final long sizeKb;
         private long touchedKb;
         private boolean closed;
 
-        private Region(MappedByteBuffer memory, long kb) {
+        private Region(MappedByteBuffer memory, long sizeKb) {
             this.memory = memory;
-            this.kb = kb;
+            this.sizeKb = sizeKb;
         }
 
         /** What a function gets: another buffer over the same memory. */
@@ -57,13 +57,13 @@
 
         /** Makes all pages resident; takes core time. */
         void touch() {
-            for (int from = 0; from < memory.capacity(); from += STEP) {
-                int to = Math.min(memory.capacity(), from + STEP);
-                for (int at = from; at < to; at += PAGE) {
-                    memory.put(at, (byte) 0); // a write, else the page stays the file's
+            for (int from = 0; from < memory.capacity(); from += TOUCH_STEP_BYTES) {
+                int to = Math.min(memory.capacity(), from + TOUCH_STEP_BYTES);
+                for (int offset = from; offset < to; offset += PAGE_BYTES) {
+                    memory.put(offset, (byte) 0); // a write, else the page stays the file's
                 }
-                touchedKb += (to - from) / KB;
-                residentKb.addAndGet((to - from) / KB);
+                touchedKb += (to - from) / BYTES_PER_KB;
+                residentKb.addAndGet((to - from) / BYTES_PER_KB);
             }
         }
 
@@ -74,20 +74,20 @@
                 closed = true;
                 unmap(memory);
                 residentKb.addAndGet(-touchedKb);
-                mappedKb.addAndGet(-kb);
+                mappedKb.addAndGet(-sizeKb);
             }
         }
     }
 
     /** Maps memory; nothing of it is resident yet. */
-    public Region map(long kb) throws IOException {
-        long bytes = kb * KB;
+    public Region map(long sizeKb) throws IOException {
+        long bytes = sizeKb * BYTES_PER_KB;
         MappedByteBuffer memory;
         synchronized (file) {
             memory = file.map(FileChannel.MapMode.PRIVATE, 0, bytes); // lengthens the file, without blocks on disk
         }
-        mappedKb.addAndGet(kb);
-        return new Region(memory, kb);
+        mappedKb.addAndGet(sizeKb);
+        return new Region(memory, sizeKb);
     }
 
     /** KiB that are resident now, to within the 64 KiB that each load may be at. */
@@ -108,14 +108,14 @@
     /** The JDK has no public call for this before its version 22; {@code jdk.unsupported} does. */
     private static void unmap(MappedByteBuffer memory) {
         try {
-            CLEAN.invoke(UNSAFE, memory);
+            INVOKE_CLEANER.invoke(UNSAFE, memory);
         } catch (IllegalAccessException | InvocationTargetException e) {
             throw new IllegalStateException("can't unmap", e);
         }
     }
 
     private static final Object UNSAFE;
-    private static final Method CLEAN;
+    private static final Method INVOKE_CLEANER;
 
     static {
         try {
@@ -123,7 +123,7 @@
             Field instance = unsafe.getDeclaredField("theUnsafe");
             instance.setAccessible(true);
             UNSAFE = instance.get(null);
-            CLEAN = unsafe.getMethod("invokeCleaner", ByteBuffer.class);
+            INVOKE_CLEANER = unsafe.getMethod("invokeCleaner", ByteBuffer.class);
         } catch (ReflectiveOperationException e) {
             throw new ExceptionInInitializerError(e);
         }
--- a/worker/src/main/java/wharfhinge/worker/image/ImageCache.java
+++ b/worker/src/main/java/wharfhinge/worker/image/ImageCache.java
@@ -23,121 +23,121 @@
  * thread; each function's files are written by one at a time, which {@link Images} sees to.
  */
 public final class ImageCache {
-    private static final Pattern FILE = Pattern.compile("([A-Za-z0-9._-]{1,128})@([0-9a-f]{64})\\.(pkg|part)");
+    private static final Pattern FILE_NAME = Pattern.compile("([A-Za-z0-9._-]{1,128})@([0-9a-f]{64})\\.(pkg|part)");
 
     /** Opens a file for writing; tests put a disk that is full in its place. */
-    interface Writing {
-        OutputStream append(Path file) throws IOException;
+    interface FileOpener {
+        OutputStream openForAppend(Path file) throws IOException;
     }
 
-    private record Entry(Path path, long size, FileTime used) {}
+    private record Entry(Path path, long size, FileTime lastUsed) {}
 
     private final Path folder;
-    private final long mostBytes;
-    private final Writing writing;
+    private final long maxBytes;
+    private final FileOpener fileOpener;
 
     /** Uses a folder, which is made where it is missing. Files in it that are not images are left alone. */
-    public ImageCache(Path folder, long mostBytes) throws IOException {
+    public ImageCache(Path folder, long maxBytes) throws IOException {
         this(
                 folder,
-                mostBytes,
+                maxBytes,
                 file -> Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
     }
 
-    ImageCache(Path folder, long mostBytes, Writing writing) throws IOException {
+    ImageCache(Path folder, long maxBytes, FileOpener fileOpener) throws IOException {
         this.folder = Files.createDirectories(folder);
-        this.mostBytes = mostBytes;
-        this.writing = writing;
-        trim(0);
+        this.maxBytes = maxBytes;
+        this.fileOpener = fileOpener;
+        evictFor(0);
     }
 
     /** The digest of the image of a function that was used last, or null. */
-    String newest(String function) throws IOException {
+    String newestDigest(String function) throws IOException {
         return list().stream()
                 .filter(e -> e.path.getFileName().toString().startsWith(function + '@')
                         && e.path.toString().endsWith(".pkg"))
-                .max(Comparator.comparing(Entry::used))
+                .max(Comparator.comparing(Entry::lastUsed))
                 .map(e -> digest(e.path))
                 .orElse(null);
     }
 
     private static String digest(Path path) {
-        Matcher m = FILE.matcher(path.getFileName().toString());
-        return m.matches() ? m.group(2) : null;
+        Matcher matcher = FILE_NAME.matcher(path.getFileName().toString());
+        return matcher.matches() ? matcher.group(2) : null;
     }
 
     /** A whole image; marks it used. After a step of the wall clock another image may be evicted first, and is fetched again. */
-    Path whole(String function, String sha256) throws IOException {
+    Path openImage(String function, String sha256) throws IOException {
         Path file = path(function, sha256, "pkg");
         Files.setLastModifiedTime(file, FileTime.fromMillis(System.currentTimeMillis()));
         return file;
     }
 
     /** How much of an image is there already. */
-    long partSize(String function, String sha256) throws IOException {
-        Path part = path(function, sha256, "part");
-        return Files.exists(part) ? Files.size(part) : 0;
+    long partialSize(String function, String sha256) throws IOException {
+        Path partial = path(function, sha256, "part");
+        return Files.exists(partial) ? Files.size(partial) : 0;
     }
 
     /** Takes more of an image, after what is there; makes room for the whole first. */
-    OutputStream append(String function, String sha256, long wholeSize) throws IOException {
-        if (wholeSize > mostBytes) {
-            throw new IOException("image of " + wholeSize + " bytes, the cache holds " + mostBytes);
+    OutputStream append(String function, String sha256, long totalSize) throws IOException {
+        if (totalSize > maxBytes) {
+            throw new IOException("image of " + totalSize + " bytes, the cache holds " + maxBytes);
         }
-        trim(wholeSize - partSize(function, sha256));
-        return writing.append(path(function, sha256, "part"));
+        evictFor(totalSize - partialSize(function, sha256));
+        return fileOpener.openForAppend(path(function, sha256, "part"));
     }
 
     /** What was fetched is not to be used. */
-    void dropPart(String function, String sha256) throws IOException {
+    void deletePartial(String function, String sha256) throws IOException {
         Files.deleteIfExists(path(function, sha256, "part"));
     }
 
     /** The part to be checked before {@link #complete}. */
-    Path part(String function, String sha256) {
+    Path partialFile(String function, String sha256) {
         return path(function, sha256, "part");
     }
 
     /** A part was found whole: forced to disk and renamed, and older images of the function are dropped. */
     void complete(String function, String sha256) throws IOException {
-        Path part = path(function, sha256, "part");
-        try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
+        Path partial = path(function, sha256, "part");
+        try (FileChannel channel = FileChannel.open(partial, StandardOpenOption.WRITE)) {
             channel.force(true);
         }
-        Files.move(part, path(function, sha256, "pkg"), StandardCopyOption.ATOMIC_MOVE);
-        for (Entry e : list()) {
-            boolean older =
-                    e.path.getFileName().toString().startsWith(function + '@') && !sha256.equals(digest(e.path));
-            if (older) {
-                Files.deleteIfExists(e.path);
+        Files.move(partial, path(function, sha256, "pkg"), StandardCopyOption.ATOMIC_MOVE);
+        for (Entry entry : list()) {
+            boolean isOlder = entry.path.getFileName().toString().startsWith(function + '@')
+                    && !sha256.equals(digest(entry.path));
+            if (isOlder) {
+                Files.deleteIfExists(entry.path);
             }
         }
     }
 
     /** An image was found damaged, or withdrawn. */
-    void drop(String function, String sha256) throws IOException {
+    void delete(String function, String sha256) throws IOException {
         Files.deleteIfExists(path(function, sha256, "pkg"));
     }
 
     /** Bytes on disk. */
-    public long bytes() throws IOException {
+    public long totalBytes() throws IOException {
         return list().stream().mapToLong(Entry::size).sum();
     }
 
-    private Path path(String function, String sha256, String kind) {
-        return folder.resolve(function + '@' + sha256 + '.' + kind);
+    private Path path(String function, String sha256, String extension) {
+        return folder.resolve(function + '@' + sha256 + '.' + extension);
     }
 
-    private synchronized void trim(long more) throws IOException {
+    private synchronized void evictFor(long neededBytes) throws IOException {
         List<Entry> entries = new ArrayList<>(list());
-        entries.sort(Comparator.comparing(Entry::used));
+        entries.sort(Comparator.comparing(Entry::lastUsed));
         long bytes = entries.stream().mapToLong(Entry::size).sum();
-        for (Entry e : entries) {
-            if (bytes + more <= mostBytes) {
+        for (Entry entry : entries) {
+            if (bytes + neededBytes <= maxBytes) {
                 return;
             }
-            Files.deleteIfExists(e.path);
-            bytes -= e.size;
+            Files.deleteIfExists(entry.path);
+            bytes -= entry.size;
         }
     }
 
@@ -145,7 +145,8 @@
         List<Entry> entries = new ArrayList<>();
         List<Path> files;
         try (Stream<Path> stream = Files.list(folder)) {
-            files = stream.filter(p -> FILE.matcher(p.getFileName().toString()).matches())
+            files = stream.filter(
+                            p -> FILE_NAME.matcher(p.getFileName().toString()).matches())
                     .collect(Collectors.toList());
         }
         for (Path file : files) {
--- a/worker/src/main/java/wharfhinge/worker/image/Images.java
+++ b/worker/src/main/java/wharfhinge/worker/image/Images.java
@@ -25,11 +25,11 @@
 public final class Images {
     private final ImageCache cache;
     private final StoreClient store;
-    private final List<PublicKey> trusted;
-    private final long fetchNanos;
+    private final List<PublicKey> trustedKeys;
+    private final long fetchTimeoutNanos;
     private final long freshNanos;
-    private final Map<String, CompletableFuture<Image>> underWay = new ConcurrentHashMap<>();
-    private final Map<String, Long> checkedAt = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<Image>> fetchesInProgress = new ConcurrentHashMap<>();
+    private final Map<String, Long> storeCheckedAt = new ConcurrentHashMap<>();
 
     /**
      * A checked package and what it took.
@@ -46,33 +46,34 @@
      * @param fetchNanos limit of a fetch with all its tries
      * @param freshNanos how long what is on disk is used without asking the store
      */
-    public Images(ImageCache cache, String storeUrl, List<PublicKey> trusted, long fetchNanos, long freshNanos) {
+    public Images(
+            ImageCache cache, String storeUrl, List<PublicKey> trustedKeys, long fetchTimeoutNanos, long freshNanos) {
         this.cache = cache;
         this.store = new StoreClient(storeUrl, cache);
-        this.trusted = List.copyOf(trusted);
-        this.fetchNanos = fetchNanos;
+        this.trustedKeys = List.copyOf(trustedKeys);
+        this.fetchTimeoutNanos = fetchTimeoutNanos;
         this.freshNanos = freshNanos;
     }
 
     /** Blocks until a function's package is there and checked. */
     public Image get(String function) throws LoadFailedException {
-        CompletableFuture<Image> mine = new CompletableFuture<>();
-        CompletableFuture<Image> first = underWay.putIfAbsent(function, mine);
-        if (first != null) {
-            return join(first);
+        CompletableFuture<Image> ownFetch = new CompletableFuture<>();
+        CompletableFuture<Image> otherFetch = fetchesInProgress.putIfAbsent(function, ownFetch);
+        if (otherFetch != null) {
+            return join(otherFetch);
         }
         try {
-            mine.complete(find(function));
+            ownFetch.complete(findImage(function));
         } catch (LoadFailedException e) {
-            mine.completeExceptionally(e);
+            ownFetch.completeExceptionally(e);
         } catch (IOException e) {
-            mine.completeExceptionally(new LoadFailedException(function + ": " + e.getMessage(), e));
+            ownFetch.completeExceptionally(new LoadFailedException(function + ": " + e.getMessage(), e));
         } catch (RuntimeException | Error e) {
-            mine.completeExceptionally(new LoadFailedException(function + ": " + e, e));
+            ownFetch.completeExceptionally(new LoadFailedException(function + ": " + e, e));
         } finally {
-            underWay.remove(function, mine);
+            fetchesInProgress.remove(function, ownFetch);
         }
-        return join(mine);
+        return join(ownFetch);
     }
 
     private static Image join(CompletableFuture<Image> future) throws LoadFailedException {
@@ -86,67 +87,69 @@
         }
     }
 
-    private Image find(String function) throws IOException, LoadFailedException {
-        String known = cache.newest(function);
-        Long checked = checkedAt.get(function);
-        boolean fresh = known != null && checked != null && System.nanoTime() - checked < freshNanos;
-        Image stands = null;
-        if (known != null) {
-            stands = onDisk(function, known);
-            if (fresh && stands != null) {
-                return stands;
+    private Image findImage(String function) throws IOException, LoadFailedException {
+        String knownDigest = cache.newestDigest(function);
+        Long checkedAt = storeCheckedAt.get(function);
+        boolean isFresh = knownDigest != null && checkedAt != null && System.nanoTime() - checkedAt < freshNanos;
+        Image diskImage = null;
+        if (knownDigest != null) {
+            diskImage = readFromDisk(function, knownDigest);
+            if (isFresh && diskImage != null) {
+                return diskImage;
             }
         }
-        long began = System.nanoTime();
+        long startedAt = System.nanoTime();
         try {
-            StoreClient.Result got = store.fetch(function, stands == null ? null : known, began + fetchNanos(stands));
-            long took = System.nanoTime() - began;
-            return switch (got.got()) {
-                case SAME -> {
-                    checkedAt.put(function, System.nanoTime());
-                    yield new Image(known, stands.contents, took, stands.verifyNanos);
+            StoreClient.Result result = store.fetch(
+                    function, diskImage == null ? null : knownDigest, startedAt + fetchTimeoutNanos(diskImage));
+            long elapsedNanos = System.nanoTime() - startedAt;
+            return switch (result.status()) {
+                case UNCHANGED -> {
+                    storeCheckedAt.put(function, System.nanoTime());
+                    yield new Image(knownDigest, diskImage.contents, elapsedNanos, diskImage.verifyNanos);
                 }
-                case NEW -> fetched(function, got.sha256(), took);
+                case NEW -> acceptFetched(function, result.sha256(), elapsedNanos);
                 case WITHDRAWN -> {
-                    if (known != null) {
-                        cache.drop(function, known);
+                    if (knownDigest != null) {
+                        cache.delete(function, knownDigest);
                     }
                     throw new LoadFailedException(function + ": the store has no such package", null);
                 }
             };
         } catch (IOException e) {
-            if (stands != null) {
-                return stands; // better what there was than nothing; the store is asked again next time
+            if (diskImage != null) {
+                return diskImage; // better what there was than nothing; the store is asked again next time
             }
             throw e;
         }
     }
 
     /** With an image at hand a store in trouble is not waited for as long. */
-    private long fetchNanos(Image stands) {
-        return stands == null ? fetchNanos : fetchNanos / 4;
+    private long fetchTimeoutNanos(Image diskImage) {
+        return diskImage == null ? fetchTimeoutNanos : fetchTimeoutNanos / 4;
     }
 
-    private Image onDisk(String function, String sha256) throws IOException {
-        long began = System.nanoTime();
+    private Image readFromDisk(String function, String sha256) throws IOException {
+        long startedAt = System.nanoTime();
         try {
-            PackageReader.Contents contents = check(cache.whole(function, sha256), sha256);
-            return new Image(sha256, contents, 0, System.nanoTime() - began);
+            PackageReader.Contents contents = check(cache.openImage(function, sha256), sha256);
+            return new Image(sha256, contents, 0, System.nanoTime() - startedAt);
         } catch (InvalidPackageException | IOException e) {
-            cache.drop(function, sha256); // damaged on disk, or of a publisher who is trusted no more
+            cache.delete(function, sha256); // damaged on disk, or of a publisher who is trusted no more
             return null;
         }
     }
 
-    private Image fetched(String function, String sha256, long took) throws IOException, LoadFailedException {
-        long began = System.nanoTime();
+    private Image acceptFetched(String function, String sha256, long elapsedNanos)
+            throws IOException, LoadFailedException {
+        long startedAt = System.nanoTime();
         try {
-            PackageReader.Contents contents = check(cache.part(function, sha256), sha256);
+            PackageReader.Contents contents = check(cache.partialFile(function, sha256), sha256);
             cache.complete(function, sha256);
-            checkedAt.put(function, System.nanoTime());
-            return new Image(sha256, contents, took, System.nanoTime() - began);
+            storeCheckedAt.put(function, System.nanoTime());
+            return new Image(sha256, contents, elapsedNanos, System.nanoTime() - startedAt);
         } catch (InvalidPackageException e) {
-            cache.dropPart(function, sha256);
+            cache.deletePartial(function, sha256);
             throw new LoadFailedException(function + ": package refused: " + e.getMessage(), e);
         }
     }
@@ -157,7 +160,7 @@
                 new DigestInputStream(new BufferedInputStream(Files.newInputStream(file), 64 << 10), digest)) {
             PackageReader.Contents contents;
             try {
-                contents = PackageReader.read(in, trusted);
+                contents = PackageReader.read(in, trustedKeys);
             } finally {
                 in.transferTo(java.io.OutputStream.nullOutputStream());
             }
--- a/worker/src/main/java/wharfhinge/worker/image/StoreClient.java
+++ b/worker/src/main/java/wharfhinge/worker/image/StoreClient.java
@@ -13,10 +13,10 @@
  * that sends a byte now and then.
  */
 final class StoreClient {
-    private static final int CONNECT_MS = 500;
-    private static final int READ_MS = 1000;
-    private static final int PAUSE_MS = 20;
-    private static final int PAUSE_MOST_MS = 500;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final int READ_TIMEOUT_MS = 1000;
+    private static final int INITIAL_BACKOFF_MS = 20;
+    private static final int MAX_BACKOFF_MS = 500;
     private static final Pattern TAG = Pattern.compile("\"([0-9a-f]{64})\"");
     private static final Pattern RANGE = Pattern.compile("bytes ([0-9]{1,15})-[0-9]{1,15}/([0-9]{1,15})");
 
@@ -29,20 +29,20 @@
     }
 
     /** What a fetch ended as. */
-    enum Got {
-        SAME,
+    enum Status {
+        UNCHANGED,
         NEW,
         WITHDRAWN
     }
 
     /** {@code sha256} is that of the image which is now to be checked (NEW) or stands (SAME). */
-    record Result(Got got, String sha256) {}
+    record Result(Status status, String sha256) {}
 
     /** The store turned a fetch away, or broke it. */
-    private static final class TryAgain extends IOException {
+    private static final class RetryableException extends IOException {
         private static final long serialVersionUID = 1;
 
-        TryAgain(String message) {
+        RetryableException(String message) {
             super(message);
         }
     }
@@ -53,23 +53,24 @@
      * @param known the digest of the image on disk, or null
      * @param endNanos on {@link System#nanoTime}
      */
-    Result fetch(String function, String known, long endNanos) throws IOException {
-        String[] tag = {null};
-        int pause = PAUSE_MS;
+    Result fetch(String function, String knownDigest, long deadlineNanos) throws IOException {
+        String[] partialDigest = {null};
+        int backoffMillis = INITIAL_BACKOFF_MS;
         while (true) {
-            long before = tag[0] == null ? 0 : cache.partSize(function, tag[0]);
+            long sizeBefore = partialDigest[0] == null ? 0 : cache.partialSize(function, partialDigest[0]);
             try {
-                return once(function, known, tag, endNanos);
+                return fetchOnce(function, knownDigest, partialDigest, deadlineNanos);
             } catch (DiskException e) {
                 throw e;
             } catch (IOException e) {
-                boolean progress = tag[0] != null && cache.partSize(function, tag[0]) > before;
-                pause = progress ? PAUSE_MS : Math.min(PAUSE_MOST_MS, pause * 2);
-                if (System.nanoTime() + pause * 1_000_000L >= endNanos) {
+                boolean hasProgress =
+                        partialDigest[0] != null && cache.partialSize(function, partialDigest[0]) > sizeBefore;
+                backoffMillis = hasProgress ? INITIAL_BACKOFF_MS : Math.min(MAX_BACKOFF_MS, backoffMillis * 2);
+                if (System.nanoTime() + backoffMillis * 1_000_000L >= deadlineNanos) {
                     throw e;
                 }
                 try {
-                    Thread.sleep(pause);
+                    Thread.sleep(backoffMillis);
                 } catch (InterruptedException interrupted) {
                     Thread.currentThread().interrupt();
                     throw e;
@@ -78,86 +79,93 @@
         }
     }
 
-    private Result once(String function, String known, String[] tag, long endNanos) throws IOException {
-        HttpURLConnection c = (HttpURLConnection)
+    private Result fetchOnce(String function, String knownDigest, String[] partialDigest, long deadlineNanos)
+            throws IOException {
+        HttpURLConnection connection = (HttpURLConnection)
                 URI.create(url + "/packages/" + function).toURL().openConnection();
-        c.setConnectTimeout(CONNECT_MS);
-        c.setReadTimeout(READ_MS);
-        c.setUseCaches(false);
-        c.setInstanceFollowRedirects(false);
-        long have = tag[0] == null ? 0 : cache.partSize(function, tag[0]);
-        if (have > 0) {
-            c.setRequestProperty("Range", "bytes=" + have + "-");
-            c.setRequestProperty("If-Range", '"' + tag[0] + '"');
-        }
-        if (known != null) {
-            c.setRequestProperty("If-None-Match", '"' + known + '"');
+        connection.setConnectTimeout(CONNECT_TIMEOUT_MS);
+        connection.setReadTimeout(READ_TIMEOUT_MS);
+        connection.setUseCaches(false);
+        connection.setInstanceFollowRedirects(false);
+        long partialBytes = partialDigest[0] == null ? 0 : cache.partialSize(function, partialDigest[0]);
+        if (partialBytes > 0) {
+            connection.setRequestProperty("Range", "bytes=" + partialBytes + "-");
+            connection.setRequestProperty("If-Range", '"' + partialDigest[0] + '"');
+        }
+        if (knownDigest != null) {
+            connection.setRequestProperty("If-None-Match", '"' + knownDigest + '"');
         }
         try {
-            return answer(function, known, c, tag, endNanos);
+            return handleResponse(function, knownDigest, connection, partialDigest, deadlineNanos);
         } finally {
-            InputStream error = c.getErrorStream();
+            InputStream error = connection.getErrorStream();
             if (error != null) {
                 error.close();
             }
         }
     }
 
-    private Result answer(String function, String known, HttpURLConnection c, String[] tag, long endNanos)
+    private Result handleResponse(
+            String function,
+            String knownDigest,
+            HttpURLConnection connection,
+            String[] partialDigest,
+            long deadlineNanos)
             throws IOException {
-        int status = c.getResponseCode();
-        if (status == 304 && known != null) {
-            return new Result(Got.SAME, known);
+        int status = connection.getResponseCode();
+        if (status == 304 && knownDigest != null) {
+            return new Result(Status.UNCHANGED, knownDigest);
         }
         if (status == 404) {
-            return new Result(Got.WITHDRAWN, null);
+            return new Result(Status.WITHDRAWN, null);
         }
-        if (status == 416 && tag[0] != null) {
-            cache.dropPart(function, tag[0]);
-            throw new TryAgain("store: range not satisfiable");
+        if (status == 416 && partialDigest[0] != null) {
+            cache.deletePartial(function, partialDigest[0]);
+            throw new RetryableException("store: range not satisfiable");
         }
         if (status != 200 && status != 206) {
-            throw new TryAgain("store: status " + status);
+            throw new RetryableException("store: status " + status);
         }
-        Matcher m = TAG.matcher(String.valueOf(c.getHeaderField("ETag")));
-        if (!m.matches()) {
-            throw new TryAgain("store: no entity tag of a SHA-256");
+        Matcher tagMatcher = TAG.matcher(String.valueOf(connection.getHeaderField("ETag")));
+        if (!tagMatcher.matches()) {
+            throw new RetryableException("store: no entity tag of a SHA-256");
         }
-        String sha = m.group(1);
-        long whole = c.getContentLengthLong();
+        String digest = tagMatcher.group(1);
+        long totalBytes = connection.getContentLengthLong();
         if (status == 206) {
-            Matcher range = RANGE.matcher(String.valueOf(c.getHeaderField("Content-Range")));
+            Matcher range = RANGE.matcher(String.valueOf(connection.getHeaderField("Content-Range")));
             if (!range.matches()
-                    || !sha.equals(tag[0])
-                    || Long.parseLong(range.group(1)) != cache.partSize(function, sha)) {
-                throw new TryAgain("store: another range than asked for");
+                    || !digest.equals(partialDigest[0])
+                    || Long.parseLong(range.group(1)) != cache.partialSize(function, digest)) {
+                throw new RetryableException("store: another range than asked for");
             }
-            whole = Long.parseLong(range.group(2));
-        } else if (!sha.equals(tag[0]) && cache.partSize(function, sha) > 0) {
-            tag[0] = sha; // left by an earlier process: ask again for the rest alone
-            throw new TryAgain("store: resumed");
+            totalBytes = Long.parseLong(range.group(2));
+        } else if (!digest.equals(partialDigest[0]) && cache.partialSize(function, digest) > 0) {
+            partialDigest[0] = digest; // left by an earlier process: ask again for the rest alone
+            throw new RetryableException("store: resumed");
         } else {
-            cache.dropPart(function, sha);
+            cache.deletePartial(function, digest);
         }
-        tag[0] = sha;
-        copy(function, sha, whole, c.getInputStream(), endNanos);
-        return new Result(Got.NEW, sha);
+        partialDigest[0] = digest;
+        download(function, digest, totalBytes, connection.getInputStream(), deadlineNanos);
+        return new Result(Status.NEW, digest);
     }
 
-    private void copy(String function, String sha, long whole, InputStream from, long endNanos) throws IOException {
-        byte[] part = new byte[64 << 10];
-        try (InputStream in = from;
-                OutputStream out = open(function, sha, whole)) {
-            for (int n = in.read(part); n >= 0; n = in.read(part)) {
-                write(out, part, n);
-                if (System.nanoTime() > endNanos) {
+    private void download(String function, String digest, long totalBytes, InputStream responseBody, long deadlineNanos)
+            throws IOException {
+        byte[] buffer = new byte[64 << 10];
+        try (InputStream in = responseBody;
+                OutputStream out = open(function, digest, totalBytes)) {
+            for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+                write(out, buffer, count);
+                if (System.nanoTime() > deadlineNanos) {
                     throw new IOException("fetch took too long");
                 }
             }
         }
-        long got = cache.partSize(function, sha);
-        if (got < whole) {
-            throw new TryAgain("store: broke off at " + got + " of " + whole);
+        long receivedBytes = cache.partialSize(function, digest);
+        if (receivedBytes < totalBytes) {
+            throw new RetryableException("store: broke off at " + receivedBytes + " of " + totalBytes);
         }
     }
 
@@ -170,17 +178,17 @@
         }
     }
 
-    private OutputStream open(String function, String sha, long whole) throws IOException {
+    private OutputStream open(String function, String digest, long totalBytes) throws IOException {
         try {
-            return cache.append(function, sha, whole);
+            return cache.append(function, digest, totalBytes);
         } catch (IOException e) {
             throw new DiskException(e);
         }
     }
 
-    private void write(OutputStream out, byte[] part, int n) throws IOException {
+    private void write(OutputStream out, byte[] buffer, int count) throws IOException {
         try {
-            out.write(part, 0, n);
+            out.write(buffer, 0, count);
         } catch (IOException e) {
             throw new DiskException(e);
         }
--- a/worker/src/main/java/wharfhinge/worker/pack/Keys.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/Keys.java
@@ -20,7 +20,7 @@
 /** Ed25519 keys of publishers, in PEM files, and signatures by them. Private keys are never shown or logged. */
 public final class Keys {
     private static final String ALGORITHM = "Ed25519";
-    private static final Base64.Encoder LINES = Base64.getMimeEncoder(64, new byte[] {'\n'});
+    private static final Base64.Encoder PEM_BASE64 = Base64.getMimeEncoder(64, new byte[] {'\n'});
 
     private Keys() {}
 
@@ -43,7 +43,7 @@
     public static PrivateKey privateKey(Path file) throws IOException {
         try {
             return KeyFactory.getInstance(ALGORITHM)
-                    .generatePrivate(new PKCS8EncodedKeySpec(body(file, "PRIVATE KEY")));
+                    .generatePrivate(new PKCS8EncodedKeySpec(pemBody(file, "PRIVATE KEY")));
         } catch (GeneralSecurityException e) {
             throw new IOException(file + ": no Ed25519 private key");
         }
@@ -52,22 +52,24 @@
     /** Reads a public key. @throws IOException where the file is none */
     public static PublicKey publicKey(Path file) throws IOException {
         try {
-            return KeyFactory.getInstance(ALGORITHM).generatePublic(new X509EncodedKeySpec(body(file, "PUBLIC KEY")));
+            return KeyFactory.getInstance(ALGORITHM)
+                    .generatePublic(new X509EncodedKeySpec(pemBody(file, "PUBLIC KEY")));
         } catch (GeneralSecurityException e) {
             throw new IOException(file + ": no Ed25519 public key");
         }
     }
 
-    private static String pem(String kind, byte[] encoded) {
-        return "-----BEGIN " + kind + "-----\n" + LINES.encodeToString(encoded) + "\n-----END " + kind + "-----\n";
+    private static String pem(String keyType, byte[] encoded) {
+        return "-----BEGIN " + keyType + "-----\n" + PEM_BASE64.encodeToString(encoded) + "\n-----END " + keyType
+                + "-----\n";
     }
 
-    private static byte[] body(Path file, String kind) throws IOException {
+    private static byte[] pemBody(Path file, String keyType) throws IOException {
         String text = Files.readString(file, StandardCharsets.US_ASCII).strip();
-        String begin = "-----BEGIN " + kind + "-----";
-        String end = "-----END " + kind + "-----";
+        String begin = "-----BEGIN " + keyType + "-----";
+        String end = "-----END " + keyType + "-----";
         if (!text.startsWith(begin) || !text.endsWith(end)) {
-            throw new IOException(file + ": no PEM file of a " + kind.toLowerCase(java.util.Locale.ROOT));
+            throw new IOException(file + ": no PEM file of a " + keyType.toLowerCase(java.util.Locale.ROOT));
         }
         try {
             return Base64.getMimeDecoder().decode(text.substring(begin.length(), text.length() - end.length()));
--- a/worker/src/main/java/wharfhinge/worker/pack/Manifest.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/Manifest.java
@@ -26,35 +26,36 @@
         String version,
         String entry,
         int memoryMb,
-        int lanes,
+        int slots,
         String effect,
         int callMillis,
         int startMillis,
-        Map<String, FileMark> files) {
+        Map<String, FileEntry> files) {
     /** Its file. */
     public static final String NAME = "manifest";
     /** Its first line: the format and its version. */
-    public static final String HEAD = "wharfhinge-package 1";
+    public static final String FORMAT_LINE = "wharfhinge-package 1";
     /** Its longest. */
-    public static final int MOST_BYTES = 256 << 10;
+    public static final int MAX_BYTES = 256 << 10;
     /** Most memory of a copy: what one mapping can hold. */
-    public static final int MOST_MEMORY_MB = 2047;
+    public static final int MAX_MEMORY_MB = 2047;
     /** Most lanes of a copy. */
-    public static final int MOST_LANES = 256;
+    public static final int MAX_SLOTS = 256;
     /** Most of all files together, unpacked. */
-    public static final long MOST_CONTENT = 256L << 20;
+    public static final long MAX_CONTENT_BYTES = 256L << 20;
     /** Most files. */
-    public static final int MOST_FILES = 2000;
+    public static final int MAX_FILES = 2000;
 
     private static final Pattern WORD = Pattern.compile("[A-Za-z0-9._-]{1,128}");
-    private static final Pattern CLASS = Pattern.compile("[A-Za-z_$][A-Za-z0-9_$]*(\\.[A-Za-z_$][A-Za-z0-9_$]*){0,30}");
+    private static final Pattern CLASS_NAME =
+            Pattern.compile("[A-Za-z_$][A-Za-z0-9_$]*(\\.[A-Za-z_$][A-Za-z0-9_$]*){0,30}");
     private static final Pattern EFFECT = Pattern.compile("idempotent|keyed|at-most-once");
-    private static final Pattern SHA = Pattern.compile("[0-9a-f]{64}");
+    private static final Pattern SHA256_HEX = Pattern.compile("[0-9a-f]{64}");
     private static final Pattern PATH = Pattern.compile("classes(/[A-Za-z0-9_$.-]{1,255}){1,32}");
-    private static final int MOST_MS = 3_600_000;
+    private static final int MAX_LIMIT_MS = 3_600_000;
 
     /** A file's digest, in hexadecimal, and its size unpacked. */
-    public record FileMark(String sha256, long size) {}
+    public record FileEntry(String sha256, long size) {}
 
     /**
      * Reads a manifest.
@@ -62,8 +63,8 @@
      * @throws InvalidPackageException names the line, what it held and what is allowed
      */
     public static Manifest parse(byte[] bytes) throws InvalidPackageException {
-        if (bytes.length > MOST_BYTES) {
-            throw new InvalidPackageException(NAME, "found " + bytes.length + " bytes, allowed: " + MOST_BYTES);
+        if (bytes.length > MAX_BYTES) {
+            throw new InvalidPackageException(NAME, "found " + bytes.length + " bytes, allowed: " + MAX_BYTES);
         }
         String text;
         try {
@@ -75,26 +76,27 @@
             throw new InvalidPackageException(NAME, "found bytes that are no UTF-8");
         }
         String[] lines = text.split("\n", -1);
-        if (!lines[0].equals(HEAD)) {
-            throw new InvalidPackageException(NAME + " line 1", "found '" + shown(lines[0]) + "', allowed: " + HEAD);
+        if (!lines[0].equals(FORMAT_LINE)) {
+            throw new InvalidPackageException(
+                    NAME + " line 1", "found '" + printable(lines[0]) + "', allowed: " + FORMAT_LINE);
         }
         Map<String, String> fields = new LinkedHashMap<>();
-        Map<String, FileMark> files = new TreeMap<>();
+        Map<String, FileEntry> files = new TreeMap<>();
         for (int i = 1; i < lines.length; i++) {
             if (i == lines.length - 1 && lines[i].isEmpty()) {
                 break;
             }
-            line("line " + (i + 1), lines[i], fields, files);
+            parseLine("line " + (i + 1), lines[i], fields, files);
         }
         Manifest manifest = new Manifest(
                 text(fields, "name", WORD),
                 text(fields, "version", WORD),
-                text(fields, "entry", CLASS),
-                number(fields, "memory-mb", MOST_MEMORY_MB),
-                number(fields, "lanes", MOST_LANES),
+                text(fields, "entry", CLASS_NAME),
+                number(fields, "memory-mb", MAX_MEMORY_MB),
+                number(fields, "lanes", MAX_SLOTS),
                 text(fields, "effect", EFFECT),
-                number(fields, "call-ms", MOST_MS),
-                number(fields, "start-ms", MOST_MS),
+                number(fields, "call-ms", MAX_LIMIT_MS),
+                number(fields, "start-ms", MAX_LIMIT_MS),
                 Collections.unmodifiableMap(files));
         if (!fields.isEmpty()) {
             throw new InvalidPackageException(NAME, "found unknown names " + fields.keySet());
@@ -106,11 +108,12 @@
         return manifest;
     }
 
-    private static void line(String place, String line, Map<String, String> fields, Map<String, FileMark> files)
+    private static void parseLine(String place, String line, Map<String, String> fields, Map<String, FileEntry> files)
             throws InvalidPackageException {
         int equals = line.indexOf('=');
         if (equals < 1) {
-            throw new InvalidPackageException(NAME + " " + place, "found '" + shown(line) + "', allowed: name=value");
+            throw new InvalidPackageException(
+                    NAME + " " + place, "found '" + printable(line) + "', allowed: name=value");
         }
         String name = line.substring(0, equals);
         String value = line.substring(equals + 1);
@@ -121,35 +124,36 @@
             return;
         }
         String[] parts = value.split(" ", 3);
-        boolean formed = parts.length == 3 && SHA.matcher(parts[0]).matches() && parts[1].matches("[0-9]{1,10}");
-        if (!formed) {
+        boolean isWellFormed =
+                parts.length == 3 && SHA256_HEX.matcher(parts[0]).matches() && parts[1].matches("[0-9]{1,10}");
+        if (!isWellFormed) {
             throw new InvalidPackageException(
                     NAME + " " + place,
-                    "found '" + shown(value) + "', allowed: SHA-256 in 64 hexadecimal digits, size, path");
+                    "found '" + printable(value) + "', allowed: SHA-256 in 64 hexadecimal digits, size, path");
         }
         checkPath(NAME + " " + place, parts[2]);
-        if (files.put(parts[2], new FileMark(parts[0], Long.parseLong(parts[1]))) != null) {
+        if (files.put(parts[2], new FileEntry(parts[0], Long.parseLong(parts[1]))) != null) {
             throw new InvalidPackageException(NAME + " " + place, parts[2] + " stands twice");
         }
-        long content = files.values().stream().mapToLong(FileMark::size).sum();
-        if (content > MOST_CONTENT || files.size() > MOST_FILES) {
+        long contentBytes = files.values().stream().mapToLong(FileEntry::size).sum();
+        if (contentBytes > MAX_CONTENT_BYTES || files.size() > MAX_FILES) {
             throw new InvalidPackageException(
                     NAME + " " + place,
-                    "found " + files.size() + " files of " + content + " bytes so far, allowed: " + MOST_FILES + " of "
-                            + MOST_CONTENT);
+                    "found " + files.size() + " files of " + contentBytes + " bytes so far, allowed: " + MAX_FILES
+                            + " of " + MAX_CONTENT_BYTES);
         }
     }
 
     /** A path must stay below {@code classes/} whatever reads it. */
     static void checkPath(String place, String path) throws InvalidPackageException {
-        boolean climbs = false;
+        boolean hasDotSegment = false;
         for (String part : path.split("/", -1)) {
-            climbs |= part.equals("..") || part.equals(".");
+            hasDotSegment |= part.equals("..") || part.equals(".");
         }
-        if (climbs || !PATH.matcher(path).matches()) {
+        if (hasDotSegment || !PATH.matcher(path).matches()) {
             throw new InvalidPackageException(
                     place,
-                    "found path '" + shown(path)
+                    "found path '" + printable(path)
                             + "', allowed: classes/ and names of letters, digits, '_', '$', '.', '-', that do not climb");
         }
     }
@@ -161,22 +165,22 @@
             throw new InvalidPackageException(NAME, name + " is missing");
         }
         if (value.length() > 512 || !allowed.matcher(value).matches()) {
-            throw new InvalidPackageException(NAME, name + ": found '" + shown(value) + "', allowed: " + allowed);
+            throw new InvalidPackageException(NAME, name + ": found '" + printable(value) + "', allowed: " + allowed);
         }
         return value;
     }
 
-    private static int number(Map<String, String> fields, String name, int most) throws InvalidPackageException {
+    private static int number(Map<String, String> fields, String name, int max) throws InvalidPackageException {
         String value = fields.remove(name);
         int number = value != null && value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : 0;
-        if (number < 1 || number > most) {
-            throw new InvalidPackageException(NAME, name + ": found '" + shown(value) + "', allowed: 1 to " + most);
+        if (number < 1 || number > max) {
+            throw new InvalidPackageException(NAME, name + ": found '" + printable(value) + "', allowed: 1 to " + max);
         }
         return number;
     }
 
     /** Hostile text is shown short and plain. */
-    private static String shown(String value) {
+    private static String printable(String value) {
         if (value == null) {
             return "nothing";
         }
@@ -186,7 +190,7 @@
 
     /** Writes it; {@link #parse} of that gives the same. */
     public byte[] format() {
-        StringBuilder text = new StringBuilder(HEAD).append('\n');
+        StringBuilder text = new StringBuilder(FORMAT_LINE).append('\n');
         text.append("name=")
                 .append(name)
                 .append("\nversion=")
@@ -196,7 +200,7 @@
                 .append("\nmemory-mb=")
                 .append(memoryMb)
                 .append("\nlanes=")
-                .append(lanes)
+                .append(slots)
                 .append("\neffect=")
                 .append(effect)
                 .append("\ncall-ms=")
@@ -204,10 +208,10 @@
                 .append("\nstart-ms=")
                 .append(startMillis)
                 .append('\n');
-        files.forEach((path, mark) -> text.append("file=")
-                .append(mark.sha256)
+        files.forEach((path, fileEntry) -> text.append("file=")
+                .append(fileEntry.sha256)
                 .append(' ')
-                .append(mark.size)
+                .append(fileEntry.size)
                 .append(' ')
                 .append(path)
                 .append('\n'));
--- a/worker/src/main/java/wharfhinge/worker/pack/PackageBuilder.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/PackageBuilder.java
@@ -16,7 +16,7 @@
 
 /** Builds packages: the same input gives the same bytes. */
 public final class PackageBuilder {
-    private static final long NO_TIME = 315_532_800_000L; // 1980: zips know no earlier
+    private static final long ENTRY_TIME_MILLIS = 315_532_800_000L; // 1980: zips know no earlier
 
     private PackageBuilder() {}
 
@@ -41,38 +41,38 @@
      * @return the manifest as it stands in the package
      * @throws InvalidPackageException where a worker would refuse it
      */
-    public static Manifest write(Manifest about, Map<String, byte[]> files, PrivateKey key, OutputStream out)
+    public static Manifest write(Manifest description, Map<String, byte[]> files, PrivateKey key, OutputStream out)
             throws IOException, InvalidPackageException {
-        Map<String, Manifest.FileMark> marks = new TreeMap<>();
-        files.forEach((path, bytes) -> marks.put(path, new Manifest.FileMark(Digests.of(bytes), bytes.length)));
+        Map<String, Manifest.FileEntry> entries = new TreeMap<>();
+        files.forEach((path, bytes) -> entries.put(path, new Manifest.FileEntry(Digests.of(bytes), bytes.length)));
         Manifest manifest = new Manifest(
-                about.name(),
-                about.version(),
-                about.entry(),
-                about.memoryMb(),
-                about.lanes(),
-                about.effect(),
-                about.callMillis(),
-                about.startMillis(),
-                marks);
-        byte[] head = manifest.format();
-        Manifest.parse(head);
+                description.name(),
+                description.version(),
+                description.entry(),
+                description.memoryMb(),
+                description.slots(),
+                description.effect(),
+                description.callMillis(),
+                description.startMillis(),
+                entries);
+        byte[] manifestBytes = manifest.format();
+        Manifest.parse(manifestBytes);
         ZipOutputStream zip = new ZipOutputStream(out, StandardCharsets.UTF_8);
-        put(zip, Manifest.NAME, head);
+        putEntry(zip, Manifest.NAME, manifestBytes);
         if (key != null) {
-            put(zip, PackageReader.SIGNATURE, Keys.sign(key, head));
+            putEntry(zip, PackageReader.SIGNATURE, Keys.sign(key, manifestBytes));
         }
-        for (String path : marks.keySet()) {
-            put(zip, path, files.get(path));
+        for (String path : entries.keySet()) {
+            putEntry(zip, path, files.get(path));
         }
         zip.finish();
         zip.flush();
         return manifest;
     }
 
-    private static void put(ZipOutputStream zip, String name, byte[] bytes) throws IOException {
+    private static void putEntry(ZipOutputStream zip, String name, byte[] bytes) throws IOException {
         ZipEntry entry = new ZipEntry(name);
-        entry.setTime(NO_TIME);
+        entry.setTime(ENTRY_TIME_MILLIS);
         zip.putNextEntry(entry);
         zip.write(bytes);
         zip.closeEntry();
--- a/worker/src/main/java/wharfhinge/worker/pack/PackageReader.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/PackageReader.java
@@ -35,42 +35,43 @@
      * @param trusted keys of which one must have signed it; empty asks for no signature
      * @throws InvalidPackageException names the entry and the reason
      */
-    public static Contents read(InputStream in, List<PublicKey> trusted) throws IOException, InvalidPackageException {
+    public static Contents read(InputStream in, List<PublicKey> trustedKeys)
+            throws IOException, InvalidPackageException {
         try {
-            return entries(new ZipInputStream(in), trusted);
+            return readEntries(new ZipInputStream(in), trustedKeys);
         } catch (ZipException | EOFException | IllegalArgumentException e) {
             throw new InvalidPackageException("zip", "broken: " + e.getMessage());
         }
     }
 
-    private static Contents entries(ZipInputStream zip, List<PublicKey> trusted)
+    private static Contents readEntries(ZipInputStream zip, List<PublicKey> trustedKeys)
             throws IOException, InvalidPackageException {
         ZipEntry first = zip.getNextEntry();
         if (first == null || !first.getName().equals(Manifest.NAME)) {
             throw new InvalidPackageException("zip", "found no " + Manifest.NAME + " as first entry");
         }
-        byte[] head = take(zip, Manifest.NAME, Manifest.MOST_BYTES);
-        Manifest manifest = Manifest.parse(head);
+        byte[] manifestBytes = readBounded(zip, Manifest.NAME, Manifest.MAX_BYTES);
+        Manifest manifest = Manifest.parse(manifestBytes);
         ZipEntry entry = zip.getNextEntry();
         byte[] signature = null;
         if (entry != null && entry.getName().equals(SIGNATURE)) {
-            signature = take(zip, SIGNATURE, SIGNATURE_BYTES);
+            signature = readBounded(zip, SIGNATURE, SIGNATURE_BYTES);
             entry = zip.getNextEntry();
         }
-        check(head, signature, trusted);
+        checkSignature(manifestBytes, signature, trustedKeys);
         Map<String, byte[]> files = new HashMap<>();
         for (; entry != null; entry = zip.getNextEntry()) {
             String path = entry.getName();
-            Manifest.FileMark mark = manifest.files().get(path);
-            if (mark == null || files.containsKey(path)) {
+            Manifest.FileEntry stated = manifest.files().get(path);
+            if (stated == null || files.containsKey(path)) {
                 Manifest.checkPath("zip", path);
-                throw new InvalidPackageException(path, mark == null ? "not in the manifest" : "stands twice");
+                throw new InvalidPackageException(path, stated == null ? "not in the manifest" : "stands twice");
             }
-            byte[] bytes = take(zip, path, mark.size());
-            if (bytes.length < mark.size()) {
-                throw new InvalidPackageException(path, "found " + bytes.length + " bytes, stated: " + mark.size());
+            byte[] bytes = readBounded(zip, path, stated.size());
+            if (bytes.length < stated.size()) {
+                throw new InvalidPackageException(path, "found " + bytes.length + " bytes, stated: " + stated.size());
             }
-            if (!Digests.of(bytes).equals(mark.sha256())) {
+            if (!Digests.of(bytes).equals(stated.sha256())) {
                 throw new InvalidPackageException(path, "wrong digest");
             }
             files.put(path, bytes);
@@ -83,26 +84,28 @@
         return new Contents(manifest, signature != null, Map.copyOf(files));
     }
 
-    private static void check(byte[] head, byte[] signature, List<PublicKey> trusted) throws InvalidPackageException {
-        if (trusted.isEmpty()) {
+    private static void checkSignature(byte[] manifestBytes, byte[] signature, List<PublicKey> trustedKeys)
+            throws InvalidPackageException {
+        if (trustedKeys.isEmpty()) {
             return;
         }
         if (signature == null) {
             throw new InvalidPackageException(SIGNATURE, "missing, and only signed packages are taken");
         }
-        if (trusted.stream().noneMatch(key -> Keys.verify(key, head, signature))) {
-            throw new InvalidPackageException(SIGNATURE, "by none of the " + trusted.size() + " trusted keys");
+        if (trustedKeys.stream().noneMatch(key -> Keys.verify(key, manifestBytes, signature))) {
+            throw new InvalidPackageException(SIGNATURE, "by none of the " + trustedKeys.size() + " trusted keys");
         }
     }
 
-    private static byte[] take(InputStream in, String place, long most) throws IOException, InvalidPackageException {
-        ByteArrayOutputStream out = new ByteArrayOutputStream((int) Math.min(most, 8192));
-        byte[] part = new byte[8192];
-        for (int n = in.read(part); n >= 0; n = in.read(part)) {
-            if (out.size() + n > most) {
-                throw new InvalidPackageException(place, "unpacks to more than " + most + " bytes");
+    private static byte[] readBounded(InputStream in, String place, long maxBytes)
+            throws IOException, InvalidPackageException {
+        ByteArrayOutputStream out = new ByteArrayOutputStream((int) Math.min(maxBytes, 8192));
+        byte[] buffer = new byte[8192];
+        for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+            if (out.size() + count > maxBytes) {
+                throw new InvalidPackageException(place, "unpacks to more than " + maxBytes + " bytes");
             }
-            out.write(part, 0, n);
+            out.write(buffer, 0, count);
         }
         return out.toByteArray();
     }
--- a/worker/src/main/java/wharfhinge/worker/store/ByteRange.java
+++ b/worker/src/main/java/wharfhinge/worker/store/ByteRange.java
@@ -10,38 +10,38 @@
     private static final String UNIT = "bytes=";
 
     /** The whole file, since the header is absent, of another unit, malformed or of several parts (RFC 9110, 14.2). */
-    public static final ByteRange WHOLE = new ByteRange(-1, -1);
+    public static final ByteRange WHOLE_FILE = new ByteRange(-1, -1);
     /** The header is well formed but lies behind the end of the file: status 416. */
-    public static final ByteRange BEYOND = new ByteRange(-2, -2);
+    public static final ByteRange UNSATISFIABLE = new ByteRange(-2, -2);
 
     /** Reads a header's value, which may be null, for a file of {@code size} bytes. */
     public static ByteRange parse(String header, long size) {
         if (header == null || !header.startsWith(UNIT)) {
-            return WHOLE;
+            return WHOLE_FILE;
         }
         String text = header.substring(UNIT.length()).strip();
         int dash = text.indexOf('-');
         if (dash < 0) {
-            return WHOLE;
+            return WHOLE_FILE;
         }
-        long from = number(text.substring(0, dash));
-        long to = number(text.substring(dash + 1));
+        long from = parseNumber(text.substring(0, dash));
+        long to = parseNumber(text.substring(dash + 1));
         if (from == MALFORMED || to == MALFORMED || from == ABSENT && to == ABSENT) {
-            return WHOLE;
+            return WHOLE_FILE;
         }
         if (from == ABSENT) { // the last so many
-            return to == 0 || size == 0 ? BEYOND : new ByteRange(Math.max(0, size - to), size - 1);
+            return to == 0 || size == 0 ? UNSATISFIABLE : new ByteRange(Math.max(0, size - to), size - 1);
         }
         if (to != ABSENT && to < from) {
-            return WHOLE;
+            return WHOLE_FILE;
         }
-        return from >= size ? BEYOND : new ByteRange(from, to == ABSENT ? size - 1 : Math.min(to, size - 1));
+        return from >= size ? UNSATISFIABLE : new ByteRange(from, to == ABSENT ? size - 1 : Math.min(to, size - 1));
     }
 
     private static final long ABSENT = -1;
     private static final long MALFORMED = -2;
 
-    private static long number(String digits) {
+    private static long parseNumber(String digits) {
         if (digits.isEmpty()) {
             return ABSENT;
         }
--- a/worker/src/main/java/wharfhinge/worker/store/Store.java
+++ b/worker/src/main/java/wharfhinge/worker/store/Store.java
@@ -48,29 +48,29 @@
     public static final String PATH = "/packages/";
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_-][A-Za-z0-9._-]{0,127}");
-    private static final int IDLE_S = 30;
-    private static final int TAGS = 1024;
+    private static final int IDLE_TIMEOUT_S = 30;
+    private static final int MAX_CACHED_TAGS = 1024;
 
-    private record Tag(long size, long modified, String sha256) {}
+    private record EntityTag(long size, long modified, String sha256) {}
 
     private final Path folder;
-    private final int most;
-    private final AtomicInteger inHand = new AtomicInteger();
-    private final Channel listening;
-    private final Map<Path, Tag> tags = new LinkedHashMap<>(16, 0.75f, true) {
+    private final int maxFetches;
+    private final AtomicInteger fetchesInProgress = new AtomicInteger();
+    private final Channel listenChannel;
+    private final Map<Path, EntityTag> tags = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Path, Tag> eldest) {
-            return size() > TAGS;
+        protected boolean removeEldestEntry(Map.Entry<Path, EntityTag> eldest) {
+            return size() > MAX_CACHED_TAGS;
         }
     };
 
     /** Listens on loopback; port 0 takes any. {@code group} stays the caller's. */
-    public Store(EventLoopGroup group, int port, Path folder, int most) {
+    public Store(EventLoopGroup group, int port, Path folder, int maxFetches) {
         this.folder = folder;
-        this.most = most;
-        this.listening = new ServerBootstrap()
+        this.maxFetches = maxFetches;
+        this.listenChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -80,10 +80,10 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new IdleStateHandler(0, 0, IDLE_S),
+                                        new IdleStateHandler(0, 0, IDLE_TIMEOUT_S),
                                         new HttpServerCodec(),
                                         new HttpObjectAggregator(1024),
-                                        new Fetches());
+                                        new FetchHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
@@ -93,18 +93,18 @@
 
     /** Where it listens. */
     public int port() {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) listenChannel.localAddress()).getPort();
     }
 
     @Override
     public void close() {
-        listening.close().syncUninterruptibly();
+        listenChannel.close().syncUninterruptibly();
     }
 
     /** A file's digest; computed once for each state of it. */
     private String sha256(Path file, long size, long modified) throws IOException {
         synchronized (tags) {
-            Tag known = tags.get(file);
+            EntityTag known = tags.get(file);
             if (known != null && known.size == size && known.modified == modified) {
                 return known.sha256;
             }
@@ -115,89 +115,95 @@
         }
         String hex = Digests.hex(digest.digest());
         synchronized (tags) {
-            tags.put(file, new Tag(size, modified, hex));
+            tags.put(file, new EntityTag(size, modified, hex));
         }
         return hex;
     }
 
-    private final class Fetches extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private boolean counted;
+    private final class FetchHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private boolean isInProgress;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) throws IOException {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) throws IOException {
             String name = request.uri().startsWith(PATH) ? request.uri().substring(PATH.length()) : "";
             Path file = folder.resolve(name + ".pkg");
-            boolean read =
+            boolean isRead =
                     request.method().equals(HttpMethod.GET) || request.method().equals(HttpMethod.HEAD);
-            if (!read) {
-                empty(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, null);
+            if (!isRead) {
+                writeEmpty(context, HttpResponseStatus.METHOD_NOT_ALLOWED, null);
             } else if (!NAME.matcher(name).matches() || !Files.isRegularFile(file)) {
-                empty(ctx, HttpResponseStatus.NOT_FOUND, null);
-            } else if (inHand.incrementAndGet() > most) {
-                inHand.decrementAndGet();
-                DefaultFullHttpResponse away = response(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                away.headers().setInt(HttpHeaderNames.RETRY_AFTER, 1);
-                ctx.writeAndFlush(away);
+                writeEmpty(context, HttpResponseStatus.NOT_FOUND, null);
+            } else if (fetchesInProgress.incrementAndGet() > maxFetches) {
+                fetchesInProgress.decrementAndGet();
+                DefaultFullHttpResponse rejection = emptyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+                rejection.headers().setInt(HttpHeaderNames.RETRY_AFTER, 1);
+                context.writeAndFlush(rejection);
             } else {
-                counted = true;
-                serve(ctx, request, file.toFile());
+                isInProgress = true;
+                serve(context, request, file.toFile());
             }
         }
 
-        private void serve(ChannelHandlerContext ctx, FullHttpRequest request, File file) throws IOException {
+        private void serve(ChannelHandlerContext context, FullHttpRequest request, File file) throws IOException {
             String tag = '"' + sha256(file.toPath(), file.length(), file.lastModified()) + '"';
             String known = request.headers().get(HttpHeaderNames.IF_NONE_MATCH);
             if (known != null && (known.equals("*") || known.contains(tag))) {
-                over();
-                empty(ctx, HttpResponseStatus.NOT_MODIFIED, tag);
+                fetchEnded();
+                writeEmpty(context, HttpResponseStatus.NOT_MODIFIED, tag);
                 return;
             }
             long size = file.length();
             String condition = request.headers().get(HttpHeaderNames.IF_RANGE);
-            boolean same = condition == null || condition.equals(tag);
-            ByteRange range =
-                    same ? ByteRange.parse(request.headers().get(HttpHeaderNames.RANGE), size) : ByteRange.WHOLE;
-            if (range == ByteRange.BEYOND) {
-                over();
-                DefaultFullHttpResponse beyond = response(HttpResponseStatus.REQUESTED_RANGE_NOT_SATISFIABLE);
-                beyond.headers()
+            boolean isSameVersion = condition == null || condition.equals(tag);
+            ByteRange range = isSameVersion
+                    ? ByteRange.parse(request.headers().get(HttpHeaderNames.RANGE), size)
+                    : ByteRange.WHOLE_FILE;
+            if (range == ByteRange.UNSATISFIABLE) {
+                fetchEnded();
+                DefaultFullHttpResponse unsatisfiable =
+                        emptyResponse(HttpResponseStatus.REQUESTED_RANGE_NOT_SATISFIABLE);
+                unsatisfiable
+                        .headers()
                         .set(HttpHeaderNames.CONTENT_RANGE, "bytes */" + size)
                         .set(HttpHeaderNames.ETAG, tag);
-                ctx.writeAndFlush(beyond);
+                context.writeAndFlush(unsatisfiable);
                 return;
             }
-            boolean part = range != ByteRange.WHOLE;
-            long from = part ? range.from() : 0;
-            long length = part ? range.length() : size;
-            HttpResponse head = new DefaultHttpResponse(
-                    HttpVersion.HTTP_1_1, part ? HttpResponseStatus.PARTIAL_CONTENT : HttpResponseStatus.OK);
-            head.headers()
+            boolean isPartial = range != ByteRange.WHOLE_FILE;
+            long from = isPartial ? range.from() : 0;
+            long length = isPartial ? range.length() : size;
+            HttpResponse responseHead = new DefaultHttpResponse(
+                    HttpVersion.HTTP_1_1, isPartial ? HttpResponseStatus.PARTIAL_CONTENT : HttpResponseStatus.OK);
+            responseHead
+                    .headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, length)
                     .set(HttpHeaderNames.ETAG, tag)
                     .set(HttpHeaderNames.ACCEPT_RANGES, "bytes");
-            if (part) {
-                head.headers().set(HttpHeaderNames.CONTENT_RANGE, "bytes " + from + '-' + range.to() + '/' + size);
+            if (isPartial) {
+                responseHead
+                        .headers()
+                        .set(HttpHeaderNames.CONTENT_RANGE, "bytes " + from + '-' + range.to() + '/' + size);
             }
-            ctx.write(head);
+            context.write(responseHead);
             if (!request.method().equals(HttpMethod.HEAD) && length > 0) {
-                ctx.write(new DefaultFileRegion(file, from, length));
+                context.write(new DefaultFileRegion(file, from, length));
             }
-            ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
-                over();
+            context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
+                fetchEnded();
                 if (!done.isSuccess()) {
-                    ctx.close();
+                    context.close();
                 }
             });
         }
 
-        private void over() {
-            if (counted) {
-                counted = false;
-                inHand.decrementAndGet();
+        private void fetchEnded() {
+            if (isInProgress) {
+                isInProgress = false;
+                fetchesInProgress.decrementAndGet();
             }
         }
 
-        private DefaultFullHttpResponse response(HttpResponseStatus status) {
+        private DefaultFullHttpResponse emptyResponse(HttpResponseStatus status) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status);
             if (!status.equals(HttpResponseStatus.NOT_MODIFIED)) {
                 response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
@@ -205,29 +211,29 @@
             return response;
         }
 
-        private void empty(ChannelHandlerContext ctx, HttpResponseStatus status, String tag) {
-            DefaultFullHttpResponse response = response(status);
+        private void writeEmpty(ChannelHandlerContext context, HttpResponseStatus status, String tag) {
+            DefaultFullHttpResponse response = emptyResponse(status);
             if (tag != null) {
                 response.headers().set(HttpHeaderNames.ETAG, tag);
             }
-            ctx.writeAndFlush(response);
+            context.writeAndFlush(response);
         }
 
         @Override
-        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+        public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof IdleStateEvent) {
-                ctx.close(); // also one that takes nothing of what it asked for
+                context.close(); // also one that takes nothing of what it asked for
             }
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            over();
+        public void channelInactive(ChannelHandlerContext context) {
+            fetchEnded();
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.writeAndFlush(response(HttpResponseStatus.INTERNAL_SERVER_ERROR))
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.writeAndFlush(emptyResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR))
                     .addListener(ChannelFutureListener.CLOSE);
         }
     }
--- a/worker/src/test/java/wharfhinge/worker/Packages.java
+++ b/worker/src/test/java/wharfhinge/worker/Packages.java
@@ -27,22 +27,22 @@
     }
 
     /** What a package says. */
-    public static Manifest about(Class<?> entry, int memoryMb, int lanes, int callMillis, int startMillis) {
+    public static Manifest manifest(Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis) {
         return new Manifest(
-                "test", "1", entry.getName(), memoryMb, lanes, "idempotent", callMillis, startMillis, Map.of());
+                "test", "1", entry.getName(), memoryMb, slots, "idempotent", callMillis, startMillis, Map.of());
     }
 
     /** A package, whole. */
-    public static byte[] of(Class<?> entry, int memoryMb, int lanes, int callMillis, int startMillis, PrivateKey key)
+    public static byte[] bytes(Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis, PrivateKey key)
             throws IOException, InvalidPackageException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        write(entry, memoryMb, lanes, callMillis, startMillis, key, out);
+        write(entry, memoryMb, slots, callMillis, startMillis, key, out);
         return out.toByteArray();
     }
 
     static void write(
-            Class<?> entry, int memoryMb, int lanes, int callMillis, int startMillis, PrivateKey key, OutputStream out)
+            Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis, PrivateKey key, OutputStream out)
             throws IOException, InvalidPackageException {
-        PackageBuilder.write(about(entry, memoryMb, lanes, callMillis, startMillis), files(entry), key, out);
+        PackageBuilder.write(manifest(entry, memoryMb, slots, callMillis, startMillis), files(entry), key, out);
     }
 }
--- a/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
+++ b/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
@@ -21,7 +21,7 @@
                 throw new AssertionError("written, it reads otherwise");
             }
         } catch (InvalidPackageException e) {
-            shown(e);
+            assertMessageIsShort(e);
         }
     }
 
@@ -30,7 +30,7 @@
         try {
             PackageReader.read(new ByteArrayInputStream(bytes), List.of());
         } catch (InvalidPackageException e) {
-            shown(e);
+            assertMessageIsShort(e);
         }
     }
 
@@ -41,13 +41,15 @@
         if (range.from() >= 0 && (range.to() >= size || range.length() < 1)) {
             throw new AssertionError(range + " of " + size);
         }
-        WorkerCall head = WorkerCall.of(name -> data.consumeString(40));
-        if (head.waitMillis() < 1 || head.hint().memoryKb() < 0 || head.id().contains("\t")) {
-            throw new AssertionError(head.toString());
+        WorkerCall call = WorkerCall.of(name -> data.consumeString(40));
+        if (call.waitMillis() < 1
+                || call.memoryEstimate().memoryKb() < 0
+                || call.id().contains("\t")) {
+            throw new AssertionError(call.toString());
         }
     }
 
-    private static void shown(InvalidPackageException e) {
+    private static void assertMessageIsShort(InvalidPackageException e) {
         if (e.getMessage().length() > 1000) {
             throw new AssertionError("a message of " + e.getMessage().length());
         }
--- a/worker/src/test/java/wharfhinge/worker/ProcessMemoryTest.java
+++ b/worker/src/test/java/wharfhinge/worker/ProcessMemoryTest.java
@@ -9,7 +9,7 @@
 class ProcessMemoryTest {
 
     @Test
-    void beyondCopiesAndWhatTheProcessMayHoldIsLeaked() {
+    void leakedKb_isWhatExceedsCopiesAndTheOwnMemoryOfTheProcess() {
         assertEquals(0, ProcessMemory.leakedKb(300, 100, 100, 100, 200));
         assertEquals(50, ProcessMemory.leakedKb(350, 100, 100, 100, 200), "resident, whoever holds it");
         assertEquals(40, ProcessMemory.leakedKb(100, 140, 100, 100, 200), "mapped, and in no book");
@@ -17,7 +17,7 @@
     }
 
     @Test
-    void thisProcessHoldsSomething() {
+    void residentKb_ofThisProcess_isMeasured() {
         assertTrue(new ProcessMemory().residentKb() > 1000);
         assertEquals(0, new ProcessMemory().mappedKb());
     }
--- a/worker/src/test/java/wharfhinge/worker/TestFunctions.java
+++ b/worker/src/test/java/wharfhinge/worker/TestFunctions.java
@@ -11,13 +11,13 @@
     private TestFunctions() {}
 
     /** Does what its input says. */
-    public static final class Obedient implements Function {
+    public static final class Scripted implements Function {
         private static int calls; // of this copy alone, for its classes are its own
         private CopyContext context;
 
         @Override
-        public void start(CopyContext given) {
-            context = given;
+        public void start(CopyContext initialContext) {
+            context = initialContext;
             context.memory().put(0, (byte) 1);
         }
 
@@ -25,7 +25,7 @@
         public byte[] call(Invocation call) throws Exception {
             String input = new String(call.input(), StandardCharsets.UTF_8);
             int number;
-            synchronized (Obedient.class) {
+            synchronized (Scripted.class) {
                 number = ++calls;
             }
             switch (input) {
@@ -33,11 +33,11 @@
                 case "exit" -> System.exit(3);
                 case "halt" -> Runtime.getRuntime().halt(3);
                 case "memory" -> {
-                    long[][] all = new long[1 << 20][];
-                    for (int i = 0; i < all.length; i++) {
-                        all[i] = new long[Integer.MAX_VALUE - 8];
+                    long[][] arrays = new long[1 << 20][];
+                    for (int i = 0; i < arrays.length; i++) {
+                        arrays[i] = new long[Integer.MAX_VALUE - 8];
                     }
-                    return new byte[all.length];
+                    return new byte[arrays.length];
                 }
                 case "spin" -> {
                     while (!Boolean.getBoolean("test.spin.end")) {
--- a/worker/src/test/java/wharfhinge/worker/TestGateway.java
+++ b/worker/src/test/java/wharfhinge/worker/TestGateway.java
@@ -15,24 +15,25 @@
     private final H2Caller caller;
 
     /** What came back. */
-    record Answer(int status, String outcome, String note, String count, String report, String boot, String body) {}
+    record Answer(
+            int status, String outcome, String note, String count, String report, String incarnation, String body) {}
 
     /** A request under way. */
-    record Open(H2Caller.Open under) {
+    record Open(H2Caller.Open exchange) {
         Answer get() throws Exception {
-            H2Caller.Answer a = under.answer().get(20, TimeUnit.SECONDS);
+            H2Caller.Answer answer = exchange.answer().get(20, TimeUnit.SECONDS);
             return new Answer(
-                    a.status(),
-                    a.headers().get("wh-outcome"),
-                    a.headers().get("wh-note"),
-                    a.headers().get("wh-count"),
-                    a.headers().get("wh-report"),
-                    a.headers().get("wh-boot"),
-                    new String(a.body(), StandardCharsets.UTF_8));
+                    answer.status(),
+                    answer.headers().get("wh-outcome"),
+                    answer.headers().get("wh-note"),
+                    answer.headers().get("wh-count"),
+                    answer.headers().get("wh-report"),
+                    answer.headers().get("wh-boot"),
+                    new String(answer.body(), StandardCharsets.UTF_8));
         }
 
         void reset() {
-            under.reset();
+            exchange.reset();
         }
     }
 
@@ -41,7 +42,7 @@
     }
 
     /** Whether the worker said GOAWAY within some seconds. */
-    boolean toldToGo() throws Exception {
+    boolean receivedGoAway() throws Exception {
         caller.goAway().get(5, TimeUnit.SECONDS);
         return true;
     }
@@ -50,19 +51,19 @@
         return send(HttpMethod.POST, "/call/" + function, input, headers);
     }
 
-    Open hold(String function, int count, String... headers) {
+    Open orderCopies(String function, int count, String... headers) {
         return send(HttpMethod.PUT, "/copies/" + function + "?count=" + count, "", headers);
     }
 
-    Map<String, Long> books() throws Exception {
-        Map<String, Long> books = new LinkedHashMap<>();
+    Map<String, Long> memoryStatus() throws Exception {
+        Map<String, Long> figures = new LinkedHashMap<>();
         send(HttpMethod.GET, "/memory", "")
                 .get()
                 .body
                 .lines()
-                .map(l -> l.split(" "))
-                .forEach(f -> books.put(f[0], Long.parseLong(f[1])));
-        return books;
+                .map(line -> line.split(" "))
+                .forEach(pair -> figures.put(pair[0], Long.parseLong(pair[1])));
+        return figures;
     }
 
     Open send(HttpMethod method, String path, String body, String... headers) {
--- a/worker/src/test/java/wharfhinge/worker/WorkerCallTest.java
+++ b/worker/src/test/java/wharfhinge/worker/WorkerCallTest.java
@@ -8,7 +8,7 @@
 /** What headers tell, and what they must not. */
 class WorkerCallTest {
 
-    private static WorkerCall of(String... headers) {
+    private static WorkerCall parse(String... headers) {
         Map<String, String> map = new java.util.HashMap<>();
         for (int i = 0; i < headers.length; i += 2) {
             map.put(headers[i], headers[i + 1]);
@@ -17,23 +17,24 @@
     }
 
     @Test
-    void aDeadlineUnderAMillisecondIsOne() { // found by the fuzzer: it counted as over before the call came
-        assertEquals(1, of("wh-deadline-ms", "0.5").waitMillis());
+    void deadlineBelowOneMillisecond_isRoundedUpToOne() { // found by the fuzzer: it counted as over before the call
+        // came
+        assertEquals(1, parse("wh-deadline-ms", "0.5").waitMillis());
     }
 
     @Test
-    void untoldAndWrongFiguresAreAdviceNotTaken() {
+    void missingOrInvalidNumbers_areIgnored() {
         for (String wrong : new String[] {"", "x", "-1", "NaN", "1e99", "Infinity"}) {
-            WorkerCall head =
-                    of("wh-deadline-ms", wrong, "wh-memory-mb", wrong, "wh-lanes", wrong, "wh-cost-us", wrong);
-            assertEquals(3_600_000, head.waitMillis(), wrong);
-            assertEquals(0, head.hint().memoryKb(), wrong);
+            WorkerCall headers =
+                    parse("wh-deadline-ms", wrong, "wh-memory-mb", wrong, "wh-lanes", wrong, "wh-cost-us", wrong);
+            assertEquals(3_600_000, headers.waitMillis(), wrong);
+            assertEquals(0, headers.memoryEstimate().memoryKb(), wrong);
         }
     }
 
     @Test
-    void namesCantForgeLinesOfTheEventLog() {
-        assertEquals("a?recv", of("wh-call", "a\trecv").id());
-        assertEquals("-", of().id());
+    void controlCharactersInHeaders_cannotForgeEventLogLines() {
+        assertEquals("a?recv", parse("wh-call", "a\trecv").id());
+        assertEquals("-", parse().id());
     }
 }
--- a/worker/src/test/java/wharfhinge/worker/WorkerSocketTest.java
+++ b/worker/src/test/java/wharfhinge/worker/WorkerSocketTest.java
@@ -26,7 +26,7 @@
 /** A worker over its socket: real packages from a real store into real memory, and what goes wrong with them. */
 @Timeout(60)
 class WorkerSocketTest {
-    private static final int MB = 1024;
+    private static final int KB_PER_MB = 1024;
 
     @TempDir
     private Path folder;
@@ -37,31 +37,32 @@
     private TestGateway gateway;
 
     @BeforeEach
-    void begin() throws Exception {
+    void setUp() throws Exception {
         for (String flag :
                 List.of("test.spin.end", "test.start.end", "test.leave.thread", "test.thread.end", "test.cooperated")) {
             System.clearProperty(flag);
         }
         Files.createDirectories(folder.resolve("packages"));
-        publish("f", TestFunctions.Obedient.class, 8, 2, 5000, 5000);
-        publish("quick", TestFunctions.Obedient.class, 8, 1, 100, 5000);
+        publish("f", TestFunctions.Scripted.class, 8, 2, 5000, 5000);
+        publish("quick", TestFunctions.Scripted.class, 8, 1, 100, 5000);
         publish("hangs", TestFunctions.HangsAtStart.class, 8, 1, 5000, 100);
         publish("fails", TestFunctions.FailsAtStart.class, 8, 1, 5000, 5000);
         store = new Store(group, 0, folder.resolve("packages"), 16);
-        start("");
+        startWorker("");
     }
 
-    private void publish(String name, Class<?> entry, int memoryMb, int lanes, int callMillis, int startMillis)
+    private void publish(String name, Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis)
             throws Exception {
         try (OutputStream out = Files.newOutputStream(folder.resolve("packages/" + name + ".pkg"))) {
-            Packages.write(entry, memoryMb, lanes, callMillis, startMillis, null, out);
+            Packages.write(entry, memoryMb, slots, callMillis, startMillis, null, out);
         }
     }
 
-    private void start(String calls) throws Exception {
+    private void startWorker(String callsAttributes) throws Exception {
         String xml = "<worker xmlns='urn:wharfhinge:worker:1' name='w'><listen port='"
                 + (server == null ? 0 : server.port()) + "'/>"
-                + "<memory copies-mb='42' own-mb='4000' usual-copy-mb='8'/><calls queue='2500' " + calls + "/>"
+                + "<memory copies-mb='42' own-mb='4000' usual-copy-mb='8'/><calls queue='2500' " + callsAttributes
+                + "/>"
                 + "<loads at-once='2' fetch-ms='2000' stop-ms='50'/><store url='http://127.0.0.1:" + store.port()
                 + "'/>"
                 + "<images folder='images'/><reports refresh-ms='20'/><drain within-ms='5000'/></worker>";
@@ -70,7 +71,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void tearDown() throws Exception {
         for (String flag : List.of("test.spin.end", "test.start.end", "test.thread.end")) {
             System.setProperty(flag, "true");
         }
@@ -80,30 +81,32 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS);
     }
 
-    private void await(String what, java.util.concurrent.Callable<Boolean> holds) throws Exception {
-        long end = System.nanoTime() + 10_000_000_000L;
-        while (!holds.call()) {
-            assertTrue(System.nanoTime() < end, "not within 10 s: " + what + ", books " + gateway.books());
+    private void await(String condition, java.util.concurrent.Callable<Boolean> isMet) throws Exception {
+        long deadlineNanos = System.nanoTime() + 10_000_000_000L;
+        while (!isMet.call()) {
+            assertTrue(
+                    System.nanoTime() < deadlineNanos,
+                    "not within 10 s: " + condition + ", books " + gateway.memoryStatus());
             Thread.sleep(2);
         }
     }
 
     @Test
-    void aCallLoadsItsPackageAndTheNextFindsIt() throws Exception {
+    void call_loadsItsPackage_nextCallFindsTheCopy() throws Exception {
         TestGateway.Answer first = gateway.call("f", "hi").get();
         assertEquals("served began", first.outcome() + " " + first.note());
-        assertEquals("hi 1 " + 8 * MB * MB, first.body(), "the memory is the package's");
+        assertEquals("hi 1 " + 8 * KB_PER_MB * KB_PER_MB, first.body(), "the memory is the package's");
         TestGateway.Answer second = gateway.call("f", "hi").get();
         assertEquals(
                 "served found hi 2",
                 second.outcome() + " " + second.note() + " " + second.body().substring(0, 4));
-        assertEquals(8 * MB, gateway.books().get("resident_kb"));
-        assertEquals(8 * MB, gateway.books().get("idle_kb"));
-        assertEquals(server.boot(), second.boot());
+        assertEquals(8 * KB_PER_MB, gateway.memoryStatus().get("resident_kb"));
+        assertEquals(8 * KB_PER_MB, gateway.memoryStatus().get("idle_kb"));
+        assertEquals(server.incarnation(), second.incarnation());
     }
 
     @Test
-    void copiesThatThrowExitOrRunOutOfMemoryLeaveTheOthersAlone() throws Exception {
+    void copyThatThrowsExitsOrRunsOutOfMemory_doesNotAffectOtherCopies() throws Exception {
         assertEquals("error", gateway.call("f", "throw").get().outcome());
         assertEquals("hi 2", gateway.call("f", "hi").get().body().substring(0, 4), "an exception is the call's own");
         for (String end : List.of("exit", "halt", "memory")) {
@@ -112,98 +115,100 @@
             assertEquals(
                     "served hi 1", after.outcome() + " " + after.body().substring(0, 4), "a fresh copy after " + end);
         }
-        await("the former copies' memory is free", () -> gateway.books().get("resident_kb") == 8L * MB);
+        await("the former copies' memory is free", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
     }
 
     @Test
-    void aCallThatSpinsIsGivenUpAndItsMemoryStaysCounted() throws Exception {
+    void callThatSpins_isGivenUpAndItsMemoryStaysAccountedFor() throws Exception {
         assertEquals("error", gateway.call("quick", "spin").get().outcome());
-        await("its memory is counted as stuck", () -> gateway.books().get("stuck_kb") == 8L * MB);
+        await("its memory is counted as stuck", () -> gateway.memoryStatus().get("stuck_kb") == 8L * KB_PER_MB);
         assertEquals("served", gateway.call("quick", "hi").get().outcome());
         await(
                 "it shows in the report",
                 () -> gateway.send(HttpMethod.GET, "/probe", "").get().report().contains("x0:0.19"));
         System.setProperty("test.spin.end", "true");
-        await("its thread came back", () -> gateway.books().get("stuck_kb") == 0L);
-        await("and its memory", () -> gateway.books().get("resident_kb") == 8L * MB);
+        await("its thread came back", () -> gateway.memoryStatus().get("stuck_kb") == 0L);
+        await("and its memory", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
     }
 
     @Test
-    void aPackageWhoseStartHangsIsCountedUntilItEnds() throws Exception {
+    void copyWhoseStartHangs_isAccountedForUntilItsThreadEnds() throws Exception {
         TestGateway.Answer answer = gateway.call("hangs", "hi").get();
         assertEquals("miss load-failed", answer.outcome() + " " + answer.note());
-        assertEquals(8L * MB, gateway.books().get("stuck_kb"));
+        assertEquals(8L * KB_PER_MB, gateway.memoryStatus().get("stuck_kb"));
         assertEquals("served", gateway.call("f", "hi").get().outcome(), "the load lanes are free again");
         System.setProperty("test.start.end", "true");
-        await("it was given back", () -> gateway.books().get("stuck_kb") == 0L);
+        await("it was given back", () -> gateway.memoryStatus().get("stuck_kb") == 0L);
     }
 
     @Test
-    void aLoadThatFailsHalfwayIsGivenBackOrCounted() throws Exception {
+    void failedLoad_releasesItsMemoryOrKeepsItAccountedFor() throws Exception {
         assertEquals("load-failed", gateway.call("fails", "hi").get().note());
-        assertEquals(0L, gateway.books().get("resident_kb"));
+        assertEquals(0L, gateway.memoryStatus().get("resident_kb"));
         System.setProperty("test.leave.thread", "true");
         assertEquals("load-failed", gateway.call("fails", "hi").get().note());
-        assertEquals(8L * MB, gateway.books().get("stuck_kb"), "a thread still writes to it");
-        assertEquals(8L * MB, gateway.books().get("resident_kb"));
+        assertEquals(8L * KB_PER_MB, gateway.memoryStatus().get("stuck_kb"), "a thread still writes to it");
+        assertEquals(8L * KB_PER_MB, gateway.memoryStatus().get("resident_kb"));
         System.setProperty("test.thread.end", "true");
-        await("it was given back", () -> gateway.books().get("resident_kb") == 0L);
-        assertEquals(42L * MB, gateway.books().get("free_kb"));
+        await("it was given back", () -> gateway.memoryStatus().get("resident_kb") == 0L);
+        assertEquals(42L * KB_PER_MB, gateway.memoryStatus().get("free_kb"));
     }
 
     @Test
-    void anOrderForSixteenWhereFiveFitIsFullWithFive() throws Exception {
-        TestGateway.Answer answer = gateway.hold("f", 16).get();
+    void orderForMoreCopiesThanFit_isFullWithTheCopiesThatFit() throws Exception {
+        TestGateway.Answer answer = gateway.orderCopies("f", 16).get();
         assertEquals("full 5", answer.outcome() + " " + answer.count());
-        assertEquals(5L * 8 * MB, gateway.books().get("resident_kb"));
+        assertEquals(5L * 8 * KB_PER_MB, gateway.memoryStatus().get("resident_kb"));
         assertEquals(
                 "served 5",
-                gateway.hold("f", 0).get().outcome() + " "
-                        + gateway.hold("f", 0).get().count());
+                gateway.orderCopies("f", 0).get().outcome() + " "
+                        + gateway.orderCopies("f", 0).get().count());
         assertEquals(204, gateway.send(HttpMethod.DELETE, "/copies/f", "").get().status());
-        await("all were unloaded", () -> gateway.books().get("resident_kb") == 0L);
+        await("all were unloaded", () -> gateway.memoryStatus().get("resident_kb") == 0L);
     }
 
     @Test
-    void unloadingLeavesTheCopyThatAnswers() throws Exception {
-        gateway.hold("quick", 2).get();
+    void unload_leavesCopyThatRunsACall() throws Exception {
+        gateway.orderCopies("quick", 2).get();
         TestGateway.Open busy = gateway.call("quick", "cooperate");
-        await("it runs", () -> gateway.books().get("working_kb") == 8L * MB);
+        await("it runs", () -> gateway.memoryStatus().get("working_kb") == 8L * KB_PER_MB);
         gateway.send(HttpMethod.DELETE, "/copies/quick", "").get();
-        await("the idle one is gone", () -> gateway.books().get("resident_kb") == 8L * MB);
+        await("the idle one is gone", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
         assertEquals("error", busy.get().outcome(), "it went on to its limit");
     }
 
     @Test
-    void aCancelledCallThatCooperatesEnds() throws Exception {
+    void cancelledCallThatCooperates_ends() throws Exception {
         TestGateway.Open call = gateway.call("f", "cooperate", "wh-call", "c7");
-        await("it runs", () -> gateway.books().get("working_kb") > 0);
+        await("it runs", () -> gateway.memoryStatus().get("working_kb") > 0);
         call.reset();
         await("it was told", () -> "c7".equals(System.getProperty("test.cooperated")));
-        await("its lane is free", () -> gateway.books().get("calls_held") == 0L);
+        await("its lane is free", () -> gateway.memoryStatus().get("calls_held") == 0L);
     }
 
     @Test
-    void twoThousandCallsCancelledAtOnce() throws Exception {
+    void twoThousandCallsCancelledTogether_areAllReleased() throws Exception {
         List<TestGateway.Open> calls = new ArrayList<>();
         for (int i = 0; i < 2000; i++) {
             calls.add(gateway.call("f", "sleep"));
         }
-        await("they are held", () -> gateway.books().get("calls_held") > 1500);
+        await("they are held", () -> gateway.memoryStatus().get("calls_held") > 1500);
         calls.forEach(TestGateway.Open::reset);
-        await("all are gone", () -> gateway.books().get("calls_held") == 0L);
+        await("all are gone", () -> gateway.memoryStatus().get("calls_held") == 0L);
         assertEquals("served", gateway.call("f", "hi").get().outcome());
     }
 
     @Test
-    void aDrainWithAFullQueueAnswersAllAndSaysSo() throws Exception {
+    void drainWithQueuedCalls_answersAllAndSendsGoAway() throws Exception {
         List<TestGateway.Open> calls = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             calls.add(gateway.call("f", "hi"));
         }
         await(
                 "they are held",
-                () -> gateway.books().get("calls_held") + gateway.books().get("loads_done") > 0);
+                () -> gateway.memoryStatus().get("calls_held")
+                                + gateway.memoryStatus().get("loads_done")
+                        > 0);
         Thread drain = new Thread(() -> {
             try {
                 server.drain();
@@ -212,7 +217,7 @@
             }
         });
         drain.start();
-        assertTrue(gateway.toldToGo(), "no GOAWAY");
+        assertTrue(gateway.receivedGoAway(), "no GOAWAY");
         int served = 0;
         for (TestGateway.Open call : calls) {
             served += call.get().outcome().equals("served") ? 1 : 0;
@@ -222,46 +227,46 @@
     }
 
     @Test
-    void whatWasMeantForTheFormerProcessIsNotTaken() throws Exception {
-        String former = server.boot();
-        gateway.call("f", "hi", "wh-boot", former).get();
+    void requestsForThePreviousIncarnation_areRejected() throws Exception {
+        String previous = server.incarnation();
+        gateway.call("f", "hi", "wh-boot", previous).get();
         gateway.close();
         server.close();
-        start(""); // the same address
-        assertNotEquals(former, server.boot());
-        TestGateway.Answer call = gateway.call("f", "hi", "wh-boot", former).get();
+        startWorker(""); // the same address
+        assertNotEquals(previous, server.incarnation());
+        TestGateway.Answer call = gateway.call("f", "hi", "wh-boot", previous).get();
         assertEquals("full", call.outcome());
         assertEquals(
                 "full 0",
-                gateway.hold("f", 1, "wh-boot", former).get().outcome() + " "
-                        + gateway.hold("f", 1, "wh-boot", former).get().count());
-        assertEquals(0L, gateway.books().get("copies"));
+                gateway.orderCopies("f", 1, "wh-boot", previous).get().outcome() + " "
+                        + gateway.orderCopies("f", 1, "wh-boot", previous).get().count());
+        assertEquals(0L, gateway.memoryStatus().get("copies"));
         store.close(); // and its images are still there
         assertEquals(
                 "served",
-                gateway.call("f", "hi", "wh-boot", server.boot()).get().outcome());
+                gateway.call("f", "hi", "wh-boot", server.incarnation()).get().outcome());
     }
 
     @Test
-    void missesAndOrdersWhereCallsDoNotLoad() throws Exception {
+    void workerThatDoesNotLoadOnCalls_answersMissAndLoadsOnOrders() throws Exception {
         gateway.close();
         server.close();
-        start("not-loaded='miss' further-copies='order'");
+        startWorker("not-loaded='miss' further-copies='order'");
         assertEquals("miss", gateway.call("f", "hi").get().outcome());
         assertEquals(
                 "served 1",
-                gateway.hold("f", 1).get().outcome() + " "
-                        + gateway.hold("f", 1).get().count());
+                gateway.orderCopies("f", 1).get().outcome() + " "
+                        + gateway.orderCopies("f", 1).get().count());
         assertEquals("found", gateway.call("f", "hi").get().note());
         assertEquals(
                 "error 0",
-                gateway.hold("nothing", 1).get().outcome() + " "
-                        + gateway.hold("nothing", 1).get().count());
+                gateway.orderCopies("nothing", 1).get().outcome() + " "
+                        + gateway.orderCopies("nothing", 1).get().count());
     }
 
     @Test
-    void badRequestsNameTheirPlace() throws Exception {
-        assertEquals(400, gateway.hold("f", 17).get().status());
+    void invalidRequests_areAnsweredWithTheReason() throws Exception {
+        assertEquals(400, gateway.orderCopies("f", 17).get().status());
         assertTrue(gateway.call("f%20g", "").get().body().contains("allowed: 1 to 128"));
         assertEquals(400, gateway.send(HttpMethod.GET, "/nothing", "").get().status());
         assertEquals(
--- a/worker/src/test/java/wharfhinge/worker/copy/CallSlotLincheckTest.java
+++ b/worker/src/test/java/wharfhinge/worker/copy/CallSlotLincheckTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void modelChecked() {
+    void operationsInEveryOrder_areLinearizable() {
         new ModelCheckingOptions()
                 .iterations(20)
                 .invocationsPerIteration(500)
--- a/worker/src/test/java/wharfhinge/worker/image/ImagesTest.java
+++ b/worker/src/test/java/wharfhinge/worker/image/ImagesTest.java
@@ -34,35 +34,35 @@
 /** Fetches from a store that is scripted a byte at a time, and a disk that fails. */
 @Timeout(60)
 class ImagesTest {
-    private static final long S = 1_000_000_000L;
+    private static final long NANOS_PER_S = 1_000_000_000L;
 
     @TempDir
     private Path folder;
 
-    private byte[] pkg;
-    private String sha;
-    private Script store;
+    private byte[] packageBytes;
+    private String digest;
+    private ScriptedStore store;
     private Images images;
 
     /** A store that breaks off each answer after so many bytes, or answers a status. */
-    private static final class Script implements AutoCloseable {
-        private final ServerSocket listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        private final List<String> asked = Collections.synchronizedList(new ArrayList<>());
+    private static final class ScriptedStore implements AutoCloseable {
+        private final ServerSocket listenSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        private final List<String> requests = Collections.synchronizedList(new ArrayList<>());
         private volatile byte[] file;
         private volatile String tag;
         private volatile int status = 200;
-        private volatile int cutAfter = Integer.MAX_VALUE;
+        private volatile int maxBytesPerResponse = Integer.MAX_VALUE;
         private volatile long delayMillis;
 
-        Script() throws IOException {
+        ScriptedStore() throws IOException {
             Thread thread = new Thread(this::serve, "script");
             thread.setDaemon(true);
             thread.start();
         }
 
         private void serve() {
-            while (!listening.isClosed()) {
-                try (Socket socket = listening.accept()) {
+            while (!listenSocket.isClosed()) {
+                try (Socket socket = listenSocket.accept()) {
                     answer(socket);
                 } catch (IOException | InterruptedException e) {
                     continue;
@@ -74,14 +74,14 @@
             InputStream in = socket.getInputStream();
             ByteArrayOutputStream head = new ByteArrayOutputStream();
             while (!head.toString(StandardCharsets.US_ASCII).endsWith("\r\n\r\n")) {
-                int b = in.read();
-                if (b < 0) {
+                int next = in.read();
+                if (next < 0) {
                     return;
                 }
-                head.write(b);
+                head.write(next);
             }
             String request = head.toString(StandardCharsets.US_ASCII);
-            asked.add(request);
+            requests.add(request);
             Thread.sleep(delayMillis);
             OutputStream out = socket.getOutputStream();
             if (status != 200) {
@@ -105,78 +105,82 @@
                             + "\r\nETag: \"" + tag + "\"\r\nContent-Length: " + (file.length - from)
                             + "\r\nConnection: close\r\n\r\n")
                     .getBytes());
-            out.write(file, from, Math.min(cutAfter, file.length - from));
+            out.write(file, from, Math.min(maxBytesPerResponse, file.length - from));
         }
 
         @Override
         public void close() throws IOException {
-            listening.close();
+            listenSocket.close();
         }
     }
 
     @BeforeEach
-    void begin() throws Exception {
-        byte[] noise = new byte[20_000];
-        new Random(1).nextBytes(noise);
+    void setUp() throws Exception {
+        byte[] randomBytes = new byte[20_000];
+        new Random(1).nextBytes(randomBytes);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         PackageBuilder.write(
                 new Manifest("n", "1", "a.B", 8, 1, "keyed", 10, 10, Map.of()),
-                Map.of("classes/a/B.class", noise),
+                Map.of("classes/a/B.class", randomBytes),
                 null,
                 out);
-        pkg = out.toByteArray();
-        sha = Digests.of(pkg);
-        store = new Script();
-        store.file = pkg;
-        store.tag = sha;
+        packageBytes = out.toByteArray();
+        digest = Digests.of(packageBytes);
+        store = new ScriptedStore();
+        store.file = packageBytes;
+        store.tag = digest;
         images = images(new ImageCache(folder, 1 << 20), 0);
     }
 
     private Images images(ImageCache cache, long freshNanos) {
-        return new Images(cache, "http://127.0.0.1:" + store.listening.getLocalPort(), List.of(), 2 * S, freshNanos);
+        return new Images(
+                cache, "http://127.0.0.1:" + store.listenSocket.getLocalPort(), List.of(), 2 * NANOS_PER_S, freshNanos);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void tearDown() throws IOException {
         store.close();
     }
 
-    private List<String> disk() throws IOException {
+    private List<String> filesInCache() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.map(p -> p.getFileName().toString()).sorted().toList();
         }
     }
 
     @Test
-    void aFetchCutAtEachTenthGoesOnWhereItBroke() throws Exception {
-        store.cutAfter = pkg.length / 10 + 1;
-        assertEquals(sha, images.get("f").sha256());
-        assertEquals(10, store.asked.size(), "each byte came once");
-        assertEquals(List.of("f@" + sha + ".pkg"), disk());
+    void interruptedFetch_resumesWhereItBrokeOff() throws Exception {
+        store.maxBytesPerResponse = packageBytes.length / 10 + 1;
+        assertEquals(digest, images.get("f").sha256());
+        assertEquals(10, store.requests.size(), "each byte came once");
+        assertEquals(List.of("f@" + digest + ".pkg"), filesInCache());
     }
 
     @Test
-    void aFetchBrokenByTheEndOfTheProcessGoesOnInTheNext() throws Exception {
-        Files.write(folder.resolve("f@" + sha + ".part"), java.util.Arrays.copyOf(pkg, pkg.length / 2));
-        assertEquals(sha, images(new ImageCache(folder, 1 << 20), 0).get("f").sha256());
-        assertTrue(store.asked.get(store.asked.size() - 1).contains("Range: bytes=" + pkg.length / 2));
+    void fetchInterruptedByProcessEnd_resumesInTheNextProcess() throws Exception {
+        Files.write(
+                folder.resolve("f@" + digest + ".part"),
+                java.util.Arrays.copyOf(packageBytes, packageBytes.length / 2));
+        assertEquals(digest, images(new ImageCache(folder, 1 << 20), 0).get("f").sha256());
+        assertTrue(store.requests.get(store.requests.size() - 1).contains("Range: bytes=" + packageBytes.length / 2));
     }
 
     @Test
-    void aHalfWrittenOrDamagedImageIsNeverUsed() throws Exception {
-        byte[] damaged = pkg.clone();
+    void damagedImage_isNeverUsed() throws Exception {
+        byte[] damaged = packageBytes.clone();
         damaged[damaged.length / 2] ^= 1;
-        Files.write(folder.resolve("f@" + sha + ".pkg"), damaged);
-        assertEquals(sha, images.get("f").sha256());
-        assertEquals(Digests.of(Files.readAllBytes(folder.resolve("f@" + sha + ".pkg"))), sha, "it was fetched anew");
+        Files.write(folder.resolve("f@" + digest + ".pkg"), damaged);
+        assertEquals(digest, images.get("f").sha256());
+        assertEquals(
+                Digests.of(Files.readAllBytes(folder.resolve("f@" + digest + ".pkg"))), digest, "it was fetched anew");
         store.status = 503;
-        Files.write(folder.resolve("f@" + sha + ".pkg"), damaged);
+        Files.write(folder.resolve("f@" + digest + ".pkg"), damaged);
         assertThrows(LoadFailedException.class, () -> images.get("f"));
-        assertEquals(List.of(), disk());
+        assertEquals(List.of(), filesInCache());
     }
 
     @Test
-    void whatIsOnDiskIsAskedForWithAConditionAndServesWhereTheStoreDoesNot() throws Exception {
+    void imageOnDisk_isRevalidatedAndUsedWhileTheStoreFails() throws Exception {
         images.get("f");
         assertEquals(
                 0,
@@ -187,36 +191,38 @@
                                 .files()
                                 .size()
                         - 1);
-        assertTrue(store.asked.get(1).contains("If-None-Match: \"" + sha));
+        assertTrue(store.requests.get(1).contains("If-None-Match: \"" + digest));
         store.status = 503;
-        assertEquals(sha, images.get("f").sha256());
+        assertEquals(digest, images.get("f").sha256());
         store.close();
-        assertEquals(sha, images.get("f").sha256());
-        int asked = store.asked.size();
-        Images fresh = images(new ImageCache(folder, 1 << 20), S * 60);
+        assertEquals(digest, images.get("f").sha256());
+        int requestCount = store.requests.size();
+        Images fresh = images(new ImageCache(folder, 1 << 20), NANOS_PER_S * 60);
         fresh.get("f");
         fresh.get("f");
-        assertEquals(asked, store.asked.size());
+        assertEquals(requestCount, store.requests.size());
     }
 
     @Test
-    void aWithdrawnPackageIsNotUsedFromDisk() throws Exception {
+    void withdrawnPackage_isNotUsedFromDisk() throws Exception {
         images.get("f");
         store.status = 404;
         assertThrows(LoadFailedException.class, () -> images.get("f"));
-        assertEquals(List.of(), disk());
+        assertEquals(List.of(), filesInCache());
     }
 
     @Test
-    void twoThatWantOneFunctionShareOneFetch() throws Exception {
+    void concurrentRequestsForOneFunction_shareOneFetch() throws Exception {
         store.delayMillis = 300;
-        CompletableFuture<String> one = get("f");
-        CompletableFuture<String> two = get("f");
-        assertEquals(sha, one.get(20, TimeUnit.SECONDS));
-        assertEquals(sha, two.get(20, TimeUnit.SECONDS));
+        CompletableFuture<String> firstResult = get("f");
+        CompletableFuture<String> secondResult = get("f");
+        assertEquals(digest, firstResult.get(20, TimeUnit.SECONDS));
+        assertEquals(digest, secondResult.get(20, TimeUnit.SECONDS));
         assertEquals(
                 1,
-                store.asked.stream().filter(a -> !a.contains("If-None-Match")).count());
+                store.requests.stream()
+                        .filter(request -> !request.contains("If-None-Match"))
+                        .count());
     }
 
     private CompletableFuture<String> get(String function) {
@@ -232,21 +238,21 @@
     }
 
     @Test
-    void aFullDiskFailsTheLoadAndLeavesTheOthers() throws Exception {
+    void fullDisk_failsTheLoadAndKeepsOtherImages() throws Exception {
         images.get("other");
-        boolean[] full = {true};
+        boolean[] isFull = {true};
         ImageCache cache = new ImageCache(folder, 1 << 20, file -> new OutputStream() {
             private final OutputStream out = Files.newOutputStream(
                     file, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND);
 
             @Override
-            public void write(int b) throws IOException {
+            public void write(int value) throws IOException {
                 throw new IOException("not used");
             }
 
             @Override
             public void write(byte[] bytes, int from, int length) throws IOException {
-                if (full[0]) {
+                if (isFull[0]) {
                     throw new IOException("No space left on device");
                 }
                 out.write(bytes, from, length);
@@ -257,39 +263,39 @@
                 out.close();
             }
         });
-        Images onFull = images(cache, 0);
-        String message =
-                assertThrows(LoadFailedException.class, () -> onFull.get("f")).getMessage();
+        Images imagesOnFullDisk = images(cache, 0);
+        String message = assertThrows(LoadFailedException.class, () -> imagesOnFullDisk.get("f"))
+                .getMessage();
         assertTrue(message.contains("No space left"), message);
-        assertTrue(disk().contains("other@" + sha + ".pkg"));
-        full[0] = false;
-        assertEquals(sha, onFull.get("f").sha256());
+        assertTrue(filesInCache().contains("other@" + digest + ".pkg"));
+        isFull[0] = false;
+        assertEquals(digest, imagesOnFullDisk.get("f").sha256());
     }
 
     @Test
-    void theCacheIsBoundedAndThoseUsedLongestAgoGo() throws Exception {
-        ImageCache small = new ImageCache(folder, pkg.length * 2L + 100);
-        Images bounded = images(small, S * 60);
+    void fullCache_evictsLeastRecentlyUsedImages() throws Exception {
+        ImageCache small = new ImageCache(folder, packageBytes.length * 2L + 100);
+        Images bounded = images(small, NANOS_PER_S * 60);
         bounded.get("a");
         Thread.sleep(20); // file times are the order
         bounded.get("b");
         Thread.sleep(20);
         bounded.get("a");
         bounded.get("c");
-        assertTrue(small.bytes() <= pkg.length * 2L + 100);
-        assertEquals(List.of("a@" + sha + ".pkg", "c@" + sha + ".pkg"), disk());
-        Images none = images(new ImageCache(folder.resolve("tiny"), 100), 0);
-        assertTrue(assertThrows(LoadFailedException.class, () -> none.get("a"))
+        assertTrue(small.totalBytes() <= packageBytes.length * 2L + 100);
+        assertEquals(List.of("a@" + digest + ".pkg", "c@" + digest + ".pkg"), filesInCache());
+        Images tooSmall = images(new ImageCache(folder.resolve("tiny"), 100), 0);
+        assertTrue(assertThrows(LoadFailedException.class, () -> tooSmall.get("a"))
                 .getMessage()
                 .contains("the cache holds 100"));
     }
 
     @Test
-    void whatIsNotWhatItsTagSaysIsRefusedAndNotKept() throws Exception {
+    void packageThatDiffersFromItsEntityTag_isRejectedAndDeleted() throws Exception {
         store.tag = "0".repeat(64);
         String message =
                 assertThrows(LoadFailedException.class, () -> images.get("f")).getMessage();
         assertTrue(message.contains("entity tag"), message);
-        assertEquals(List.of(), disk());
+        assertEquals(List.of(), filesInCache());
     }
 }
--- a/worker/src/test/java/wharfhinge/worker/pack/PackageTest.java
+++ b/worker/src/test/java/wharfhinge/worker/pack/PackageTest.java
@@ -22,7 +22,7 @@
 
 /** Packages, whole and broken. */
 class PackageTest {
-    private static final Manifest ABOUT = new Manifest("n", "1", "a.B", 8, 1, "keyed", 10, 10, Map.of());
+    private static final Manifest DESCRIPTION = new Manifest("n", "1", "a.B", 8, 1, "keyed", 10, 10, Map.of());
     private static final Map<String, byte[]> FILES =
             Map.of("classes/a/B.class", new byte[] {1, 2, 3}, "classes/c", new byte[5000]);
 
@@ -41,19 +41,19 @@
     }
 
     private static byte[] manifest(String... files) {
-        StringBuilder text = new StringBuilder(Manifest.HEAD + "\nname=n\nversion=1\nentry=a.B\nmemory-mb=8\nlanes=1\n"
-                + "effect=keyed\ncall-ms=10\nstart-ms=10\n");
+        StringBuilder text = new StringBuilder(Manifest.FORMAT_LINE
+                + "\nname=n\nversion=1\nentry=a.B\nmemory-mb=8\nlanes=1\n" + "effect=keyed\ncall-ms=10\nstart-ms=10\n");
         for (String file : files) {
             text.append("file=").append(file).append('\n');
         }
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    private static String mark(byte[] bytes, String path) {
+    private static String fileLine(byte[] bytes, String path) {
         return Digests.of(bytes) + " " + bytes.length + " " + path;
     }
 
-    private static String refused(byte[] bytes, PublicKey... keys) {
+    private static String rejectionMessage(byte[] bytes, PublicKey... keys) {
         return assertThrows(
                         InvalidPackageException.class,
                         () -> PackageReader.read(new ByteArrayInputStream(bytes), List.of(keys)))
@@ -61,63 +61,78 @@
     }
 
     @Test
-    void whatWasBuiltAndSignedIsRead() throws Exception {
+    void signedPackage_isReadWithTheSameContent() throws Exception {
         Keys.generate(folder.resolve("k"));
         Keys.generate(folder.resolve("other"));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        Manifest written = PackageBuilder.write(ABOUT, FILES, Keys.privateKey(folder.resolve("k")), out);
+        Manifest written = PackageBuilder.write(DESCRIPTION, FILES, Keys.privateKey(folder.resolve("k")), out);
         PublicKey key = Keys.publicKey(folder.resolve("k.pub"));
         PackageReader.Contents read = PackageReader.read(new ByteArrayInputStream(out.toByteArray()), List.of(key));
         assertEquals(written, read.manifest());
         assertArrayEquals(FILES.get("classes/c"), read.files().get("classes/c"));
-        assertTrue(refused(out.toByteArray(), Keys.publicKey(folder.resolve("other.pub")))
+        assertTrue(rejectionMessage(out.toByteArray(), Keys.publicKey(folder.resolve("other.pub")))
                 .contains("none of the 1 trusted"));
         ByteArrayOutputStream plain = new ByteArrayOutputStream();
-        PackageBuilder.write(ABOUT, FILES, null, plain);
-        assertTrue(refused(plain.toByteArray(), key).contains("only signed packages"));
+        PackageBuilder.write(DESCRIPTION, FILES, null, plain);
+        assertTrue(rejectionMessage(plain.toByteArray(), key).contains("only signed packages"));
         ByteArrayOutputStream again = new ByteArrayOutputStream();
-        PackageBuilder.write(ABOUT, FILES, null, again);
+        PackageBuilder.write(DESCRIPTION, FILES, null, again);
         assertArrayEquals(plain.toByteArray(), again.toByteArray(), "the same input gives the same bytes");
     }
 
     @Test
-    void aSignatureOfAnotherManifestIsRefused() throws Exception {
+    void signatureOfAnotherManifest_isRejected() throws Exception {
         Keys.generate(folder.resolve("k"));
-        byte[] b = {1};
-        byte[] signature = Keys.sign(Keys.privateKey(folder.resolve("k")), manifest(mark(b, "classes/a/B.class"), "x"));
-        byte[] forged =
-                zip("manifest", manifest(mark(b, "classes/a/B.class")), "signature", signature, "classes/a/B.class", b);
-        assertTrue(refused(forged, Keys.publicKey(folder.resolve("k.pub"))).contains("trusted keys"));
+        byte[] content = {1};
+        byte[] signature =
+                Keys.sign(Keys.privateKey(folder.resolve("k")), manifest(fileLine(content, "classes/a/B.class"), "x"));
+        byte[] forged = zip(
+                "manifest",
+                manifest(fileLine(content, "classes/a/B.class")),
+                "signature",
+                signature,
+                "classes/a/B.class",
+                content);
+        assertTrue(rejectionMessage(forged, Keys.publicKey(folder.resolve("k.pub")))
+                .contains("trusted keys"));
     }
 
     @Test
-    void bombsCostNoMoreThanTheyState() throws Exception {
+    void zipBomb_isRejectedAtItsStatedSize() throws Exception {
         byte[] small = {1};
-        byte[] bomb =
-                zip("manifest", manifest(mark(small, "classes/a/B.class")), "classes/a/B.class", new byte[50 << 20]);
-        assertTrue(refused(bomb).contains("unpacks to more than 1 bytes"));
-        assertTrue(refused(zip("manifest", new byte[Manifest.MOST_BYTES + 1])).contains("unpacks to more"));
-        assertTrue(refused(zip("manifest", manifest("0".repeat(64) + " 999999999 classes/a/B.class")))
+        byte[] bomb = zip(
+                "manifest", manifest(fileLine(small, "classes/a/B.class")), "classes/a/B.class", new byte[50 << 20]);
+        assertTrue(rejectionMessage(bomb).contains("unpacks to more than 1 bytes"));
+        assertTrue(rejectionMessage(zip("manifest", new byte[Manifest.MAX_BYTES + 1]))
+                .contains("unpacks to more"));
+        assertTrue(rejectionMessage(zip("manifest", manifest("0".repeat(64) + " 999999999 classes/a/B.class")))
                 .contains("allowed: 2000 of"));
     }
 
     @Test
-    void whatTheManifestDoesNotSayIsRefused() throws Exception {
-        byte[] b = {1};
-        byte[] head = manifest(mark(b, "classes/a/B.class"));
-        assertTrue(refused(zip("manifest", head, "classes/x", b)).contains("not in the manifest"));
-        assertTrue(refused(zip("manifest", head, "classes/../../x", b)).contains("do not climb"));
-        assertTrue(refused(zip("manifest", head, "/etc/x", b)).contains("do not climb"));
-        assertTrue(refused(zip("manifest", head)).contains("not in the zip"));
-        assertTrue(refused(zip("manifest", head, "classes/a/B.class", new byte[] {2}))
+    void filesThatDifferFromTheManifest_areRejected() throws Exception {
+        byte[] content = {1};
+        byte[] manifest = manifest(fileLine(content, "classes/a/B.class"));
+        assertTrue(rejectionMessage(zip("manifest", manifest, "classes/x", content))
+                .contains("not in the manifest"));
+        assertTrue(rejectionMessage(zip("manifest", manifest, "classes/../../x", content))
+                .contains("do not climb"));
+        assertTrue(
+                rejectionMessage(zip("manifest", manifest, "/etc/x", content)).contains("do not climb"));
+        assertTrue(rejectionMessage(zip("manifest", manifest)).contains("not in the zip"));
+        assertTrue(rejectionMessage(zip("manifest", manifest, "classes/a/B.class", new byte[] {2}))
                 .contains("wrong digest"));
-        assertTrue(refused(zip("manifest", manifest(Digests.of(b) + " 2 classes/a/B.class"), "classes/a/B.class", b))
+        assertTrue(rejectionMessage(zip(
+                        "manifest",
+                        manifest(Digests.of(content) + " 2 classes/a/B.class"),
+                        "classes/a/B.class",
+                        content))
                 .contains("stated: 2"));
-        assertTrue(refused(zip("classes/a/B.class", b)).contains("first entry"));
-        assertTrue(refused(new byte[0]).contains("first entry"));
-        byte[] whole = zip("manifest", head, "classes/a/B.class", b);
-        whole[45] ^= 0x55;
-        assertTrue(refused(whole).length() > 0);
+        assertTrue(rejectionMessage(zip("classes/a/B.class", content)).contains("first entry"));
+        assertTrue(rejectionMessage(new byte[0]).contains("first entry"));
+        byte[] packageBytes = zip("manifest", manifest, "classes/a/B.class", content);
+        packageBytes[45] ^= 0x55;
+        assertTrue(rejectionMessage(packageBytes).length() > 0);
     }
 
     @ParameterizedTest
@@ -137,8 +152,8 @@
                 "classes/a/B.class|classes/../B.class|do not climb",
                 "classes/a/B.class|other/B.class|found path 'other/B.class'"
             })
-    void whatIsNoManifestNamesItsPlace(String part, String wrong, String expected) {
-        String text = new String(manifest(mark(new byte[] {1}, "classes/a/B.class")), StandardCharsets.UTF_8)
+    void invalidManifest_isRejectedWithThePlace(String part, String wrong, String expected) {
+        String text = new String(manifest(fileLine(new byte[] {1}, "classes/a/B.class")), StandardCharsets.UTF_8)
                 .replace(part, wrong.replace(';', '\n'));
         String message = assertThrows(
                         InvalidPackageException.class, () -> Manifest.parse(text.getBytes(StandardCharsets.UTF_8)))
--- a/worker/src/test/java/wharfhinge/worker/store/ByteRangeTest.java
+++ b/worker/src/test/java/wharfhinge/worker/store/ByteRangeTest.java
@@ -26,7 +26,7 @@
                 "bytes=0-99999999999999999999,-1,-1",
                 "bytes=0-1;2-3,-1,-1"
             })
-    void isReadAsTheStandardSays(String header, long from, long to) {
+    void parse_followsRfc9110(String header, long from, long to) {
         assertEquals(new ByteRange(from, to), ByteRange.parse(header.replace(';', ','), 10));
     }
 }
