--- a/worker/src/main/java/wharfhinge/worker/EventLog.java
+++ b/worker/src/main/java/wharfhinge/worker/EventLog.java
@@ -8,27 +8,27 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * What came to a worker and what became of it, a line each: time on the machine's monotonic clock in nanoseconds, a word, and
- * {@code name=value} pairs, set apart by tabs; docs/operate/worker.md lists the words. Each line is written at once, so that a
- * killed process has told all it did. Any thread.
+ * Log of the requests to a worker and of their results. Each event is a line with the time on the machine's monotonic clock in
+ * nanoseconds, the event's word and {@code name=value} pairs, separated by tabs; docs/operate/worker.md lists the words. Lines
+ * are not buffered, so that the log of a killed process is complete. Thread-safe.
  */
 interface EventLog extends AutoCloseable {
     /** Writes nothing. */
     EventLog NONE = (event, pairs) -> {};
 
-    /** Notes something, with names and values in turn. */
+    /** Writes an event; {@code pairs} are names and values in turn. */
     void log(String event, Object... pairs);
 
     @Override
     default void close() throws IOException {}
 
-    /** Writes to a file, after what it holds. */
+    /** Opens a log that appends to a file. */
     static EventLog appendTo(Path file) throws IOException {
         return new FileEventLog(
                 FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.APPEND));
     }
 
-    /** Into a file. */
+    /** An event log in a file. */
     final class FileEventLog implements EventLog {
         private final FileChannel file;
 
@@ -48,7 +48,8 @@
             try {
                 file.write(ByteBuffer.wrap(line.append('\n').toString().getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
-                org.slf4j.LoggerFactory.getLogger(EventLog.class).warn("event not written: {}", e.getMessage());
+                org.slf4j.LoggerFactory.getLogger(EventLog.class)
+                        .warn("event log: line not written: {}", e.getMessage());
             }
         }
 
--- a/worker/src/main/java/wharfhinge/worker/LoadTimes.java
+++ b/worker/src/main/java/wharfhinge/worker/LoadTimes.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What loads took, added up by their parts; any thread. */
+/** Total time of all loads, by phase. Thread-safe. */
 final class LoadTimes {
     private long loads;
     private long fetchNanos;
--- a/worker/src/main/java/wharfhinge/worker/ProcessMemory.java
+++ b/worker/src/main/java/wharfhinge/worker/ProcessMemory.java
@@ -6,17 +6,16 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What this process holds, as the system and the JVM tell it. Linux; elsewhere only the JVM's part is known. */
+/** Memory of this process as measured by the operating system and the JVM. Other systems than Linux give only the JVM's figures. */
 final class ProcessMemory {
     private static final Path SMAPS_ROLLUP = Path.of("/proc/self/smaps_rollup");
     private final BufferPoolMXBean mappedPool = ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
             .filter(pool -> pool.getName().equals("mapped"))
             .findFirst()
             .orElseThrow();
-    private final long initialMappedBytes =
-            mappedPool.getTotalCapacity(); // what others had mapped when the worker began
+    private final long initialMappedBytes = mappedPool.getTotalCapacity(); // mapped by others before the worker started
 
-    /** Resident memory in KiB, or -1 where the system does not tell. */
+    /** Resident memory in KiB, or -1 if the system does not report it. */
     long residentKb() {
         try {
             for (String line : Files.readAllLines(SMAPS_ROLLUP)) {
@@ -30,19 +29,19 @@
         return -1;
     }
 
-    /** Memory in mapped buffers in KiB, whoever mapped them since the worker began. */
+    /** Memory in buffers that were mapped since the worker started, by any code, in KiB. */
     long mappedKb() {
         return (mappedPool.getTotalCapacity() - initialMappedBytes) / 1024;
     }
 
     /**
-     * What is held beyond the books, in KiB.
+     * Memory that the process holds beyond what is accounted for, in KiB.
      *
-     * @param residentKb of the process
-     * @param mappedKb   in mapped buffers
-     * @param copiesKb   what copies hold resident by the books
-     * @param bookedKb   mapped for copies by the books
-     * @param ownKb      what the process may hold beside them
+     * @param residentKb       resident memory of the process; negative if unknown
+     * @param mappedKb         memory in mapped buffers
+     * @param copiesResidentKb resident memory of copies according to the memory accounting
+     * @param copiesMappedKb   memory mapped for copies according to the memory accounting
+     * @param ownMemoryKb      memory that the process may use besides its copies
      */
     static long leakedKb(long residentKb, long mappedKb, long copiesResidentKb, long copiesMappedKb, long ownMemoryKb) {
         long excessResidentKb = residentKb < 0 ? 0 : residentKb - copiesResidentKb - ownMemoryKb;
--- a/worker/src/main/java/wharfhinge/worker/ProcessorWaitWatch.java
+++ b/worker/src/main/java/wharfhinge/worker/ProcessorWaitWatch.java
@@ -7,16 +7,16 @@
 import java.util.function.LongConsumer;
 
 /**
- * Tells when a thread was not run by the machine for a while: its heartbeat is late although the thread used little processor time
- * meanwhile. What came in such a span is read, and noted, after it. A thread that is late because of its own work is not told. Each
- * {@link #run} is a heartbeat, and is confined to the thread that is watched.
+ * Reports when the operating system did not run a thread for a while: the thread's heartbeat is late although it used little
+ * processor time in between. Requests that arrive in such a span are read, and logged, only after it. A thread that is late
+ * because of its own work is not reported. Each {@link #run} is a heartbeat and must run on the watched thread.
  */
 public final class ProcessorWaitWatch implements Runnable {
-    /** Between two heartbeats. */
+    /** Interval between two heartbeats. */
     public static final long HEARTBEAT_MILLIS = 20;
 
     private static final long REPORTED_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** A span is told if the thread ran for less than this part of it. */
+    /** A span is reported if the thread ran for less than this fraction of it. */
     private static final int MAX_RUNNING_DIVISOR = 4;
 
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
@@ -26,15 +26,15 @@
     private long lastProcessorNanos;
 
     /**
-     * A watch that begins with its first heartbeat.
+     * Creates a watch that starts with its first heartbeat.
      *
-     * @param onNotRun given the length of each span in milliseconds, at its end, on the watched thread
+     * @param onNotRun receives the length of each span in milliseconds, at its end, on the watched thread
      */
     public ProcessorWaitWatch(LongConsumer onNotRun) {
         this.onNotRun = onNotRun;
     }
 
-    /** Watches an event loop until it ends; any thread. */
+    /** Watches an event loop until it ends. May be called on any thread. */
     public static void start(EventLoop loop, LongConsumer onNotRun) {
         loop.scheduleWithFixedDelay(
                 new ProcessorWaitWatch(onNotRun), HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
--- a/worker/src/main/java/wharfhinge/worker/Worker.java
+++ b/worker/src/main/java/wharfhinge/worker/Worker.java
@@ -38,8 +38,8 @@
 import wharfhinge.worker.pack.Keys;
 
 /**
- * A worker without its sockets: does what {@link CopyScheduler} decide, on one event loop; loads, stops and calls run on
- * threads of their own and tell the loop how they went. What waits is bounded by the decisions.
+ * A worker without its sockets: carries out the decisions of {@link CopyScheduler} on one event loop. Loads, stops and calls
+ * run on threads of their own and report their results to the loop. The scheduler bounds the number of waiting calls and loads.
  */
 final class Worker implements CopyScheduler.Actions, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Worker.class);
@@ -47,12 +47,12 @@
     private static final int RELEASE_RETRY_MS = 200;
     private static final int REFRESHES_PER_LEAK_CHECK = 5;
 
-    /** Where a call's answer goes; on the loop. */
+    /** Receives the answer to a call, on the event loop. */
     interface Reply {
         void answer(AnswerCode code, CopyNote note, int concurrentCalls, byte[] body);
     }
 
-    /** Where an order's answer goes; on the loop. */
+    /** Receives the answer to an order, on the event loop. */
     interface OrderReply {
         void answer(AnswerCode code, int readyCopies);
     }
@@ -93,7 +93,7 @@
     private String report = "";
     private volatile boolean closed;
 
-    /** A worker that holds nothing; {@code base} is what paths in the settings are relative to. */
+    /** Creates a worker without copies; paths in the settings are relative to {@code baseFolder}. */
     Worker(WorkerSettings settings, Path baseFolder, EventLoop loop, EventLog events) throws IOException {
         this.loop = loop;
         this.settings = settings;
@@ -101,14 +101,14 @@
         this.scheduler = new CopyScheduler(settings.copySettings(), this);
         this.loadExecutor = Executors.newFixedThreadPool(settings.maxConcurrentLoads(), daemonThreads("load"));
         Path folder = baseFolder.resolve(settings.imagesFolder());
-        List<PublicKey> trusted = new ArrayList<>();
+        List<PublicKey> trustedKeys = new ArrayList<>();
         for (String file : settings.keyFiles()) {
-            trusted.add(Keys.publicKey(baseFolder.resolve(file)));
+            trustedKeys.add(Keys.publicKey(baseFolder.resolve(file)));
         }
         this.images = new Images(
                 new ImageCache(folder, settings.maxImageBytes()),
                 settings.storeUrl(),
-                trusted,
+                trustedKeys,
                 settings.fetchTimeoutNanos(),
                 settings.freshNanos());
         this.regions = new Regions(folder);
@@ -126,14 +126,14 @@
         };
     }
 
-    /** What it is called in the event log. */
+    /** Sets the address by which the event log names this worker. */
     void setAddress(String value) {
         address = value;
     }
 
-    // ---- From the sockets, on the loop ------------------------------------------------------
+    // ---- Requests, on the event loop --------------------------------------------------------
 
-    /** A call; the number is for {@link #cancel}. */
+    /** Accepts a call. Returns its number for {@link #cancel}. */
     long call(String function, WorkerCall headers, byte[] body, Reply reply) {
         long number = nextNumber++;
         long now = System.nanoTime();
@@ -158,20 +158,20 @@
         return number;
     }
 
-    /** Nobody waits for a call any more. */
+    /** Cancels a call whose gateway no longer waits for the answer. */
     void cancel(long number) {
         Call call = calls.get(number);
         if (call != null) {
             events.log("cancelled", "worker", address, "call", call.headers.id(), "attempt", call.headers.attempt());
-            boolean waits = call.execution == null;
+            boolean isWaiting = call.execution == null;
             scheduler.onCallCancelled(System.nanoTime(), number);
-            if (waits) {
+            if (isWaiting) {
                 calls.remove(number);
             }
         }
     }
 
-    /** An order to hold copies. */
+    /** Accepts an order to hold {@code count} copies of a function. Returns its number for {@link #cancelOrder}. */
     long orderCopies(String function, int count, WorkerCall headers, OrderReply reply) {
         long number = nextNumber++;
         orders.put(number, reply);
@@ -180,31 +180,31 @@
         return number;
     }
 
-    /** Nobody waits for an order any more. */
+    /** Cancels an order whose gateway no longer waits for the answer. */
     void cancelOrder(long number) {
         if (orders.remove(number) != null) {
             scheduler.onLoadOrderCancelled(System.nanoTime(), number);
         }
     }
 
-    /** Idle copies of a function go. */
+    /** Unloads the idle copies of a function. */
     void unload(String function, WorkerCall headers) {
         events.log("unload", "worker", address, "fn", function, "gw", headers.gateway());
         scheduler.onUnloadOrder(System.nanoTime(), function);
     }
 
-    /** Takes nothing new; tells once all is answered. */
+    /** Rejects new calls from now on and runs {@code onAllAnswered} once all calls in flight are answered. */
     void drain(Runnable onAllAnswered) {
         drainListeners.add(onAllAnswered);
         scheduler.onDrain(System.nanoTime());
     }
 
-    /** The report of the last refresh, as answers carry it. */
+    /** The load report of the last refresh, as it is sent with answers. */
     String report() {
         return report;
     }
 
-    /** The books as they are now, in KiB, by name. */
+    /** The current memory accounting by name, in KiB, with counts of copies, calls and loads and the times of loads. */
     Map<String, Long> memoryStatus() {
         MemoryAccounting memory = scheduler.memory();
         Map<String, Long> figures = new LinkedHashMap<>();
@@ -226,7 +226,7 @@
         try {
             loop.execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.debug("told after the end", e);
+            LOG.debug("task rejected by the closed event loop", e);
         }
     }
 
@@ -251,14 +251,14 @@
         report = LoadReport.format(loadFigures);
     }
 
-    // ---- Decisions' actions, on the loop ----------------------------------------------------
+    // ---- Actions of the scheduler, on the event loop ----------------------------------------
 
     @Override
     public void startLoad(long copy, String function, long reservedKb) {
         loadExecutor.execute(() -> load(copy, function));
     }
 
-    /** On a loader's thread. */
+    /** Loads a copy, on a thread of the load executor. */
     private void load(long copy, String function) {
         LoadedCopy loaded = null;
         try {
@@ -267,9 +267,9 @@
             MemoryEstimate estimate = new MemoryEstimate(
                     image.contents().manifest().memoryMb() * 1024L,
                     image.contents().manifest().slots());
-            boolean fits = loop.submit(() -> scheduler.onMemoryMeasured(System.nanoTime(), copy, estimate))
+            boolean isReserved = loop.submit(() -> scheduler.onMemoryMeasured(System.nanoTime(), copy, estimate))
                     .get();
-            if (!fits) {
+            if (!isReserved) {
                 reportLoadEnd(copy, function, LoadEnd.NEEDS_MORE_MEMORY, null, "needs " + estimate.memoryKb() + " KiB");
                 return;
             }
@@ -281,12 +281,12 @@
             reportLoadEnd(copy, function, LoadEnd.FAILED, null, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-        } catch (Exception | Error e) { // whatever the package's code did, the books are kept
-            loadFailed(copy, function, loaded, e);
+        } catch (Exception | Error e) { // whatever the package's code does, the memory must be accounted for
+            onLoadFailed(copy, function, loaded, e);
         }
     }
 
-    private void loadFailed(long copy, String function, LoadedCopy loaded, Throwable cause) {
+    private void onLoadFailed(long copy, String function, LoadedCopy loaded, Throwable cause) {
         boolean released = true;
         if (loaded != null) {
             try {
@@ -332,14 +332,14 @@
                 call.headers.attempt(),
                 call.body,
                 limitNanos,
-                (execution, outcome) -> runOnLoop(() -> callEnded(number, outcome)),
-                execution -> runOnLoop(() -> threadReturned(copy)));
-        call.limitTimer = loop.schedule(() -> callOverLimit(number), limitNanos, TimeUnit.NANOSECONDS);
+                (execution, outcome) -> runOnLoop(() -> onCallEnded(number, outcome)),
+                execution -> runOnLoop(() -> onThreadReturned(copy)));
+        call.limitTimer = loop.schedule(() -> onCallOverLimit(number), limitNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void callEnded(long number, LoadedCopy.Outcome outcome) {
+    private void onCallEnded(long number, LoadedCopy.Outcome outcome) {
         Call call = calls.get(number);
-        call.limitTimer.cancel(false); // else thousands would wait for limits that are far
+        call.limitTimer.cancel(false); // otherwise thousands of timers with long limits would stay scheduled
         if (outcome.cause() != null) {
             LOG.debug("call {} failed", call.headers.id(), outcome.cause());
         }
@@ -355,16 +355,16 @@
         calls.remove(number);
     }
 
-    private void callOverLimit(long number) {
+    private void onCallOverLimit(long number) {
         Call call = calls.get(number);
         if (call != null && call.execution != null && call.execution.giveUp()) {
-            LOG.warn("call {} is over its limit and given up, its copy is replaced", call.headers.id());
+            LOG.warn("call {} exceeded its time limit and was given up; its copy is replaced", call.headers.id());
             scheduler.onCallCompleted(System.nanoTime(), number, CallEnd.OVER_LIMIT);
             calls.remove(number);
         }
     }
 
-    private void threadReturned(long copy) {
+    private void onThreadReturned(long copy) {
         scheduler.onOverdueThreadReturned(System.nanoTime(), copy);
     }
 
@@ -454,7 +454,7 @@
         }
     }
 
-    /** A stuck copy is asked again, for its thread may come back after all. */
+    /** Retries to release a stuck copy after a delay, as its thread may still return. */
     private void releaseLater(long copy) {
         loop.schedule(
                 () -> {
@@ -483,7 +483,7 @@
         drainListeners.clear();
     }
 
-    /** Stops its copies, as far as they stop in their time, and ends its threads; the loop must have ended. */
+    /** Stops the copies, waiting for them for a limited time, and ends the threads; the event loop must have ended before. */
     @Override
     public void close() throws IOException {
         closed = true;
--- a/worker/src/main/java/wharfhinge/worker/WorkerCall.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerCall.java
@@ -6,10 +6,10 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /**
- * What a request's headers tell. A figure that is absent or no number in its range counts as untold, for it is advice: a call
- * is never lost over it.
+ * The headers of a request. A number that is missing, malformed or out of range counts as absent: numbers are advice, and no
+ * call is rejected because of them.
  *
- * @param waitMillis how long the gateway waits; the longest where untold
+ * @param waitMillis how long the gateway waits; the maximum if absent
  */
 record WorkerCall(
         String id,
@@ -43,7 +43,7 @@
                 (long) number(headerValues.apply(WorkerProtocol.COST_US), 1e12));
     }
 
-    /** Tabs and line ends would forge lines of the event log. */
+    /** Replaces characters outside printable ASCII: tabs and line ends would forge lines of the event log. */
     private static String printableWord(String text) {
         if (text == null || text.isEmpty()) {
             return "-";
--- a/worker/src/main/java/wharfhinge/worker/WorkerServer.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerServer.java
@@ -46,8 +46,8 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /**
- * A worker on its socket: speaks docs/protocol-worker.md. One event loop does the sockets and the decisions, so that an
- * answer is decided on the books as they are when it is written.
+ * Serves the worker protocol (docs/protocol-worker.md) over HTTP/2. One event loop handles both the sockets and the
+ * scheduling, so that each answer is decided on the memory accounting as it is when the answer is written.
  */
 public final class WorkerServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerServer.class);
@@ -66,7 +66,7 @@
     private final String incarnation;
     private final String address;
 
-    /** Listens on loopback; {@code base} is what paths in the settings are relative to. */
+    /** Listens on loopback; paths in the settings are relative to {@code baseFolder}. */
     public WorkerServer(WorkerSettings settings, Path baseFolder) throws IOException {
         this.settings = settings;
         byte[] random = new byte[8];
@@ -114,20 +114,21 @@
                 0);
     }
 
-    /** Where it listens. */
+    /** The port that the worker listens on. */
     public int port() {
         return ((InetSocketAddress) listenChannel.localAddress()).getPort();
     }
 
-    /** Names this process among those that had the address before. */
+    /** The incarnation: distinguishes this process from earlier ones at the same address. */
     public String incarnation() {
         return incarnation;
     }
 
     /**
-     * Drains: takes nothing new, says GOAWAY, finishes what it holds, closes. Blocks no longer than set; any thread.
+     * Shuts down gracefully: rejects new calls, sends GOAWAY, answers the calls in flight and closes. Blocks no longer than
+     * the time-out in the settings. May be called on any thread.
      *
-     * @return whether all that was held had its answer
+     * @return whether all calls in flight were answered
      */
     public boolean drain() throws InterruptedException {
         CountDownLatch drained = new CountDownLatch(1);
@@ -139,13 +140,13 @@
         });
         boolean allAnswered = drained.await(settings.drainTimeoutMillis(), TimeUnit.MILLISECONDS);
         if (!allAnswered) {
-            LOG.warn("drain ended with calls open");
+            LOG.warn("drain timed out with calls in flight");
         }
         close();
         return allAnswered;
     }
 
-    /** Blocks until it is closed. */
+    /** Blocks until the server is closed. */
     public void await() throws InterruptedException {
         closedLatch.await();
     }
@@ -165,7 +166,7 @@
         try {
             worker.close();
         } catch (IOException e) {
-            LOG.warn("closing: {}", e.getMessage());
+            LOG.warn("error while closing the worker: {}", e.getMessage());
         }
         closedLatch.countDown();
     }
@@ -180,7 +181,8 @@
                                         .maxConcurrentStreams(MAX_CONCURRENT_STREAMS)
                                         .maxHeaderListSize(MAX_HEADER_LIST_BYTES))
                                 .decoderEnforceMaxRstFramesPerWindow(0, 0)
-                                .build(), // gateways cancel by the thousand, and are trusted
+                                .build(), // no limit on RST_STREAM frames: gateways are trusted and may cancel
+                        // thousands of calls
                         new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel stream) {
@@ -194,7 +196,7 @@
                         new ConnectionErrorHandler());
     }
 
-    /** A connection that breaks is closed; its streams tell the worker that nobody waits. */
+    /** Closes a connection after an error. Closing its streams cancels the calls and orders that they wait for. */
     private static final class ConnectionErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
@@ -202,7 +204,7 @@
         }
     }
 
-    /** One stream, one request. */
+    /** Handles the one request of a stream. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private long openCall;
         private long openOrder;
@@ -252,7 +254,7 @@
                         context,
                         "found function " + quoted(function) + ", allowed: 1 to 128 letters, digits, '.', '_', '-'");
             } else if (!isForThisIncarnation) {
-                write(context, answerResponse(AnswerCode.FULL, new byte[0])); // meant for a process that is no more
+                write(context, answerResponse(AnswerCode.FULL, new byte[0])); // meant for an earlier incarnation
             } else {
                 boolean[] answered = {false};
                 long callNumber = worker.call(
--- a/worker/src/main/java/wharfhinge/worker/WorkerSettings.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerSettings.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import wharfhinge.decisions.copies.CopySettings;
 
-/** A worker's settings as its file holds them; worker.xsd has units, ranges and defaults, docs/operate/worker.md the why. */
+/** The settings file of a worker. worker.xsd defines ranges and defaults, docs/operate/worker.md explains the settings. */
 @XmlRootElement(name = "worker")
 @XmlAccessorType(XmlAccessType.FIELD)
 public final class WorkerSettings {
@@ -50,14 +50,14 @@
     @XmlElement(name = "events")
     private Events events = new Events();
 
-    /** Where it listens. */
+    /** The listener. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Listen {
         @XmlAttribute(name = "port")
         private int port;
     }
 
-    /** Memory. */
+    /** Memory of copies and of the process. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Memory {
         @XmlAttribute(name = "copies-mb")
@@ -70,7 +70,7 @@
         private int defaultCopyMb = 64;
     }
 
-    /** Calls. */
+    /** Handling of calls. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Calls {
         @XmlAttribute(name = "queue")
@@ -89,7 +89,7 @@
         private int maxBodyKb = 1024;
     }
 
-    /** Loads. */
+    /** Limits of loads. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Loads {
         @XmlAttribute(name = "at-once")
@@ -105,7 +105,7 @@
         private long stopTimeoutMillis = 500;
     }
 
-    /** The store. */
+    /** The package store. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Store {
         @XmlAttribute(name = "url")
@@ -125,57 +125,57 @@
         private long maxMb = 1024;
     }
 
-    /** Publishers' keys. */
+    /** Public keys of trusted publishers. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Keys {
         @XmlElement(name = "key")
         private final List<Key> keys = new ArrayList<>();
     }
 
-    /** A publisher's public key. */
+    /** The public key of a trusted publisher. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Key {
         @XmlAttribute(name = "file")
         private String file;
     }
 
-    /** Reports. */
+    /** Load reports. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Reports {
         @XmlAttribute(name = "refresh-ms")
         private long refreshMillis = 200;
     }
 
-    /** Draining. */
+    /** The graceful shutdown. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Drain {
         @XmlAttribute(name = "within-ms")
         private long timeoutMillis = 10_000;
     }
 
-    /** The record of what came and went. */
+    /** The event log. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Events {
         @XmlAttribute(name = "file")
         private String file = "";
     }
 
-    /** The schema of the file. */
+    /** The XML schema of the settings file. */
     public static URL schema() {
         return WorkerSettings.class.getResource("worker.xsd");
     }
 
-    /** Its name, for logs. */
+    /** The worker's name in logs. */
     public String name() {
         return name;
     }
 
-    /** The port; 0 takes any. */
+    /** The port to listen on; 0 for any free port. */
     public int port() {
         return listen.port;
     }
 
-    /** What the decisions go by. */
+    /** The settings of the copy scheduler. */
     CopySettings copySettings() {
         return new CopySettings(
                 memory.copiesMb * KB_IN_MB,
@@ -188,7 +188,7 @@
                 calls.onNoFreeSlot.equals("own"));
     }
 
-    /** What the process may hold beside its copies, KiB. */
+    /** Memory that the process may use besides its copies, in KiB. */
     long ownMemoryKb() {
         return memory.ownMemoryMb * KB_IN_MB;
     }
@@ -217,7 +217,7 @@
         return store.freshMillis * NANOS_PER_MS;
     }
 
-    /** Where images are, as written: relative to the file. */
+    /** The folder of images as written in the file; a relative path is relative to the file's folder. */
     public String imagesFolder() {
         return images.folder;
     }
@@ -226,7 +226,7 @@
         return images.maxMb << 20;
     }
 
-    /** Files of trusted keys, as written: relative to the file. */
+    /** The files of trusted keys as written in the file; relative paths are relative to the file's folder. */
     public List<String> keyFiles() {
         return keys.keys.stream().map(key -> key.file).toList();
     }
@@ -235,12 +235,12 @@
         return reports.refreshMillis;
     }
 
-    /** Within which a drain ends, whatever still runs. */
+    /** The time after which a graceful shutdown ends even if calls still run. */
     public long drainTimeoutMillis() {
         return drain.timeoutMillis;
     }
 
-    /** Where events are written, as written: relative to the file; empty for nowhere. */
+    /** The event log as written in the file, relative to the file's folder; empty if no events are logged. */
     public String eventsFile() {
         return events.file;
     }
--- a/worker/src/main/java/wharfhinge/worker/api/CopyContext.java
+++ b/worker/src/main/java/wharfhinge/worker/api/CopyContext.java
@@ -3,11 +3,11 @@
 import java.nio.ByteBuffer;
 
 /**
- * What a copy is given.
+ * The environment of a copy, passed to {@link Function#start}.
  *
- * @param function the name under which it was asked for
- * @param version  the package's
- * @param memory   the copy's own memory of the stated size, all zero and already resident; given back after
- *                 {@link Function#stop}, after which touching it may end the whole process
+ * @param function the function's name in calls
+ * @param version  the version of the package
+ * @param memory   the copy's own memory of the size stated in the manifest, zeroed and resident; it is released after
+ *                 {@link Function#stop}, and an access after that may crash the whole process
  */
 public record CopyContext(String function, String version, ByteBuffer memory) {}
--- a/worker/src/main/java/wharfhinge/worker/api/ExitRefused.java
+++ b/worker/src/main/java/wharfhinge/worker/api/ExitRefused.java
@@ -1,6 +1,6 @@
 package wharfhinge.worker.api;
 
-/** A function asked for the end of the process. Its copy ends instead; the others go on. */
+/** Thrown when a function tries to end the process. Only its copy is ended; other copies are not affected. */
 public final class ExitRefused extends Error {
     private static final long serialVersionUID = 1;
 
@@ -8,12 +8,12 @@
         super("exit with " + status + " was asked for");
     }
 
-    /** In place of {@link System#exit}. */
+    /** Replaces {@link System#exit} in the code of functions. */
     public static void exit(int status) {
         throw new ExitRefused(status);
     }
 
-    /** In place of {@link Runtime#exit} and {@link Runtime#halt}. */
+    /** Replaces {@link Runtime#exit} and {@link Runtime#halt} in the code of functions. */
     public static void exit(Runtime runtime, int status) {
         throw new ExitRefused(status);
     }
--- a/worker/src/main/java/wharfhinge/worker/api/Function.java
+++ b/worker/src/main/java/wharfhinge/worker/api/Function.java
@@ -1,27 +1,27 @@
 package wharfhinge.worker.api;
 
 /**
- * A function as its author writes it: the entry class of a package, with a public constructor that takes nothing. One object
- * for each copy; {@link #call} runs on as many threads at once as the package has lanes.
+ * A function. The entry class of a package implements it and has a public constructor without parameters. Each copy has one
+ * instance; {@link #call} runs concurrently on at most as many threads as the manifest's {@code lanes} states.
  *
- * <p>An exception from {@link #call} is an error of that call; an {@link Error} also ends the copy, which is replaced.
+ * <p>An exception thrown by {@link #call} fails that call; an {@link Error} also ends the copy, which is then replaced.
  */
 public interface Function {
     /**
-     * Makes the copy ready; until it returns no call comes. Limited by the package's {@code start-ms}.
+     * Initializes the copy; no call runs before it returns. The manifest's {@code start-ms} limits its time.
      *
-     * @throws Exception where the copy can't be made ready; the load has then failed
+     * @throws Exception if the copy cannot be initialized; the load then fails
      */
     default void start(CopyContext context) throws Exception {}
 
     /**
-     * Runs a call. Limited by the package's {@code call-ms}; past it the call is given up and the copy replaced.
+     * Runs a call. The manifest's {@code call-ms} limits its time; after that the call is given up and the copy is replaced.
      *
-     * @return the answer's body, not null
-     * @throws Exception where there is no answer; what was done is not undone
+     * @return the body of the answer, not null
+     * @throws Exception if the call fails; its effects are not rolled back
      */
     byte[] call(Invocation call) throws Exception;
 
-    /** The copy is unloaded; threads of its own must end now, and its memory must not be touched any more. */
+    /** Called when the copy is unloaded. Threads started by the function must end now and must no longer access its memory. */
     default void stop() {}
 }
--- a/worker/src/main/java/wharfhinge/worker/api/Invocation.java
+++ b/worker/src/main/java/wharfhinge/worker/api/Invocation.java
@@ -2,7 +2,7 @@
 
 import java.util.function.BooleanSupplier;
 
-/** A call as the function sees it. */
+/** A call, passed to {@link Function#call}. */
 public final class Invocation {
     private final String id;
     private final int attempt;
@@ -10,7 +10,7 @@
     private final long endsAt;
     private final BooleanSupplier cancelled;
 
-    /** A call whose limit is over at {@code endsAt} on {@link System#nanoTime}. */
+    /** Creates a call whose time limit ends at {@code endsAt} on {@link System#nanoTime}. */
     public Invocation(String id, int attempt, byte[] input, long endsAt, BooleanSupplier cancelled) {
         this.id = id;
         this.attempt = attempt;
@@ -19,27 +19,27 @@
         this.cancelled = cancelled;
     }
 
-    /** The call's id, the same for all its attempts: what keyed effects are kept by. */
+    /** The call's id, the same for all its attempts; the idempotency key of a function whose effect is {@code keyed}. */
     public String id() {
         return id;
     }
 
-    /** The number of the attempt, from 0. */
+    /** The number of the attempt, starting at 0. */
     public int attempt() {
         return attempt;
     }
 
-    /** The input; the receiver may change it. */
+    /** The input. The function may modify the array. */
     public byte[] input() {
         return input;
     }
 
-    /** What is left until the call is given up, in milliseconds; under 0 where it is. */
+    /** Time left until the call is given up, in milliseconds; negative once the limit has passed. */
     public long leftMillis() {
         return (endsAt - System.nanoTime()) / 1_000_000;
     }
 
-    /** Whether nobody waits for the answer any more; the thread is interrupted then, too. */
+    /** Whether the call was cancelled or given up. The thread is interrupted as well. */
     public boolean cancelled() {
         return cancelled.getAsBoolean();
     }
--- a/worker/src/main/java/wharfhinge/worker/api/package-info.java
+++ b/worker/src/main/java/wharfhinge/worker/api/package-info.java
@@ -1,2 +1,2 @@
-/** What the author of a function sees, and all of the worker that a function's classes can reach. */
+/** The API for authors of functions. It is the only part of the worker that the classes of a function can access. */
 package wharfhinge.worker.api;
--- a/worker/src/main/java/wharfhinge/worker/copy/CallSlot.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/CallSlot.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One call's hold on a thread: the thread runs it, the worker may ask it to end or give up on it. Exactly one of
- * {@link #finish} and {@link #giveUp} wins, and an interrupt never reaches the thread's next call. No locks; checked by
- * Lincheck.
+ * State of a call on a thread of a copy. The thread runs the call; the worker may cancel it or give it up. Exactly one of
+ * {@link #finish} and {@link #giveUp} returns true, and an interrupt never reaches the thread's next call. Lock-free; checked
+ * by Lincheck.
  */
 final class CallSlot {
     private enum State {
@@ -22,13 +22,13 @@
     private volatile Thread thread;
     private volatile boolean cancelled;
 
-    /** On the thread that will run it: false where it was given up on before. */
+    /** Starts the call on the current thread. Returns false if it was given up before. */
     boolean begin() {
         thread = Thread.currentThread();
         return state.compareAndSet(State.READY, State.RUNNING);
     }
 
-    /** Nobody waits any more: the code is told, and its thread interrupted where it runs. Once only. */
+    /** Sets the cancelled flag that the function can read and interrupts the thread if the call runs. Must be called only once. */
     void cancel() {
         cancelled = true;
         if (state.compareAndSet(State.RUNNING, State.INTERRUPTING)) {
@@ -37,12 +37,12 @@
         }
     }
 
-    /** Whether it was cancelled or given up. */
-    boolean cancelled() {
+    /** Whether the call was cancelled or given up. */
+    boolean isCancelled() {
         return cancelled;
     }
 
-    /** The worker gives up on it: true where it had not ended; then its thread is interrupted and what it returns ignored. */
+    /** Gives the call up. Returns true if it had not ended; then its thread is interrupted and its result ignored. */
     boolean giveUp() {
         while (true) {
             State current = state.get();
@@ -69,7 +69,7 @@
         }
     }
 
-    /** On its thread, once the code has returned: true where nobody gave up on it. Clears a late interrupt. */
+    /** Ends the call, on its thread, after the function has returned. Clears a late interrupt. Returns false if it was given up. */
     boolean finish() {
         while (true) {
             State current = state.get();
--- a/worker/src/main/java/wharfhinge/worker/copy/LoadedCopy.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/LoadedCopy.java
@@ -17,34 +17,34 @@
 import wharfhinge.worker.pack.PackageReader;
 
 /**
- * A copy of a function: its own classes, memory and threads. All threads that its code makes by itself are in one thread
- * group, so that {@link #release} can tell whether its memory may be given back; memory that a thread could still touch
- * never is, for that would end the process.
+ * A loaded copy of a function with its own classes, memory and threads. All threads started by its code belong to one thread
+ * group, so that {@link #release} can determine whether the memory may be released. Memory that a thread could still access is
+ * never released, since the access would crash the process.
  */
 public final class LoadedCopy {
     private static final int THREAD_KEEP_ALIVE_S = 10;
     private static final int MIN_TERMINATION_WAIT_MS = 100;
 
-    /** How a run ended. {@code output} is null unless SERVED. */
+    /** How the execution of a call ended. {@code output} is null unless the result is SERVED. */
     public record Outcome(Result result, byte[] output, Throwable cause) {}
 
-    /** What a run of code came to. */
+    /** Result of an execution. */
     public enum Result {
         SERVED,
         ERROR,
         COPY_BROKEN
     }
 
-    /** A call on its way through the copy. */
+    /** The execution of a call on a copy. */
     public final class Execution {
         private final CallSlot slot = new CallSlot();
 
-        /** Asks the code to end. */
+        /** Asks the function to end the call. */
         public void cancel() {
             slot.cancel();
         }
 
-        /** Gives up on it: true where it had not ended; {@code back} is told once its thread has come back. */
+        /** Gives the call up. Returns true if it had not ended; {@code onThreadReturned} runs once its thread has returned. */
         public boolean giveUp() {
             return slot.giveUp();
         }
@@ -57,7 +57,7 @@
     private final PackageLoader loader;
     private volatile Function function;
 
-    /** A copy that is not started; {@code memory} becomes its own. */
+    /** Creates a copy that is not started yet and owns {@code memory}. */
     public LoadedCopy(String name, PackageReader.Contents contents, Regions.Region memory) {
         this.manifest = contents.manifest();
         this.region = memory;
@@ -78,23 +78,23 @@
         threads.allowCoreThreadTimeOut(true);
     }
 
-    /** What the package says. */
+    /** The manifest of the copy's package. */
     public Manifest manifest() {
         return manifest;
     }
 
     /**
-     * Makes the memory resident and starts the code; blocks no longer than the package's limit. Only where it returns is the
-     * copy to be used; else it is to be released.
+     * Makes the memory resident and starts the function. Blocks no longer than the limit in the manifest. The copy may be used
+     * only if this method returns normally; otherwise it must be released.
      *
-     * @throws Exception with the cause
+     * @throws Exception if the function cannot be started in time
      */
     public void start(String name) throws Exception {
         Future<Void> started = threads.submit((Callable<Void>) () -> {
             region.touch();
             Class<?> type = Class.forName(manifest.entry(), true, loader);
             if (!Function.class.isAssignableFrom(type)) {
-                throw new ClassCastException(manifest.entry() + " is no " + Function.class.getName());
+                throw new ClassCastException(manifest.entry() + " does not implement " + Function.class.getName());
             }
             Function instance = (Function) type.getConstructor().newInstance();
             instance.start(new CopyContext(name, manifest.version(), region.view()));
@@ -105,7 +105,7 @@
             started.get(manifest.startMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             started.cancel(true);
-            throw new TimeoutException("start took longer than " + manifest.startMillis() + " ms");
+            throw new TimeoutException("start exceeded " + manifest.startMillis() + " ms");
         } catch (ExecutionException e) {
             throw new IllegalStateException("start failed: " + e.getCause(), e.getCause());
         }
@@ -114,8 +114,8 @@
     /**
      * Runs a call on a thread of the copy.
      *
-     * @param ended told once, on that thread, unless the call was given up on
-     * @param back  told in its place where it was
+     * @param onEnd            called once with the outcome, on that thread, unless the call was given up
+     * @param onThreadReturned called instead, on that thread, if the call was given up
      */
     public Execution run(
             String id,
@@ -129,7 +129,7 @@
         try {
             threads.execute(() -> {
                 Outcome outcome = execution.slot.begin()
-                        ? runGuarded(new Invocation(id, attempt, input, deadlineNanos, execution.slot::cancelled))
+                        ? runGuarded(new Invocation(id, attempt, input, deadlineNanos, execution.slot::isCancelled))
                         : null;
                 if (execution.slot.finish()) {
                     onEnd.accept(execution, outcome);
@@ -147,18 +147,18 @@
         try {
             byte[] output = function.call(call);
             return output == null
-                    ? new Outcome(Result.ERROR, null, new NullPointerException("the function gave no answer"))
+                    ? new Outcome(Result.ERROR, null, new NullPointerException("the function returned null"))
                     : new Outcome(Result.SERVED, output, null);
         } catch (Exception e) {
             return new Outcome(Result.ERROR, null, e);
-        } catch (Throwable e) { // memory, links, exits: the copy is not to be trusted, the worker is
+        } catch (Throwable e) { // out of memory, linkage error or exit: the copy is unusable, the worker is not
             return new Outcome(Result.COPY_BROKEN, null, e);
         }
     }
 
     /**
-     * Stops the code and gives the memory back; blocks no longer than twice the limit. False, and the memory kept, where a
-     * thread of the copy still lives; then it is to be asked again.
+     * Stops the function and releases the memory. Blocks no longer than twice the limit. Returns false and keeps the memory if
+     * a thread of the copy is still alive; then it must be called again later.
      */
     public boolean release(long limitMillis) throws InterruptedException {
         Function stopping = function;
@@ -168,7 +168,7 @@
                 Future<?> stop = threads.submit(stopping::stop);
                 stop.get(limitMillis, TimeUnit.MILLISECONDS);
             } catch (ExecutionException | TimeoutException | RejectedExecutionException e) {
-                stopping = null; // whatever it did, its threads decide
+                stopping = null; // whether stop failed or not, only live threads prevent the release
             }
         }
         threads.shutdownNow();
--- a/worker/src/main/java/wharfhinge/worker/copy/PackageLoader.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/PackageLoader.java
@@ -11,10 +11,10 @@
 import wharfhinge.worker.api.Function;
 
 /**
- * The classes of one copy. Of the worker it sees the API alone, else the JDK; two copies share no class and so no static
- * field. Calls of {@link System#exit}, {@link Runtime#exit} and {@link Runtime#halt} become
- * {@link wharfhinge.worker.api.ExitRefused}: rewritten here, since Java 17 is the last with a security manager that could
- * ask. By reflection they still can be reached; docs/design/worker.md lists what can't be held.
+ * Class loader of one copy. Its classes can access the JDK and, of the worker, only the API. Copies share no classes and
+ * therefore no static fields. Calls of {@link System#exit}, {@link Runtime#exit} and {@link Runtime#halt} are rewritten to
+ * throw {@link wharfhinge.worker.api.ExitRefused}, because a security manager, which could refuse them, is not available
+ * after Java 17. Reflection bypasses this; docs/design/worker.md lists what cannot be prevented.
  */
 final class PackageLoader extends ClassLoader {
     private static final String API_PACKAGE = "wharfhinge.worker.api.";
--- a/worker/src/main/java/wharfhinge/worker/copy/Regions.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/Regions.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Memory of copies: private mappings of one empty file, {@value #NAME}, each made resident page by page. Not the Java heap,
- * which keeps what it once had, and not {@code malloc}, which may: a mapping is given back to the system whole when it is
- * closed, and shows by its file's name in {@code /proc/PID/smaps}, so that anybody can check the books from outside. Any
- * thread.
+ * Memory of copies: private mappings of one empty file, {@value #FILE_NAME}, each made resident page by page. Neither the Java
+ * heap nor {@code malloc} is used, as both may keep freed memory. A mapping is returned to the system completely when it is
+ * closed, and is listed under its file name in {@code /proc/PID/smaps}, so that the memory accounting can be checked from
+ * outside the process. Thread-safe.
  */
 public final class Regions implements AutoCloseable {
-    /** The file that is mapped. */
+    /** Name of the file that is mapped. */
     public static final String FILE_NAME = "copies.map";
 
     private static final long BYTES_PER_KB = 1024;
@@ -30,7 +30,7 @@
     private final AtomicLong residentKb = new AtomicLong();
     private final AtomicLong mappedKb = new AtomicLong();
 
-    /** Uses a file in {@code folder}, which holds no bytes and is unlinked at once. */
+    /** Creates the file in {@code folder}, without content, and unlinks it at once. */
     public Regions(Path folder) throws IOException {
         Path path = Files.createDirectories(folder).resolve(FILE_NAME);
         Files.deleteIfExists(path);
@@ -38,7 +38,7 @@
         Files.delete(path);
     }
 
-    /** Memory of one copy. */
+    /** The memory of one copy. */
     public final class Region implements AutoCloseable {
         private final MappedByteBuffer memory;
         private final long sizeKb;
@@ -50,24 +50,24 @@
             this.sizeKb = sizeKb;
         }
 
-        /** What a function gets: another buffer over the same memory. */
+        /** A buffer over the memory, for the function. */
         ByteBuffer view() {
             return memory.duplicate();
         }
 
-        /** Makes all pages resident; takes core time. */
+        /** Makes all pages resident, which takes processor time. */
         void touch() {
             for (int from = 0; from < memory.capacity(); from += TOUCH_STEP_BYTES) {
                 int to = Math.min(memory.capacity(), from + TOUCH_STEP_BYTES);
                 for (int offset = from; offset < to; offset += PAGE_BYTES) {
-                    memory.put(offset, (byte) 0); // a write, else the page stays the file's
+                    memory.put(offset, (byte) 0); // only a write makes a private page; a read would map the file's page
                 }
                 touchedKb += (to - from) / BYTES_PER_KB;
                 residentKb.addAndGet((to - from) / BYTES_PER_KB);
             }
         }
 
-        /** Gives the memory back. Nothing may touch it from now on. */
+        /** Releases the memory. It must not be accessed any more. */
         @Override
         public void close() {
             if (!closed) {
@@ -79,23 +79,24 @@
         }
     }
 
-    /** Maps memory; nothing of it is resident yet. */
+    /** Maps memory, none of which is resident yet. */
     public Region map(long sizeKb) throws IOException {
         long bytes = sizeKb * BYTES_PER_KB;
         MappedByteBuffer memory;
         synchronized (file) {
-            memory = file.map(FileChannel.MapMode.PRIVATE, 0, bytes); // lengthens the file, without blocks on disk
+            memory = file.map(
+                    FileChannel.MapMode.PRIVATE, 0, bytes); // extends the file without allocating blocks on disk
         }
         mappedKb.addAndGet(sizeKb);
         return new Region(memory, sizeKb);
     }
 
-    /** KiB that are resident now, to within the 64 KiB that each load may be at. */
+    /** Resident memory in KiB, exact to 64 KiB for each load in progress. */
     public long residentKb() {
         return residentKb.get();
     }
 
-    /** KiB mapped now. */
+    /** Mapped memory in KiB. */
     public long mappedKb() {
         return mappedKb.get();
     }
@@ -105,12 +106,12 @@
         file.close();
     }
 
-    /** The JDK has no public call for this before its version 22; {@code jdk.unsupported} does. */
+    /** Unmaps through {@code jdk.unsupported}, since the JDK has no public method for it before version 22. */
     private static void unmap(MappedByteBuffer memory) {
         try {
             INVOKE_CLEANER.invoke(UNSAFE, memory);
         } catch (IllegalAccessException | InvocationTargetException e) {
-            throw new IllegalStateException("can't unmap", e);
+            throw new IllegalStateException("cannot unmap the memory of a copy", e);
         }
     }
 
--- a/worker/src/main/java/wharfhinge/worker/copy/package-info.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/package-info.java
@@ -1,2 +1,2 @@
-/** One copy of a function: its memory, its classes, its threads. */
+/** A loaded copy of a function: its memory, classes and threads. */
 package wharfhinge.worker.copy;
--- a/worker/src/main/java/wharfhinge/worker/image/ImageCache.java
+++ b/worker/src/main/java/wharfhinge/worker/image/ImageCache.java
@@ -17,15 +17,16 @@
 import java.util.stream.Stream;
 
 /**
- * Packages on disk, {@code NAME@SHA256.pkg}, bounded by bytes; those used longest ago go first. A file gets that name only by
- * a rename after it was written, checked and forced to disk, so that a half-written one is never taken for whole, whenever
- * the process ends; what was fetched of it so far is {@code .part} and goes on where it broke, also after a restart. Any
- * thread; each function's files are written by one at a time, which {@link Images} sees to.
+ * Cache of packages on disk, as files {@code NAME@SHA256.pkg}. Its total size is limited; the least recently used files are
+ * evicted first. A file gets this name by a rename, only after it was written, verified and forced to disk, so that an
+ * incomplete file is never used, whenever the process ends. An incomplete fetch is kept as {@code .part} and can be resumed,
+ * also after a restart. Thread-safe, provided that only one thread writes the files of a function at a time, which
+ * {@link Images} ensures.
  */
 public final class ImageCache {
     private static final Pattern FILE_NAME = Pattern.compile("([A-Za-z0-9._-]{1,128})@([0-9a-f]{64})\\.(pkg|part)");
 
-    /** Opens a file for writing; tests put a disk that is full in its place. */
+    /** Opens a file for writing; tests replace it to simulate a full disk. */
     interface FileOpener {
         OutputStream openForAppend(Path file) throws IOException;
     }
@@ -36,7 +37,7 @@
     private final long maxBytes;
     private final FileOpener fileOpener;
 
-    /** Uses a folder, which is made where it is missing. Files in it that are not images are left alone. */
+    /** Creates a cache in a folder, which is created if it is missing. Files in it that are not images are left unchanged. */
     public ImageCache(Path folder, long maxBytes) throws IOException {
         this(
                 folder,
@@ -51,7 +52,7 @@
         evictFor(0);
     }
 
-    /** The digest of the image of a function that was used last, or null. */
+    /** The digest of a function's most recently used image, or null. */
     String newestDigest(String function) throws IOException {
         return list().stream()
                 .filter(e -> e.path.getFileName().toString().startsWith(function + '@')
@@ -66,20 +67,23 @@
         return matcher.matches() ? matcher.group(2) : null;
     }
 
-    /** A whole image; marks it used. After a step of the wall clock another image may be evicted first, and is fetched again. */
+    /**
+     * The file of a complete image, which is marked as used. The mark is wall-clock time: after a step of the clock another image
+     * than the least recently used may be evicted, and must be fetched again.
+     */
     Path openImage(String function, String sha256) throws IOException {
         Path file = path(function, sha256, "pkg");
         Files.setLastModifiedTime(file, FileTime.fromMillis(System.currentTimeMillis()));
         return file;
     }
 
-    /** How much of an image is there already. */
+    /** Number of bytes of an incomplete image that are on disk. */
     long partialSize(String function, String sha256) throws IOException {
         Path partial = path(function, sha256, "part");
         return Files.exists(partial) ? Files.size(partial) : 0;
     }
 
-    /** Takes more of an image, after what is there; makes room for the whole first. */
+    /** Opens an incomplete image to append to it, after evicting other images to make room for all of it. */
     OutputStream append(String function, String sha256, long totalSize) throws IOException {
         if (totalSize > maxBytes) {
             throw new IOException("image of " + totalSize + " bytes, the cache holds " + maxBytes);
@@ -88,17 +92,17 @@
         return fileOpener.openForAppend(path(function, sha256, "part"));
     }
 
-    /** What was fetched is not to be used. */
+    /** Deletes an incomplete image. */
     void deletePartial(String function, String sha256) throws IOException {
         Files.deleteIfExists(path(function, sha256, "part"));
     }
 
-    /** The part to be checked before {@link #complete}. */
+    /** The file of a fetched image that is to be verified before {@link #complete}. */
     Path partialFile(String function, String sha256) {
         return path(function, sha256, "part");
     }
 
-    /** A part was found whole: forced to disk and renamed, and older images of the function are dropped. */
+    /** Makes a verified image available: forces it to disk, renames it and deletes other images of the function. */
     void complete(String function, String sha256) throws IOException {
         Path partial = path(function, sha256, "part");
         try (FileChannel channel = FileChannel.open(partial, StandardOpenOption.WRITE)) {
@@ -114,12 +118,12 @@
         }
     }
 
-    /** An image was found damaged, or withdrawn. */
+    /** Deletes an image that is damaged or was withdrawn from the store. */
     void delete(String function, String sha256) throws IOException {
         Files.deleteIfExists(path(function, sha256, "pkg"));
     }
 
-    /** Bytes on disk. */
+    /** Total size of all files of the cache. */
     public long totalBytes() throws IOException {
         return list().stream().mapToLong(Entry::size).sum();
     }
@@ -153,7 +157,7 @@
             try {
                 entries.add(new Entry(file, Files.size(file), Files.getLastModifiedTime(file)));
             } catch (java.nio.file.NoSuchFileException e) {
-                continue; // dropped meanwhile
+                continue; // deleted in the meantime
             }
         }
         return entries;
--- a/worker/src/main/java/wharfhinge/worker/image/Images.java
+++ b/worker/src/main/java/wharfhinge/worker/image/Images.java
@@ -18,9 +18,10 @@
 import wharfhinge.worker.pack.PackageReader;
 
 /**
- * Gives checked packages by function name. Two that want one function at once share one fetch. What is on disk is used
- * without asking while it is fresh, and also when the store does not answer, turns away or breaks; it is checked anew at
- * each use, since disks rot, and a damaged one is dropped and fetched again.
+ * Provides verified packages by function name. Concurrent requests for one function share one fetch. An image on disk is used
+ * without asking the store while it is fresh, and also if the store does not answer, rejects the request or breaks off its
+ * response. It is verified again at each use, since data on disk may become corrupt; a damaged image is deleted and fetched
+ * again.
  */
 public final class Images {
     private final ImageCache cache;
@@ -32,19 +33,19 @@
     private final Map<String, Long> storeCheckedAt = new ConcurrentHashMap<>();
 
     /**
-     * A checked package and what it took.
+     * A verified package and the time that it took to provide it.
      *
-     * @param fetchNanos  waiting for the store, 0 where nothing was fetched
-     * @param verifyNanos reading and checking
+     * @param fetchNanos  time spent waiting for the store; 0 if the image was used without its answer
+     * @param verifyNanos time spent reading and verifying
      */
     public record Image(String sha256, PackageReader.Contents contents, long fetchNanos, long verifyNanos) {}
 
     /**
-     * Images from a store.
+     * Creates a source of images that fetches from a store.
      *
-     * @param trusted keys of publishers; empty takes unsigned packages
-     * @param fetchNanos limit of a fetch with all its tries
-     * @param freshNanos how long what is on disk is used without asking the store
+     * @param trustedKeys       keys of trusted publishers; if empty, unsigned packages are accepted
+     * @param fetchTimeoutNanos limit of a fetch with all its retries
+     * @param freshNanos        how long an image on disk is used without asking the store
      */
     public Images(
             ImageCache cache, String storeUrl, List<PublicKey> trustedKeys, long fetchTimeoutNanos, long freshNanos) {
@@ -55,7 +56,7 @@
         this.freshNanos = freshNanos;
     }
 
-    /** Blocks until a function's package is there and checked. */
+    /** Returns the verified package of a function. Blocks while it is fetched. */
     public Image get(String function) throws LoadFailedException {
         CompletableFuture<Image> ownFetch = new CompletableFuture<>();
         CompletableFuture<Image> otherFetch = fetchesInProgress.putIfAbsent(function, ownFetch);
@@ -118,13 +119,13 @@
             };
         } catch (IOException e) {
             if (diskImage != null) {
-                return diskImage; // better what there was than nothing; the store is asked again next time
+                return diskImage; // an older image is better than none; the next load asks the store again
             }
             throw e;
         }
     }
 
-    /** With an image at hand a store in trouble is not waited for as long. */
+    /** The fetch time-out, which is shorter if an image on disk can be used instead. */
     private long fetchTimeoutNanos(Image diskImage) {
         return diskImage == null ? fetchTimeoutNanos : fetchTimeoutNanos / 4;
     }
@@ -132,10 +133,10 @@
     private Image readFromDisk(String function, String sha256) throws IOException {
         long startedAt = System.nanoTime();
         try {
-            PackageReader.Contents contents = check(cache.openImage(function, sha256), sha256);
+            PackageReader.Contents contents = verify(cache.openImage(function, sha256), sha256);
             return new Image(sha256, contents, 0, System.nanoTime() - startedAt);
         } catch (InvalidPackageException | IOException e) {
-            cache.delete(function, sha256); // damaged on disk, or of a publisher who is trusted no more
+            cache.delete(function, sha256); // damaged, or signed by a publisher that is no longer trusted
             return null;
         }
     }
@@ -144,17 +145,17 @@
             throws IOException, LoadFailedException {
         long startedAt = System.nanoTime();
         try {
-            PackageReader.Contents contents = check(cache.partialFile(function, sha256), sha256);
+            PackageReader.Contents contents = verify(cache.partialFile(function, sha256), sha256);
             cache.complete(function, sha256);
             storeCheckedAt.put(function, System.nanoTime());
             return new Image(sha256, contents, elapsedNanos, System.nanoTime() - startedAt);
         } catch (InvalidPackageException e) {
             cache.deletePartial(function, sha256);
-            throw new LoadFailedException(function + ": package refused: " + e.getMessage(), e);
+            throw new LoadFailedException(function + ": package rejected: " + e.getMessage(), e);
         }
     }
 
-    private PackageReader.Contents check(Path file, String sha256) throws IOException, InvalidPackageException {
+    private PackageReader.Contents verify(Path file, String sha256) throws IOException, InvalidPackageException {
         MessageDigest digest = Digests.sha256();
         try (InputStream in =
                 new DigestInputStream(new BufferedInputStream(Files.newInputStream(file), 64 << 10), digest)) {
@@ -165,7 +166,7 @@
                 in.transferTo(java.io.OutputStream.nullOutputStream());
             }
             if (!Digests.hex(digest.digest()).equals(sha256)) {
-                throw new InvalidPackageException("file", "not what the store's entity tag says");
+                throw new InvalidPackageException("file", "digest differs from the store's entity tag");
             }
             return contents;
         }
--- a/worker/src/main/java/wharfhinge/worker/image/LoadFailedException.java
+++ b/worker/src/main/java/wharfhinge/worker/image/LoadFailedException.java
@@ -1,10 +1,10 @@
 package wharfhinge.worker.image;
 
-/** A function can't be had now; the message says why, for logs. */
+/** Thrown if the package of a function cannot be provided at present. The message gives the reason for logs. */
 public final class LoadFailedException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** With what is known of the cause. */
+    /** Creates an exception; the cause may be null. */
     public LoadFailedException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/worker/src/main/java/wharfhinge/worker/image/StoreClient.java
+++ b/worker/src/main/java/wharfhinge/worker/image/StoreClient.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Fetches packages from a store (docs/protocol-store.md). Blocks; the deadline bounds it as a whole, also against a store
- * that sends a byte now and then.
+ * Fetches packages from a package store (docs/protocol-store.md). Blocks. The deadline applies to the fetch as a whole, so
+ * that a store which sends only a byte now and then cannot prolong it.
  */
 final class StoreClient {
     private static final int CONNECT_TIMEOUT_MS = 500;
@@ -28,17 +28,17 @@
         this.cache = cache;
     }
 
-    /** What a fetch ended as. */
+    /** Result of a fetch. */
     enum Status {
         UNCHANGED,
         NEW,
         WITHDRAWN
     }
 
-    /** {@code sha256} is that of the image which is now to be checked (NEW) or stands (SAME). */
+    /** {@code sha256} is the digest of the image that was fetched and must be verified (NEW) or is still current (UNCHANGED). */
     record Result(Status status, String sha256) {}
 
-    /** The store turned a fetch away, or broke it. */
+    /** The store rejected a request or broke off its response; a further request may succeed. */
     private static final class RetryableException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Gets what the store has of a function.
+     * Fetches the current package of a function, with retries until the deadline.
      *
-     * @param known the digest of the image on disk, or null
-     * @param endNanos on {@link System#nanoTime}
+     * @param knownDigest   the digest of the image on disk, or null
+     * @param deadlineNanos on {@link System#nanoTime}
      */
     Result fetch(String function, String knownDigest, long deadlineNanos) throws IOException {
         String[] partialDigest = {null};
@@ -128,7 +128,7 @@
         }
         Matcher tagMatcher = TAG.matcher(String.valueOf(connection.getHeaderField("ETag")));
         if (!tagMatcher.matches()) {
-            throw new RetryableException("store: no entity tag of a SHA-256");
+            throw new RetryableException("store: entity tag is not a SHA-256 digest");
         }
         String digest = tagMatcher.group(1);
         long totalBytes = connection.getContentLengthLong();
@@ -137,12 +137,12 @@
             if (!range.matches()
                     || !digest.equals(partialDigest[0])
                     || Long.parseLong(range.group(1)) != cache.partialSize(function, digest)) {
-                throw new RetryableException("store: another range than asked for");
+                throw new RetryableException("store: response has another range than requested");
             }
             totalBytes = Long.parseLong(range.group(2));
         } else if (!digest.equals(partialDigest[0]) && cache.partialSize(function, digest) > 0) {
-            partialDigest[0] = digest; // left by an earlier process: ask again for the rest alone
-            throw new RetryableException("store: resumed");
+            partialDigest[0] = digest; // left by an earlier process: request only the rest
+            throw new RetryableException("store: resuming an earlier fetch");
         } else {
             cache.deletePartial(function, digest);
         }
@@ -159,17 +159,18 @@
             for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
                 write(out, buffer, count);
                 if (System.nanoTime() > deadlineNanos) {
-                    throw new IOException("fetch took too long");
+                    throw new IOException("store: fetch exceeded its deadline");
                 }
             }
         }
         long receivedBytes = cache.partialSize(function, digest);
         if (receivedBytes < totalBytes) {
-            throw new RetryableException("store: broke off at " + receivedBytes + " of " + totalBytes);
+            throw new RetryableException(
+                    "store: response truncated, bytes received: " + receivedBytes + " of " + totalBytes);
         }
     }
 
-    /** The disk's trouble, which no further fetch mends. */
+    /** An error of the disk, which a retry would not resolve. */
     static final class DiskException extends IOException {
         private static final long serialVersionUID = 1;
 
--- a/worker/src/main/java/wharfhinge/worker/image/package-info.java
+++ b/worker/src/main/java/wharfhinge/worker/image/package-info.java
@@ -1,2 +1,2 @@
-/** From a function's name to a checked package: the cache on disk and the fetches. */
+/** Provides verified packages by function name: the image cache on disk and the client of the package store. */
 package wharfhinge.worker.image;
--- a/worker/src/main/java/wharfhinge/worker/pack/Digests.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/Digests.java
@@ -4,12 +4,12 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256, which every JDK has. */
+/** SHA-256 digests. */
 public final class Digests {
 
     private Digests() {}
 
-    /** A digest to be fed. */
+    /** A new SHA-256 digest. */
     public static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
@@ -18,12 +18,12 @@
         }
     }
 
-    /** In hexadecimal. */
+    /** Formats a digest in hexadecimal. */
     public static String hex(byte[] digest) {
         return HexFormat.of().formatHex(digest);
     }
 
-    /** The digest of all bytes, in hexadecimal. */
+    /** The digest of the bytes, in hexadecimal. */
     public static String of(byte[] bytes) {
         return hex(sha256().digest(bytes));
     }
--- a/worker/src/main/java/wharfhinge/worker/pack/Keys.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/Keys.java
@@ -17,14 +17,14 @@
 import java.security.spec.X509EncodedKeySpec;
 import java.util.Base64;
 
-/** Ed25519 keys of publishers, in PEM files, and signatures by them. Private keys are never shown or logged. */
+/** Ed25519 keys of publishers in PEM files, and signatures made with them. Private keys are never printed or logged. */
 public final class Keys {
     private static final String ALGORITHM = "Ed25519";
     private static final Base64.Encoder PEM_BASE64 = Base64.getMimeEncoder(64, new byte[] {'\n'});
 
     private Keys() {}
 
-    /** Makes a pair and writes {@code file} (private, for its owner alone) and {@code file.pub}; neither may exist. */
+    /** Generates a key pair and writes {@code file} (private, readable only by its owner) and {@code file.pub}; neither may exist. */
     public static void generate(Path file) throws IOException {
         try {
             KeyPair pair = KeyPairGenerator.getInstance(ALGORITHM).generateKeyPair();
@@ -39,23 +39,31 @@
         }
     }
 
-    /** Reads a private key. @throws IOException where the file is none, without showing it */
+    /**
+     * Reads a private key.
+     *
+     * @throws IOException if the file holds no private key; the message does not show the content
+     */
     public static PrivateKey privateKey(Path file) throws IOException {
         try {
             return KeyFactory.getInstance(ALGORITHM)
                     .generatePrivate(new PKCS8EncodedKeySpec(pemBody(file, "PRIVATE KEY")));
         } catch (GeneralSecurityException e) {
-            throw new IOException(file + ": no Ed25519 private key");
+            throw new IOException(file + ": not an Ed25519 private key");
         }
     }
 
-    /** Reads a public key. @throws IOException where the file is none */
+    /**
+     * Reads a public key.
+     *
+     * @throws IOException if the file holds no public key
+     */
     public static PublicKey publicKey(Path file) throws IOException {
         try {
             return KeyFactory.getInstance(ALGORITHM)
                     .generatePublic(new X509EncodedKeySpec(pemBody(file, "PUBLIC KEY")));
         } catch (GeneralSecurityException e) {
-            throw new IOException(file + ": no Ed25519 public key");
+            throw new IOException(file + ": not an Ed25519 public key");
         }
     }
 
@@ -69,16 +77,16 @@
         String begin = "-----BEGIN " + keyType + "-----";
         String end = "-----END " + keyType + "-----";
         if (!text.startsWith(begin) || !text.endsWith(end)) {
-            throw new IOException(file + ": no PEM file of a " + keyType.toLowerCase(java.util.Locale.ROOT));
+            throw new IOException(file + ": not a PEM file of a " + keyType.toLowerCase(java.util.Locale.ROOT));
         }
         try {
             return Base64.getMimeDecoder().decode(text.substring(begin.length(), text.length() - end.length()));
         } catch (IllegalArgumentException e) {
-            throw new IOException(file + ": not in base 64");
+            throw new IOException(file + ": invalid Base64");
         }
     }
 
-    /** Signs. */
+    /** Signs the bytes. */
     public static byte[] sign(PrivateKey key, byte[] bytes) {
         try {
             Signature signature = Signature.getInstance(ALGORITHM);
@@ -90,7 +98,7 @@
         }
     }
 
-    /** Whether {@code signature} is the key's of these bytes; false also where it is malformed. */
+    /** Whether {@code signature} is a signature of the bytes by the key; false if it is malformed. */
     public static boolean verify(PublicKey key, byte[] bytes, byte[] signature) {
         try {
             Signature check = Signature.getInstance(ALGORITHM);
--- a/worker/src/main/java/wharfhinge/worker/pack/Manifest.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/Manifest.java
@@ -10,16 +10,17 @@
 import java.util.regex.Pattern;
 
 /**
- * What a package says of itself: the text file {@value #NAME}, its first entry. The first line is {@value #HEAD}; then one
- * {@code name=value} a line, each known name once, then {@code file=SHA256 SIZE PATH} for each file. It is what a publisher
- * signs, so that the signature covers every byte of the package.
+ * The manifest of a package: the text file {@value #NAME}, its first entry. The first line is {@value #FORMAT_LINE}; then
+ * follow lines {@code name=value}, each known name once, and a line {@code file=SHA256 SIZE PATH} for each file. The publisher
+ * signs the manifest, so that the signature covers every byte of the package.
  *
- * @param memoryMb memory of a copy, MB
- * @param lanes    calls that a copy runs at a time
- * @param effect   what a repeat does: {@code idempotent}, {@code keyed} or {@code at-most-once}
- * @param callMillis   a call's limit
- * @param startMillis  limit of a copy's start
- * @param files    files by path
+ * @param entry       name of the class that implements the function
+ * @param memoryMb    memory of a copy in MB
+ * @param slots       number of calls that a copy runs concurrently; {@code lanes} in the file
+ * @param effect      whether calls may be repeated: {@code idempotent}, {@code keyed} or {@code at-most-once}
+ * @param callMillis  time limit of a call
+ * @param startMillis time limit of a copy's start
+ * @param files       files by path
  */
 public record Manifest(
         String name,
@@ -31,19 +32,19 @@
         int callMillis,
         int startMillis,
         Map<String, FileEntry> files) {
-    /** Its file. */
+    /** Name of the manifest's entry in a package. */
     public static final String NAME = "manifest";
-    /** Its first line: the format and its version. */
+    /** The first line: the format and its version. */
     public static final String FORMAT_LINE = "wharfhinge-package 1";
-    /** Its longest. */
+    /** Maximum size of a manifest. */
     public static final int MAX_BYTES = 256 << 10;
-    /** Most memory of a copy: what one mapping can hold. */
+    /** Maximum memory of a copy: the limit of one mapping. */
     public static final int MAX_MEMORY_MB = 2047;
-    /** Most lanes of a copy. */
+    /** Maximum number of slots of a copy. */
     public static final int MAX_SLOTS = 256;
-    /** Most of all files together, unpacked. */
+    /** Maximum total size of all files, unpacked. */
     public static final long MAX_CONTENT_BYTES = 256L << 20;
-    /** Most files. */
+    /** Maximum number of files. */
     public static final int MAX_FILES = 2000;
 
     private static final Pattern WORD = Pattern.compile("[A-Za-z0-9._-]{1,128}");
@@ -54,13 +55,13 @@
     private static final Pattern PATH = Pattern.compile("classes(/[A-Za-z0-9_$.-]{1,255}){1,32}");
     private static final int MAX_LIMIT_MS = 3_600_000;
 
-    /** A file's digest, in hexadecimal, and its size unpacked. */
+    /** Digest of a file in hexadecimal and its size, unpacked. */
     public record FileEntry(String sha256, long size) {}
 
     /**
-     * Reads a manifest.
+     * Parses a manifest.
      *
-     * @throws InvalidPackageException names the line, what it held and what is allowed
+     * @throws InvalidPackageException with the line, what was found and what is allowed
      */
     public static Manifest parse(byte[] bytes) throws InvalidPackageException {
         if (bytes.length > MAX_BYTES) {
@@ -73,7 +74,7 @@
                     .decode(ByteBuffer.wrap(bytes))
                     .toString();
         } catch (CharacterCodingException e) {
-            throw new InvalidPackageException(NAME, "found bytes that are no UTF-8");
+            throw new InvalidPackageException(NAME, "found bytes that are not UTF-8");
         }
         String[] lines = text.split("\n", -1);
         if (!lines[0].equals(FORMAT_LINE)) {
@@ -89,14 +90,14 @@
             parseLine("line " + (i + 1), lines[i], fields, files);
         }
         Manifest manifest = new Manifest(
-                text(fields, "name", WORD),
-                text(fields, "version", WORD),
-                text(fields, "entry", CLASS_NAME),
-                number(fields, "memory-mb", MAX_MEMORY_MB),
-                number(fields, "lanes", MAX_SLOTS),
-                text(fields, "effect", EFFECT),
-                number(fields, "call-ms", MAX_LIMIT_MS),
-                number(fields, "start-ms", MAX_LIMIT_MS),
+                takeText(fields, "name", WORD),
+                takeText(fields, "version", WORD),
+                takeText(fields, "entry", CLASS_NAME),
+                takeNumber(fields, "memory-mb", MAX_MEMORY_MB),
+                takeNumber(fields, "lanes", MAX_SLOTS),
+                takeText(fields, "effect", EFFECT),
+                takeNumber(fields, "call-ms", MAX_LIMIT_MS),
+                takeNumber(fields, "start-ms", MAX_LIMIT_MS),
                 Collections.unmodifiableMap(files));
         if (!fields.isEmpty()) {
             throw new InvalidPackageException(NAME, "found unknown names " + fields.keySet());
@@ -144,7 +145,7 @@
         }
     }
 
-    /** A path must stay below {@code classes/} whatever reads it. */
+    /** Rejects a path that could lead outside {@code classes/}, whatever program interprets it. */
     static void checkPath(String place, String path) throws InvalidPackageException {
         boolean hasDotSegment = false;
         for (String part : path.split("/", -1)) {
@@ -154,11 +155,11 @@
             throw new InvalidPackageException(
                     place,
                     "found path '" + printable(path)
-                            + "', allowed: classes/ and names of letters, digits, '_', '$', '.', '-', that do not climb");
+                            + "', allowed: classes/ and names of letters, digits, '_', '$', '.', '-', without dot segments");
         }
     }
 
-    private static String text(Map<String, String> fields, String name, Pattern allowed)
+    private static String takeText(Map<String, String> fields, String name, Pattern allowed)
             throws InvalidPackageException {
         String value = fields.remove(name);
         if (value == null) {
@@ -170,7 +171,7 @@
         return value;
     }
 
-    private static int number(Map<String, String> fields, String name, int max) throws InvalidPackageException {
+    private static int takeNumber(Map<String, String> fields, String name, int max) throws InvalidPackageException {
         String value = fields.remove(name);
         int number = value != null && value.matches("[0-9]{1,9}") ? Integer.parseInt(value) : 0;
         if (number < 1 || number > max) {
@@ -179,7 +180,7 @@
         return number;
     }
 
-    /** Hostile text is shown short and plain. */
+    /** Shortens untrusted text and replaces characters outside printable ASCII, for error messages. */
     private static String printable(String value) {
         if (value == null) {
             return "nothing";
@@ -188,7 +189,7 @@
         return cut.replaceAll("[^\\x20-\\x7e]", "?");
     }
 
-    /** Writes it; {@link #parse} of that gives the same. */
+    /** Formats the manifest; {@link #parse} of the result gives an equal manifest. */
     public byte[] format() {
         StringBuilder text = new StringBuilder(FORMAT_LINE).append('\n');
         text.append("name=")
--- a/worker/src/main/java/wharfhinge/worker/pack/PackageBuilder.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/PackageBuilder.java
@@ -14,13 +14,13 @@
 import java.util.zip.ZipEntry;
 import java.util.zip.ZipOutputStream;
 
-/** Builds packages: the same input gives the same bytes. */
+/** Builds packages. The same input always gives the same bytes. */
 public final class PackageBuilder {
-    private static final long ENTRY_TIME_MILLIS = 315_532_800_000L; // 1980: zips know no earlier
+    private static final long ENTRY_TIME_MILLIS = 315_532_800_000L; // 1980, the earliest time of the zip format
 
     private PackageBuilder() {}
 
-    /** The class files below a folder, by their paths in a package. */
+    /** The files below a folder by their paths in a package. */
     public static Map<String, byte[]> classes(Path folder) throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
         List<Path> found;
@@ -36,10 +36,10 @@
     /**
      * Writes a package.
      *
-     * @param about what is said of it; its files are ignored
-     * @param key   signs it, or null
-     * @return the manifest as it stands in the package
-     * @throws InvalidPackageException where a worker would refuse it
+     * @param description the manifest without files; files in it are ignored
+     * @param key         key to sign with; null for an unsigned package
+     * @return the manifest of the package
+     * @throws InvalidPackageException if a worker would reject the package
      */
     public static Manifest write(Manifest description, Map<String, byte[]> files, PrivateKey key, OutputStream out)
             throws IOException, InvalidPackageException {
--- a/worker/src/main/java/wharfhinge/worker/pack/PackageReader.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/PackageReader.java
@@ -13,34 +13,34 @@
 import java.util.zip.ZipInputStream;
 
 /**
- * Reads and checks a package: a zip whose first entry is the {@link Manifest}, whose second may be {@value #SIGNATURE}, and
- * whose others are exactly the files that the manifest lists. It is read as a stream, so that no directory at its end can
- * say otherwise; nothing is written to disk, and no more is kept than the manifest states, so that a bomb costs its stated
- * size at most, which is bounded.
+ * Reads and verifies a package: a zip file whose first entry is the {@link Manifest}, whose second may be {@value #SIGNATURE},
+ * and whose further entries are exactly the files listed in the manifest. It is read as a stream, so that a different central
+ * directory at its end has no effect. Nothing is written to disk, and no more is kept than the manifest states, so that a zip
+ * bomb costs no more than its stated size, which is limited.
  */
 public final class PackageReader {
-    /** The entry that holds the manifest's signature: 64 bytes. */
+    /** Name of the entry that holds the signature of the manifest, 64 bytes. */
     public static final String SIGNATURE = "signature";
 
     private static final int SIGNATURE_BYTES = 64;
 
     private PackageReader() {}
 
-    /** A package that was found whole. {@code contents} by path. */
+    /** The contents of a verified package; {@code files} by path. */
     public record Contents(Manifest manifest, boolean signed, Map<String, byte[]> files) {}
 
     /**
      * Reads a package to its end.
      *
-     * @param trusted keys of which one must have signed it; empty asks for no signature
-     * @throws InvalidPackageException names the entry and the reason
+     * @param trustedKeys keys one of which must have signed the package; if empty, no signature is required
+     * @throws InvalidPackageException with the entry and the reason
      */
     public static Contents read(InputStream in, List<PublicKey> trustedKeys)
             throws IOException, InvalidPackageException {
         try {
             return readEntries(new ZipInputStream(in), trustedKeys);
         } catch (ZipException | EOFException | IllegalArgumentException e) {
-            throw new InvalidPackageException("zip", "broken: " + e.getMessage());
+            throw new InvalidPackageException("zip", "malformed: " + e.getMessage());
         }
     }
 
@@ -90,7 +90,7 @@
             return;
         }
         if (signature == null) {
-            throw new InvalidPackageException(SIGNATURE, "missing, and only signed packages are taken");
+            throw new InvalidPackageException(SIGNATURE, "missing, but only signed packages are accepted");
         }
         if (trustedKeys.stream().noneMatch(key -> Keys.verify(key, manifestBytes, signature))) {
             throw new InvalidPackageException(SIGNATURE, "by none of the " + trustedKeys.size() + " trusted keys");
--- a/worker/src/main/java/wharfhinge/worker/pack/package-info.java
+++ b/worker/src/main/java/wharfhinge/worker/pack/package-info.java
@@ -1,2 +1,2 @@
-/** Function packages: manifest, zip, digests, signatures. */
+/** Function packages: manifest, zip file, digests and signatures. */
 package wharfhinge.worker.pack;
--- a/worker/src/main/java/wharfhinge/worker/package-info.java
+++ b/worker/src/main/java/wharfhinge/worker/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The project's own worker runtime: fetches signed packages, holds copies in real memory, runs calls on them and keeps honest
- * books. {@code docs/design/worker.md} weighs it, {@code docs/protocol-worker.md} is what it speaks.
+ * The worker runtime: fetches signed packages, loads copies of functions into memory of their own, runs calls on them and
+ * accounts for that memory. {@code docs/design/worker.md} describes the design, {@code docs/protocol-worker.md} the protocol.
  */
 @XmlSchema(namespace = "urn:wharfhinge:worker:1", elementFormDefault = XmlNsForm.QUALIFIED)
 package wharfhinge.worker;
--- a/worker/src/main/java/wharfhinge/worker/store/ByteRange.java
+++ b/worker/src/main/java/wharfhinge/worker/store/ByteRange.java
@@ -1,7 +1,7 @@
 package wharfhinge.worker.store;
 
 /**
- * The part of a file that a {@code Range} header asks for.
+ * The part of a file that a {@code Range} header requests.
  *
  * @param from first byte
  * @param to   last byte
@@ -9,12 +9,12 @@
 public record ByteRange(long from, long to) {
     private static final String UNIT = "bytes=";
 
-    /** The whole file, since the header is absent, of another unit, malformed or of several parts (RFC 9110, 14.2). */
+    /** The whole file: the header is absent, malformed, in another unit or has several ranges (RFC 9110, 14.2). */
     public static final ByteRange WHOLE_FILE = new ByteRange(-1, -1);
-    /** The header is well formed but lies behind the end of the file: status 416. */
+    /** The header is well-formed, but the range starts after the end of the file: status 416. */
     public static final ByteRange UNSATISFIABLE = new ByteRange(-2, -2);
 
-    /** Reads a header's value, which may be null, for a file of {@code size} bytes. */
+    /** Parses the value of a header, which may be null, for a file of {@code size} bytes. */
     public static ByteRange parse(String header, long size) {
         if (header == null || !header.startsWith(UNIT)) {
             return WHOLE_FILE;
@@ -29,7 +29,7 @@
         if (from == MALFORMED || to == MALFORMED || from == ABSENT && to == ABSENT) {
             return WHOLE_FILE;
         }
-        if (from == ABSENT) { // the last so many
+        if (from == ABSENT) { // suffix range: the last "to" bytes
             return to == 0 || size == 0 ? UNSATISFIABLE : new ByteRange(Math.max(0, size - to), size - 1);
         }
         if (to != ABSENT && to < from) {
@@ -50,7 +50,7 @@
                 : MALFORMED;
     }
 
-    /** How many bytes. */
+    /** Number of bytes. */
     public long length() {
         return to - from + 1;
     }
--- a/worker/src/main/java/wharfhinge/worker/store/Store.java
+++ b/worker/src/main/java/wharfhinge/worker/store/Store.java
@@ -38,16 +38,16 @@
 import wharfhinge.worker.pack.Digests;
 
 /**
- * Serves {@code NAME.pkg} files of a folder as {@code /packages/NAME}: whole or a range, with the file's SHA-256 as its
- * strong entity tag, which a worker also checks what it got against. Past the set number of fetches in hand it turns away
- * with 503 and {@code Retry-After}, so that those in hand go on at their pace. A file replaced by a rename while it is
- * fetched goes on as it was.
+ * Serves the {@code NAME.pkg} files of a folder as {@code /packages/NAME}, whole or as a range. The strong entity tag is the
+ * SHA-256 of the file, which workers also use to verify what they fetched. Fetches beyond the maximum in progress are rejected
+ * with 503 and {@code Retry-After}, so that they do not slow down the others. If a file is replaced by a rename during a
+ * fetch, the fetch continues with the old file.
  */
 public final class Store implements AutoCloseable {
-    /** Where packages are found. */
+    /** Path prefix of packages. */
     public static final String PATH = "/packages/";
 
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_-][A-Za-z0-9._-]{0,127}");
+    private static final Pattern PACKAGE_NAME = Pattern.compile("[A-Za-z0-9_-][A-Za-z0-9._-]{0,127}");
     private static final int IDLE_TIMEOUT_S = 30;
     private static final int MAX_CACHED_TAGS = 1024;
 
@@ -66,7 +66,7 @@
         }
     };
 
-    /** Listens on loopback; port 0 takes any. {@code group} stays the caller's. */
+    /** Listens on loopback; port 0 takes any free port. The caller shuts down {@code group}. */
     public Store(EventLoopGroup group, int port, Path folder, int maxFetches) {
         this.folder = folder;
         this.maxFetches = maxFetches;
@@ -91,7 +91,7 @@
                 .channel();
     }
 
-    /** Where it listens. */
+    /** The port that the store listens on. */
     public int port() {
         return ((InetSocketAddress) listenChannel.localAddress()).getPort();
     }
@@ -101,12 +101,12 @@
         listenChannel.close().syncUninterruptibly();
     }
 
-    /** A file's digest; computed once for each state of it. */
+    /** The digest of a file, cached until its size or modification time changes. */
     private String sha256(Path file, long size, long modified) throws IOException {
         synchronized (tags) {
-            EntityTag known = tags.get(file);
-            if (known != null && known.size == size && known.modified == modified) {
-                return known.sha256;
+            EntityTag cachedTag = tags.get(file);
+            if (cachedTag != null && cachedTag.size == size && cachedTag.modified == modified) {
+                return cachedTag.sha256;
             }
         }
         MessageDigest digest = Digests.sha256();
@@ -131,7 +131,7 @@
                     request.method().equals(HttpMethod.GET) || request.method().equals(HttpMethod.HEAD);
             if (!isRead) {
                 writeEmpty(context, HttpResponseStatus.METHOD_NOT_ALLOWED, null);
-            } else if (!NAME.matcher(name).matches() || !Files.isRegularFile(file)) {
+            } else if (!PACKAGE_NAME.matcher(name).matches() || !Files.isRegularFile(file)) {
                 writeEmpty(context, HttpResponseStatus.NOT_FOUND, null);
             } else if (fetchesInProgress.incrementAndGet() > maxFetches) {
                 fetchesInProgress.decrementAndGet();
@@ -146,20 +146,20 @@
 
         private void serve(ChannelHandlerContext context, FullHttpRequest request, File file) throws IOException {
             String tag = '"' + sha256(file.toPath(), file.length(), file.lastModified()) + '"';
-            String known = request.headers().get(HttpHeaderNames.IF_NONE_MATCH);
-            if (known != null && (known.equals("*") || known.contains(tag))) {
-                fetchEnded();
+            String ifNoneMatch = request.headers().get(HttpHeaderNames.IF_NONE_MATCH);
+            if (ifNoneMatch != null && (ifNoneMatch.equals("*") || ifNoneMatch.contains(tag))) {
+                onFetchEnded();
                 writeEmpty(context, HttpResponseStatus.NOT_MODIFIED, tag);
                 return;
             }
             long size = file.length();
-            String condition = request.headers().get(HttpHeaderNames.IF_RANGE);
-            boolean isSameVersion = condition == null || condition.equals(tag);
+            String ifRange = request.headers().get(HttpHeaderNames.IF_RANGE);
+            boolean isSameVersion = ifRange == null || ifRange.equals(tag);
             ByteRange range = isSameVersion
                     ? ByteRange.parse(request.headers().get(HttpHeaderNames.RANGE), size)
                     : ByteRange.WHOLE_FILE;
             if (range == ByteRange.UNSATISFIABLE) {
-                fetchEnded();
+                onFetchEnded();
                 DefaultFullHttpResponse unsatisfiable =
                         emptyResponse(HttpResponseStatus.REQUESTED_RANGE_NOT_SATISFIABLE);
                 unsatisfiable
@@ -189,14 +189,14 @@
                 context.write(new DefaultFileRegion(file, from, length));
             }
             context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
-                fetchEnded();
+                onFetchEnded();
                 if (!done.isSuccess()) {
                     context.close();
                 }
             });
         }
 
-        private void fetchEnded() {
+        private void onFetchEnded() {
             if (isInProgress) {
                 isInProgress = false;
                 fetchesInProgress.decrementAndGet();
@@ -222,13 +222,13 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof IdleStateEvent) {
-                context.close(); // also one that takes nothing of what it asked for
+                context.close(); // also a client that does not read the response
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            fetchEnded();
+            onFetchEnded();
         }
 
         @Override
--- a/worker/src/main/java/wharfhinge/worker/store/package-info.java
+++ b/worker/src/main/java/wharfhinge/worker/store/package-info.java
@@ -1,2 +1,2 @@
-/** The handler store: packages over HTTP, with ranges and conditional requests; docs/protocol-store.md. */
+/** The package store: serves packages over HTTP with ranges and conditional requests (docs/protocol-store.md). */
 package wharfhinge.worker.store;
--- a/worker/src/test/java/wharfhinge/worker/Packages.java
+++ b/worker/src/test/java/wharfhinge/worker/Packages.java
@@ -11,7 +11,7 @@
 import wharfhinge.worker.pack.Manifest;
 import wharfhinge.worker.pack.PackageBuilder;
 
-/** Packages of the classes in {@link TestFunctions}. */
+/** Builds packages of the classes in {@link TestFunctions}. */
 public final class Packages {
 
     private Packages() {}
@@ -26,13 +26,13 @@
         return files;
     }
 
-    /** What a package says. */
+    /** A manifest without files. */
     public static Manifest manifest(Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis) {
         return new Manifest(
                 "test", "1", entry.getName(), memoryMb, slots, "idempotent", callMillis, startMillis, Map.of());
     }
 
-    /** A package, whole. */
+    /** A complete package. */
     public static byte[] bytes(Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis, PrivateKey key)
             throws IOException, InvalidPackageException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
+++ b/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
@@ -10,7 +10,9 @@
 import wharfhinge.worker.pack.PackageReader;
 import wharfhinge.worker.store.ByteRange;
 
-/** Parsers of what others send: whatever comes, they refuse with a reason or take it. Without JAZZER_FUZZ only seeds run. */
+/**
+ * Parsers of input from outside the process accept any input or reject it with a reason. Without JAZZER_FUZZ only the seeds run.
+ */
 class ParsersFuzzTest {
 
     @FuzzTest(maxDuration = "10m")
@@ -18,7 +20,7 @@
         try {
             Manifest read = Manifest.parse(bytes);
             if (!read.equals(Manifest.parse(read.format()))) {
-                throw new AssertionError("written, it reads otherwise");
+                throw new AssertionError("a manifest that was formatted and parsed again differs");
             }
         } catch (InvalidPackageException e) {
             assertMessageIsShort(e);
@@ -51,7 +53,7 @@
 
     private static void assertMessageIsShort(InvalidPackageException e) {
         if (e.getMessage().length() > 1000) {
-            throw new AssertionError("a message of " + e.getMessage().length());
+            throw new AssertionError("length of the message: " + e.getMessage().length());
         }
     }
 }
--- a/worker/src/test/java/wharfhinge/worker/TestFunctions.java
+++ b/worker/src/test/java/wharfhinge/worker/TestFunctions.java
@@ -5,14 +5,14 @@
 import wharfhinge.worker.api.Function;
 import wharfhinge.worker.api.Invocation;
 
-/** Functions that behave and misbehave; each goes into a package of its own. */
+/** Functions that behave well or badly; each is packed into a package of its own. */
 final class TestFunctions {
 
     private TestFunctions() {}
 
-    /** Does what its input says. */
+    /** Does what the input of the call says. */
     public static final class Scripted implements Function {
-        private static int calls; // of this copy alone, for its classes are its own
+        private static int calls; // calls of this copy only, since copies share no classes
         private CopyContext context;
 
         @Override
@@ -29,7 +29,7 @@
                 number = ++calls;
             }
             switch (input) {
-                case "throw" -> throw new IllegalStateException("as told");
+                case "throw" -> throw new IllegalStateException("requested by the test");
                 case "exit" -> System.exit(3);
                 case "halt" -> Runtime.getRuntime().halt(3);
                 case "memory" -> {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Its start does not end until it is told. */
+    /** Its start does not return until the test sets {@code test.start.end}. */
     public static final class HangsAtStart implements Function {
         @Override
         public void start(CopyContext context) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Fails halfway; whether a thread that uses the memory is left is told. */
+    /** Its start fails; if {@code test.leave.thread} is set, it leaves a thread that writes to the memory. */
     public static final class FailsAtStart implements Function {
         @Override
         public void start(CopyContext context) {
--- a/worker/src/test/java/wharfhinge/worker/TestGateway.java
+++ b/worker/src/test/java/wharfhinge/worker/TestGateway.java
@@ -9,16 +9,16 @@
 import wharfhinge.standin.H2Caller;
 import wharfhinge.standin.Net;
 
-/** One connection to a worker, as a gateway's, in the words of the tests. */
+/** A connection to a worker like that of a gateway. */
 final class TestGateway implements AutoCloseable {
     private final EventLoopGroup group = Net.group(1);
     private final H2Caller caller;
 
-    /** What came back. */
+    /** The response to a request. */
     record Answer(
             int status, String outcome, String note, String count, String report, String incarnation, String body) {}
 
-    /** A request under way. */
+    /** A request in flight. */
     record Open(H2Caller.Open exchange) {
         Answer get() throws Exception {
             H2Caller.Answer answer = exchange.answer().get(20, TimeUnit.SECONDS);
@@ -41,7 +41,7 @@
         caller = new H2Caller(group, port);
     }
 
-    /** Whether the worker said GOAWAY within some seconds. */
+    /** Waits some seconds for the worker's GOAWAY; fails if there is none. */
     boolean receivedGoAway() throws Exception {
         caller.goAway().get(5, TimeUnit.SECONDS);
         return true;
--- a/worker/src/test/java/wharfhinge/worker/WorkerCallTest.java
+++ b/worker/src/test/java/wharfhinge/worker/WorkerCallTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What headers tell, and what they must not. */
+/** Parsing of request headers. */
 class WorkerCallTest {
 
     private static WorkerCall parse(String... headers) {
@@ -17,8 +17,7 @@
     }
 
     @Test
-    void deadlineBelowOneMillisecond_isRoundedUpToOne() { // found by the fuzzer: it counted as over before the call
-        // came
+    void deadlineBelowOneMillisecond_isRoundedUpToOne() { // found by the fuzzer: the deadline had passed on arrival
         assertEquals(1, parse("wh-deadline-ms", "0.5").waitMillis());
     }
 
--- a/worker/src/test/java/wharfhinge/worker/WorkerSocketTest.java
+++ b/worker/src/test/java/wharfhinge/worker/WorkerSocketTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharfhinge.worker.store.Store;
 
-/** A worker over its socket: real packages from a real store into real memory, and what goes wrong with them. */
+/** A worker behind its socket, with real packages from a real store and real memory: calls, loads and their failures. */
 @Timeout(60)
 class WorkerSocketTest {
     private static final int KB_PER_MB = 1024;
@@ -86,7 +86,7 @@
         while (!isMet.call()) {
             assertTrue(
                     System.nanoTime() < deadlineNanos,
-                    "not within 10 s: " + condition + ", books " + gateway.memoryStatus());
+                    "not within 10 s: " + condition + ", memory status " + gateway.memoryStatus());
             Thread.sleep(2);
         }
     }
@@ -95,7 +95,8 @@
     void call_loadsItsPackage_nextCallFindsTheCopy() throws Exception {
         TestGateway.Answer first = gateway.call("f", "hi").get();
         assertEquals("served began", first.outcome() + " " + first.note());
-        assertEquals("hi 1 " + 8 * KB_PER_MB * KB_PER_MB, first.body(), "the memory is the package's");
+        assertEquals(
+                "hi 1 " + 8 * KB_PER_MB * KB_PER_MB, first.body(), "the memory has the size that the package states");
         TestGateway.Answer second = gateway.call("f", "hi").get();
         assertEquals(
                 "served found hi 2",
@@ -108,27 +109,31 @@
     @Test
     void copyThatThrowsExitsOrRunsOutOfMemory_doesNotAffectOtherCopies() throws Exception {
         assertEquals("error", gateway.call("f", "throw").get().outcome());
-        assertEquals("hi 2", gateway.call("f", "hi").get().body().substring(0, 4), "an exception is the call's own");
+        assertEquals("hi 2", gateway.call("f", "hi").get().body().substring(0, 4), "an exception fails only its call");
         for (String end : List.of("exit", "halt", "memory")) {
             assertEquals("error", gateway.call("f", end).get().outcome(), end);
             TestGateway.Answer after = gateway.call("f", "hi").get();
             assertEquals(
-                    "served hi 1", after.outcome() + " " + after.body().substring(0, 4), "a fresh copy after " + end);
+                    "served hi 1", after.outcome() + " " + after.body().substring(0, 4), "a new copy after " + end);
         }
-        await("the former copies' memory is free", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
+        await(
+                "the memory of the ended copies is free",
+                () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
     }
 
     @Test
     void callThatSpins_isGivenUpAndItsMemoryStaysAccountedFor() throws Exception {
         assertEquals("error", gateway.call("quick", "spin").get().outcome());
-        await("its memory is counted as stuck", () -> gateway.memoryStatus().get("stuck_kb") == 8L * KB_PER_MB);
+        await(
+                "its memory is accounted for as stuck",
+                () -> gateway.memoryStatus().get("stuck_kb") == 8L * KB_PER_MB);
         assertEquals("served", gateway.call("quick", "hi").get().outcome());
         await(
-                "it shows in the report",
+                "the load report includes the stuck memory",
                 () -> gateway.send(HttpMethod.GET, "/probe", "").get().report().contains("x0:0.19"));
         System.setProperty("test.spin.end", "true");
-        await("its thread came back", () -> gateway.memoryStatus().get("stuck_kb") == 0L);
-        await("and its memory", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
+        await("its thread has returned", () -> gateway.memoryStatus().get("stuck_kb") == 0L);
+        await("its memory is released", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
     }
 
     @Test
@@ -136,9 +141,9 @@
         TestGateway.Answer answer = gateway.call("hangs", "hi").get();
         assertEquals("miss load-failed", answer.outcome() + " " + answer.note());
         assertEquals(8L * KB_PER_MB, gateway.memoryStatus().get("stuck_kb"));
-        assertEquals("served", gateway.call("f", "hi").get().outcome(), "the load lanes are free again");
+        assertEquals("served", gateway.call("f", "hi").get().outcome(), "further loads are not blocked");
         System.setProperty("test.start.end", "true");
-        await("it was given back", () -> gateway.memoryStatus().get("stuck_kb") == 0L);
+        await("the memory is released", () -> gateway.memoryStatus().get("stuck_kb") == 0L);
     }
 
     @Test
@@ -150,7 +155,7 @@
         assertEquals(8L * KB_PER_MB, gateway.memoryStatus().get("stuck_kb"), "a thread still writes to it");
         assertEquals(8L * KB_PER_MB, gateway.memoryStatus().get("resident_kb"));
         System.setProperty("test.thread.end", "true");
-        await("it was given back", () -> gateway.memoryStatus().get("resident_kb") == 0L);
+        await("the memory is released", () -> gateway.memoryStatus().get("resident_kb") == 0L);
         assertEquals(42L * KB_PER_MB, gateway.memoryStatus().get("free_kb"));
     }
 
@@ -164,26 +169,26 @@
                 gateway.orderCopies("f", 0).get().outcome() + " "
                         + gateway.orderCopies("f", 0).get().count());
         assertEquals(204, gateway.send(HttpMethod.DELETE, "/copies/f", "").get().status());
-        await("all were unloaded", () -> gateway.memoryStatus().get("resident_kb") == 0L);
+        await("all copies are unloaded", () -> gateway.memoryStatus().get("resident_kb") == 0L);
     }
 
     @Test
     void unload_leavesCopyThatRunsACall() throws Exception {
         gateway.orderCopies("quick", 2).get();
         TestGateway.Open busy = gateway.call("quick", "cooperate");
-        await("it runs", () -> gateway.memoryStatus().get("working_kb") == 8L * KB_PER_MB);
+        await("the call runs", () -> gateway.memoryStatus().get("working_kb") == 8L * KB_PER_MB);
         gateway.send(HttpMethod.DELETE, "/copies/quick", "").get();
-        await("the idle one is gone", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
-        assertEquals("error", busy.get().outcome(), "it went on to its limit");
+        await("the idle copy is unloaded", () -> gateway.memoryStatus().get("resident_kb") == 8L * KB_PER_MB);
+        assertEquals("error", busy.get().outcome(), "the call ran until its time limit");
     }
 
     @Test
     void cancelledCallThatCooperates_ends() throws Exception {
         TestGateway.Open call = gateway.call("f", "cooperate", "wh-call", "c7");
-        await("it runs", () -> gateway.memoryStatus().get("working_kb") > 0);
+        await("the call runs", () -> gateway.memoryStatus().get("working_kb") > 0);
         call.reset();
-        await("it was told", () -> "c7".equals(System.getProperty("test.cooperated")));
-        await("its lane is free", () -> gateway.memoryStatus().get("calls_held") == 0L);
+        await("the function saw the cancellation", () -> "c7".equals(System.getProperty("test.cooperated")));
+        await("its slot is free", () -> gateway.memoryStatus().get("calls_held") == 0L);
     }
 
     @Test
@@ -192,9 +197,9 @@
         for (int i = 0; i < 2000; i++) {
             calls.add(gateway.call("f", "sleep"));
         }
-        await("they are held", () -> gateway.memoryStatus().get("calls_held") > 1500);
+        await("the calls are in flight", () -> gateway.memoryStatus().get("calls_held") > 1500);
         calls.forEach(TestGateway.Open::reset);
-        await("all are gone", () -> gateway.memoryStatus().get("calls_held") == 0L);
+        await("no call is in flight", () -> gateway.memoryStatus().get("calls_held") == 0L);
         assertEquals("served", gateway.call("f", "hi").get().outcome());
     }
 
@@ -205,7 +210,7 @@
             calls.add(gateway.call("f", "hi"));
         }
         await(
-                "they are held",
+                "the calls are in flight",
                 () -> gateway.memoryStatus().get("calls_held")
                                 + gateway.memoryStatus().get("loads_done")
                         > 0);
@@ -217,7 +222,7 @@
             }
         });
         drain.start();
-        assertTrue(gateway.receivedGoAway(), "no GOAWAY");
+        assertTrue(gateway.receivedGoAway(), "no GOAWAY received");
         int served = 0;
         for (TestGateway.Open call : calls) {
             served += call.get().outcome().equals("served") ? 1 : 0;
@@ -232,7 +237,7 @@
         gateway.call("f", "hi", "wh-boot", previous).get();
         gateway.close();
         server.close();
-        startWorker(""); // the same address
+        startWorker(""); // at the same address
         assertNotEquals(previous, server.incarnation());
         TestGateway.Answer call = gateway.call("f", "hi", "wh-boot", previous).get();
         assertEquals("full", call.outcome());
@@ -241,7 +246,7 @@
                 gateway.orderCopies("f", 1, "wh-boot", previous).get().outcome() + " "
                         + gateway.orderCopies("f", 1, "wh-boot", previous).get().count());
         assertEquals(0L, gateway.memoryStatus().get("copies"));
-        store.close(); // and its images are still there
+        store.close(); // the images on disk are still used
         assertEquals(
                 "served",
                 gateway.call("f", "hi", "wh-boot", server.incarnation()).get().outcome());
@@ -274,6 +279,6 @@
                 gateway.call("f", "hi", "wh-memory-mb", "1e99", "wh-lanes", "x", "wh-deadline-ms", "-1")
                         .get()
                         .outcome(),
-                "advice that is no number is no advice");
+                "invalid numbers in headers are ignored");
     }
 }
--- a/worker/src/test/java/wharfhinge/worker/copy/CallSlotLincheckTest.java
+++ b/worker/src/test/java/wharfhinge/worker/copy/CallSlotLincheckTest.java
@@ -4,37 +4,37 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
-/** One call's slot: its end, a cancel and a giving up in every order; finish and giveUp never both win. */
+/** Model checks a call that ends, is cancelled and is given up concurrently: finish and giveUp never both return true. */
 public class CallSlotLincheckTest {
     private final CallSlot slot = new CallSlot();
 
-    /** Begins, as its thread does. */
+    /** Starts the call, as its thread does. */
     public CallSlotLincheckTest() {
         slot.begin();
     }
 
-    /** The thread's side. */
+    /** The thread that runs the call. */
     @Operation(runOnce = true)
     public boolean finish() {
         return slot.finish();
     }
 
-    /** The clock's side. */
+    /** The timer of the call's limit. */
     @Operation(runOnce = true)
     public boolean giveUp() {
         return slot.giveUp();
     }
 
-    /** The caller's side. */
+    /** The caller. */
     @Operation(runOnce = true)
     public void cancel() {
         slot.cancel();
     }
 
-    /** The code's side. */
+    /** The function. */
     @Operation(runOnce = true)
-    public boolean cancelled() {
-        return slot.cancelled();
+    public boolean isCancelled() {
+        return slot.isCancelled();
     }
 
     @Test
--- a/worker/src/test/java/wharfhinge/worker/image/ImagesTest.java
+++ b/worker/src/test/java/wharfhinge/worker/image/ImagesTest.java
@@ -31,7 +31,7 @@
 import wharfhinge.worker.pack.Manifest;
 import wharfhinge.worker.pack.PackageBuilder;
 
-/** Fetches from a store that is scripted a byte at a time, and a disk that fails. */
+/** Fetches from a scripted store that truncates responses or fails, and with a disk that is full. */
 @Timeout(60)
 class ImagesTest {
     private static final long NANOS_PER_S = 1_000_000_000L;
@@ -44,7 +44,7 @@
     private ScriptedStore store;
     private Images images;
 
-    /** A store that breaks off each answer after so many bytes, or answers a status. */
+    /** A store that truncates each response after a number of bytes or answers with a status. */
     private static final class ScriptedStore implements AutoCloseable {
         private final ServerSocket listenSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         private final List<String> requests = Collections.synchronizedList(new ArrayList<>());
@@ -152,7 +152,7 @@
     void interruptedFetch_resumesWhereItBrokeOff() throws Exception {
         store.maxBytesPerResponse = packageBytes.length / 10 + 1;
         assertEquals(digest, images.get("f").sha256());
-        assertEquals(10, store.requests.size(), "each byte came once");
+        assertEquals(10, store.requests.size(), "one request for each tenth of the package");
         assertEquals(List.of("f@" + digest + ".pkg"), filesInCache());
     }
 
@@ -172,7 +172,9 @@
         Files.write(folder.resolve("f@" + digest + ".pkg"), damaged);
         assertEquals(digest, images.get("f").sha256());
         assertEquals(
-                Digests.of(Files.readAllBytes(folder.resolve("f@" + digest + ".pkg"))), digest, "it was fetched anew");
+                Digests.of(Files.readAllBytes(folder.resolve("f@" + digest + ".pkg"))),
+                digest,
+                "the image was fetched again");
         store.status = 503;
         Files.write(folder.resolve("f@" + digest + ".pkg"), damaged);
         assertThrows(LoadFailedException.class, () -> images.get("f"));
@@ -277,7 +279,7 @@
         ImageCache small = new ImageCache(folder, packageBytes.length * 2L + 100);
         Images bounded = images(small, NANOS_PER_S * 60);
         bounded.get("a");
-        Thread.sleep(20); // file times are the order
+        Thread.sleep(20); // the order of use is that of file times
         bounded.get("b");
         Thread.sleep(20);
         bounded.get("a");
--- a/worker/src/test/java/wharfhinge/worker/pack/PackageTest.java
+++ b/worker/src/test/java/wharfhinge/worker/pack/PackageTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Packages, whole and broken. */
+/** Building and reading of packages, valid and invalid. */
 class PackageTest {
     private static final Manifest DESCRIPTION = new Manifest("n", "1", "a.B", 8, 1, "keyed", 10, 10, Map.of());
     private static final Map<String, byte[]> FILES =
@@ -116,9 +116,9 @@
         assertTrue(rejectionMessage(zip("manifest", manifest, "classes/x", content))
                 .contains("not in the manifest"));
         assertTrue(rejectionMessage(zip("manifest", manifest, "classes/../../x", content))
-                .contains("do not climb"));
+                .contains("without dot segments"));
         assertTrue(
-                rejectionMessage(zip("manifest", manifest, "/etc/x", content)).contains("do not climb"));
+                rejectionMessage(zip("manifest", manifest, "/etc/x", content)).contains("without dot segments"));
         assertTrue(rejectionMessage(zip("manifest", manifest)).contains("not in the zip"));
         assertTrue(rejectionMessage(zip("manifest", manifest, "classes/a/B.class", new byte[] {2}))
                 .contains("wrong digest"));
@@ -149,7 +149,7 @@
                 "entry=a.B|entry=a.B;colour=1|unknown names [colour]",
                 "start-ms=10|start-ms=10;start-ms=10|start-ms stands twice",
                 "start-ms=10|start-ms|allowed: name=value",
-                "classes/a/B.class|classes/../B.class|do not climb",
+                "classes/a/B.class|classes/../B.class|without dot segments",
                 "classes/a/B.class|other/B.class|found path 'other/B.class'"
             })
     void invalidManifest_isRejectedWithThePlace(String part, String wrong, String expected) {
--- a/worker/src/test/java/wharfhinge/worker/store/ByteRangeTest.java
+++ b/worker/src/test/java/wharfhinge/worker/store/ByteRangeTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** RFC 9110, 14.1.2, for a file of ten bytes. */
+/** Parsing of ranges as in RFC 9110, 14.1.2, for a file of ten bytes. */
 class ByteRangeTest {
 
     @ParameterizedTest
