--- a/worker/src/main/java/wharfhinge/worker/copy/CallSlot.java
+++ b/worker/src/main/java/wharfhinge/worker/copy/CallSlot.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One call's hold on a thread: the thread runs it, the worker may ask it to end or give up on it. Exactly one of
- * {@link #finish} and {@link #giveUp} wins, and an interrupt never reaches the thread's next call. No locks; checked by
- * Lincheck.
+ * State of a call on a thread of a copy. The thread runs the call; the worker may cancel it or give it up. Exactly one of
+ * {@link #finish} and {@link #giveUp} returns true, and an interrupt never reaches the thread's next call. Lock-free; checked
+ * by Lincheck.
  */
 final class CallSlot {
     private enum State {
@@ -13,7 +13,7 @@
         RUNNING,
         INTERRUPTING,
         INTERRUPTED,
-        OVER,
+        FINISHED,
         GIVING_UP,
         GIVEN_UP
     }
@@ -22,13 +22,13 @@
     private volatile Thread thread;
     private volatile boolean cancelled;
 
-    /** On the thread that will run it: false where it was given up on before. */
+    /** Starts the call on the current thread. Returns false if it was given up before. */
     boolean begin() {
         thread = Thread.currentThread();
         return state.compareAndSet(State.READY, State.RUNNING);
     }
 
-    /** Nobody waits any more: the code is told, and its thread interrupted where it runs. Once only. */
+    /** Sets the cancelled flag that the function can read and interrupts the thread if the call runs. Must be called only once. */
     void cancel() {
         cancelled = true;
         if (state.compareAndSet(State.RUNNING, State.INTERRUPTING)) {
@@ -37,28 +37,28 @@
         }
     }
 
-    /** Whether it was cancelled or given up. */
-    boolean cancelled() {
+    /** Whether the call was cancelled or given up. */
+    boolean isCancelled() {
         return cancelled;
     }
 
-    /** The worker gives up on it: true where it had not ended; then its thread is interrupted and what it returns ignored. */
+    /** Gives the call up. Returns true if it had not ended; then its thread is interrupted and its result ignored. */
     boolean giveUp() {
         while (true) {
-            State now = state.get();
-            switch (now) {
-                case OVER, GIVING_UP, GIVEN_UP -> {
+            State current = state.get();
+            switch (current) {
+                case FINISHED, GIVING_UP, GIVEN_UP -> {
                     return false;
                 }
                 case INTERRUPTING -> Thread.onSpinWait();
                 case READY -> {
-                    if (state.compareAndSet(now, State.GIVEN_UP)) {
+                    if (state.compareAndSet(current, State.GIVEN_UP)) {
                         cancelled = true;
                         return true;
                     }
                 }
                 default -> {
-                    if (state.compareAndSet(now, State.GIVING_UP)) {
+                    if (state.compareAndSet(current, State.GIVING_UP)) {
                         cancelled = true;
                         thread.interrupt();
                         state.set(State.GIVEN_UP);
@@ -69,16 +69,16 @@
         }
     }
 
-    /** On its thread, once the code has returned: true where nobody gave up on it. Clears a late interrupt. */
+    /** Ends the call, on its thread, after the function has returned. Clears a late interrupt. Returns false if it was given up. */
     boolean finish() {
         while (true) {
-            State now = state.get();
-            if (now == State.INTERRUPTING || now == State.GIVING_UP) {
+            State current = state.get();
+            if (current == State.INTERRUPTING || current == State.GIVING_UP) {
                 Thread.onSpinWait();
-            } else if (now == State.GIVEN_UP) {
+            } else if (current == State.GIVEN_UP) {
                 Thread.interrupted();
                 return false;
-            } else if (state.compareAndSet(now, State.OVER)) {
+            } else if (state.compareAndSet(current, State.FINISHED)) {
                 Thread.interrupted();
                 return true;
             }
--- a/worker/src/main/java/wharfhinge/worker/image/ImageCache.java
+++ b/worker/src/main/java/wharfhinge/worker/image/ImageCache.java
@@ -17,127 +17,131 @@
 import java.util.stream.Stream;
 
 /**
- * Packages on disk, {@code NAME@SHA256.pkg}, bounded by bytes; those used longest ago go first. A file gets that name only by
- * a rename after it was written, checked and forced to disk, so that a half-written one is never taken for whole, whenever
- * the process ends; what was fetched of it so far is {@code .part} and goes on where it broke, also after a restart. Any
- * thread; each function's files are written by one at a time, which {@link Images} sees to.
+ * Cache of packages on disk, as files {@code NAME@SHA256.pkg}. Its total size is limited; the least recently used files are
+ * evicted first. A file gets this name by a rename, only after it was written, verified and forced to disk, so that an
+ * incomplete file is never used, whenever the process ends. An incomplete fetch is kept as {@code .part} and can be resumed,
+ * also after a restart. Thread-safe, provided that only one thread writes the files of a function at a time, which
+ * {@link Images} ensures.
  */
 public final class ImageCache {
-    private static final Pattern FILE = Pattern.compile("([A-Za-z0-9._-]{1,128})@([0-9a-f]{64})\\.(pkg|part)");
+    private static final Pattern FILE_NAME = Pattern.compile("([A-Za-z0-9._-]{1,128})@([0-9a-f]{64})\\.(pkg|part)");
 
-    /** Opens a file for writing; tests put a disk that is full in its place. */
-    interface Writing {
-        OutputStream append(Path file) throws IOException;
+    /** Opens a file for writing; tests replace it to simulate a full disk. */
+    interface FileOpener {
+        OutputStream openForAppend(Path file) throws IOException;
     }
 
-    private record Entry(Path path, long size, FileTime used) {}
+    private record Entry(Path path, long size, FileTime lastUsed) {}
 
     private final Path folder;
-    private final long mostBytes;
-    private final Writing writing;
+    private final long maxBytes;
+    private final FileOpener fileOpener;
 
-    /** Uses a folder, which is made where it is missing. Files in it that are not images are left alone. */
-    public ImageCache(Path folder, long mostBytes) throws IOException {
+    /** Creates a cache in a folder, which is created if it is missing. Files in it that are not images are left unchanged. */
+    public ImageCache(Path folder, long maxBytes) throws IOException {
         this(
                 folder,
-                mostBytes,
+                maxBytes,
                 file -> Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
     }
 
-    ImageCache(Path folder, long mostBytes, Writing writing) throws IOException {
+    ImageCache(Path folder, long maxBytes, FileOpener fileOpener) throws IOException {
         this.folder = Files.createDirectories(folder);
-        this.mostBytes = mostBytes;
-        this.writing = writing;
-        trim(0);
+        this.maxBytes = maxBytes;
+        this.fileOpener = fileOpener;
+        evictFor(0);
     }
 
-    /** The digest of the image of a function that was used last, or null. */
-    String newest(String function) throws IOException {
+    /** The digest of a function's most recently used image, or null. */
+    String newestDigest(String function) throws IOException {
         return list().stream()
                 .filter(e -> e.path.getFileName().toString().startsWith(function + '@')
                         && e.path.toString().endsWith(".pkg"))
-                .max(Comparator.comparing(Entry::used))
+                .max(Comparator.comparing(Entry::lastUsed))
                 .map(e -> digest(e.path))
                 .orElse(null);
     }
 
     private static String digest(Path path) {
-        Matcher m = FILE.matcher(path.getFileName().toString());
-        return m.matches() ? m.group(2) : null;
+        Matcher matcher = FILE_NAME.matcher(path.getFileName().toString());
+        return matcher.matches() ? matcher.group(2) : null;
     }
 
-    /** A whole image; marks it used. After a step of the wall clock another image may be evicted first, and is fetched again. */
-    Path whole(String function, String sha256) throws IOException {
+    /**
+     * The file of a complete image, which is marked as used. The mark is wall-clock time: after a step of the clock another image
+     * than the least recently used may be evicted, and must be fetched again.
+     */
+    Path openImage(String function, String sha256) throws IOException {
         Path file = path(function, sha256, "pkg");
         Files.setLastModifiedTime(file, FileTime.fromMillis(System.currentTimeMillis()));
         return file;
     }
 
-    /** How much of an image is there already. */
-    long partSize(String function, String sha256) throws IOException {
-        Path part = path(function, sha256, "part");
-        return Files.exists(part) ? Files.size(part) : 0;
+    /** Number of bytes of an incomplete image that are on disk. */
+    long partialSize(String function, String sha256) throws IOException {
+        Path partial = path(function, sha256, "part");
+        return Files.exists(partial) ? Files.size(partial) : 0;
     }
 
-    /** Takes more of an image, after what is there; makes room for the whole first. */
-    OutputStream append(String function, String sha256, long wholeSize) throws IOException {
-        if (wholeSize > mostBytes) {
-            throw new IOException("image of " + wholeSize + " bytes, the cache holds " + mostBytes);
+    /** Opens an incomplete image to append to it, after evicting other images to make room for all of it. */
+    OutputStream append(String function, String sha256, long totalSize) throws IOException {
+        if (totalSize > maxBytes) {
+            throw new IOException("image of " + totalSize + " bytes, the cache holds " + maxBytes);
         }
-        trim(wholeSize - partSize(function, sha256));
-        return writing.append(path(function, sha256, "part"));
+        evictFor(totalSize - partialSize(function, sha256));
+        return fileOpener.openForAppend(path(function, sha256, "part"));
     }
 
-    /** What was fetched is not to be used. */
-    void dropPart(String function, String sha256) throws IOException {
+    /** Deletes an incomplete image. */
+    void deletePartial(String function, String sha256) throws IOException {
         Files.deleteIfExists(path(function, sha256, "part"));
     }
 
-    /** The part to be checked before {@link #complete}. */
-    Path part(String function, String sha256) {
+    /** The file of a fetched image that is to be verified before {@link #complete}. */
+    Path partialFile(String function, String sha256) {
         return path(function, sha256, "part");
     }
 
-    /** A part was found whole: forced to disk and renamed, and older images of the function are dropped. */
+    /** Makes a verified image available: forces it to disk, renames it and deletes other images of the function. */
     void complete(String function, String sha256) throws IOException {
-        Path part = path(function, sha256, "part");
-        try (FileChannel channel = FileChannel.open(part, StandardOpenOption.WRITE)) {
+        Path partial = path(function, sha256, "part");
+        try (FileChannel channel = FileChannel.open(partial, StandardOpenOption.WRITE)) {
             channel.force(true);
         }
-        Files.move(part, path(function, sha256, "pkg"), StandardCopyOption.ATOMIC_MOVE);
-        for (Entry e : list()) {
-            boolean older =
-                    e.path.getFileName().toString().startsWith(function + '@') && !sha256.equals(digest(e.path));
-            if (older) {
-                Files.deleteIfExists(e.path);
+        Files.move(partial, path(function, sha256, "pkg"), StandardCopyOption.ATOMIC_MOVE);
+        for (Entry entry : list()) {
+            boolean isOlder = entry.path.getFileName().toString().startsWith(function + '@')
+                    && !sha256.equals(digest(entry.path));
+            if (isOlder) {
+                Files.deleteIfExists(entry.path);
             }
         }
     }
 
-    /** An image was found damaged, or withdrawn. */
-    void drop(String function, String sha256) throws IOException {
+    /** Deletes an image that is damaged or was withdrawn from the store. */
+    void delete(String function, String sha256) throws IOException {
         Files.deleteIfExists(path(function, sha256, "pkg"));
     }
 
-    /** Bytes on disk. */
-    public long bytes() throws IOException {
+    /** Total size of all files of the cache. */
+    public long totalBytes() throws IOException {
         return list().stream().mapToLong(Entry::size).sum();
     }
 
-    private Path path(String function, String sha256, String kind) {
-        return folder.resolve(function + '@' + sha256 + '.' + kind);
+    private Path path(String function, String sha256, String extension) {
+        return folder.resolve(function + '@' + sha256 + '.' + extension);
     }
 
-    private synchronized void trim(long more) throws IOException {
+    private synchronized void evictFor(long neededBytes) throws IOException {
         List<Entry> entries = new ArrayList<>(list());
-        entries.sort(Comparator.comparing(Entry::used));
+        entries.sort(Comparator.comparing(Entry::lastUsed));
         long bytes = entries.stream().mapToLong(Entry::size).sum();
-        for (Entry e : entries) {
-            if (bytes + more <= mostBytes) {
+        for (Entry entry : entries) {
+            if (bytes + neededBytes <= maxBytes) {
                 return;
             }
-            Files.deleteIfExists(e.path);
-            bytes -= e.size;
+            Files.deleteIfExists(entry.path);
+            bytes -= entry.size;
         }
     }
 
@@ -145,14 +149,15 @@
         List<Entry> entries = new ArrayList<>();
         List<Path> files;
         try (Stream<Path> stream = Files.list(folder)) {
-            files = stream.filter(p -> FILE.matcher(p.getFileName().toString()).matches())
+            files = stream.filter(
+                            p -> FILE_NAME.matcher(p.getFileName().toString()).matches())
                     .collect(Collectors.toList());
         }
         for (Path file : files) {
             try {
                 entries.add(new Entry(file, Files.size(file), Files.getLastModifiedTime(file)));
             } catch (java.nio.file.NoSuchFileException e) {
-                continue; // dropped meanwhile
+                continue; // deleted in the meantime
             }
         }
         return entries;
--- a/worker/src/main/java/wharfhinge/worker/store/Store.java
+++ b/worker/src/main/java/wharfhinge/worker/store/Store.java
@@ -38,39 +38,39 @@
 import wharfhinge.worker.pack.Digests;
 
 /**
- * Serves {@code NAME.pkg} files of a folder as {@code /packages/NAME}: whole or a range, with the file's SHA-256 as its
- * strong entity tag, which a worker also checks what it got against. Past the set number of fetches in hand it turns away
- * with 503 and {@code Retry-After}, so that those in hand go on at their pace. A file replaced by a rename while it is
- * fetched goes on as it was.
+ * Serves the {@code NAME.pkg} files of a folder as {@code /packages/NAME}, whole or as a range. The strong entity tag is the
+ * SHA-256 of the file, which workers also use to verify what they fetched. Fetches beyond the maximum in progress are rejected
+ * with 503 and {@code Retry-After}, so that they do not slow down the others. If a file is replaced by a rename during a
+ * fetch, the fetch continues with the old file.
  */
 public final class Store implements AutoCloseable {
-    /** Where packages are found. */
+    /** Path prefix of packages. */
     public static final String PATH = "/packages/";
 
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_-][A-Za-z0-9._-]{0,127}");
-    private static final int IDLE_S = 30;
-    private static final int TAGS = 1024;
+    private static final Pattern PACKAGE_NAME = Pattern.compile("[A-Za-z0-9_-][A-Za-z0-9._-]{0,127}");
+    private static final int IDLE_TIMEOUT_S = 30;
+    private static final int MAX_CACHED_TAGS = 1024;
 
-    private record Tag(long size, long modified, String sha256) {}
+    private record EntityTag(long size, long modified, String sha256) {}
 
     private final Path folder;
-    private final int most;
-    private final AtomicInteger inHand = new AtomicInteger();
-    private final Channel listening;
-    private final Map<Path, Tag> tags = new LinkedHashMap<>(16, 0.75f, true) {
+    private final int maxFetches;
+    private final AtomicInteger fetchesInProgress = new AtomicInteger();
+    private final Channel listenChannel;
+    private final Map<Path, EntityTag> tags = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Path, Tag> eldest) {
-            return size() > TAGS;
+        protected boolean removeEldestEntry(Map.Entry<Path, EntityTag> eldest) {
+            return size() > MAX_CACHED_TAGS;
         }
     };
 
-    /** Listens on loopback; port 0 takes any. {@code group} stays the caller's. */
-    public Store(EventLoopGroup group, int port, Path folder, int most) {
+    /** Listens on loopback; port 0 takes any free port. The caller shuts down {@code group}. */
+    public Store(EventLoopGroup group, int port, Path folder, int maxFetches) {
         this.folder = folder;
-        this.most = most;
-        this.listening = new ServerBootstrap()
+        this.maxFetches = maxFetches;
+        this.listenChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
@@ -80,10 +80,10 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new IdleStateHandler(0, 0, IDLE_S),
+                                        new IdleStateHandler(0, 0, IDLE_TIMEOUT_S),
                                         new HttpServerCodec(),
                                         new HttpObjectAggregator(1024),
-                                        new Fetches());
+                                        new FetchHandler());
                     }
                 })
                 .bind("127.0.0.1", port)
@@ -91,22 +91,22 @@
                 .channel();
     }
 
-    /** Where it listens. */
+    /** The port that the store listens on. */
     public int port() {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) listenChannel.localAddress()).getPort();
     }
 
     @Override
     public void close() {
-        listening.close().syncUninterruptibly();
+        listenChannel.close().syncUninterruptibly();
     }
 
-    /** A file's digest; computed once for each state of it. */
+    /** The digest of a file, cached until its size or modification time changes. */
     private String sha256(Path file, long size, long modified) throws IOException {
         synchronized (tags) {
-            Tag known = tags.get(file);
-            if (known != null && known.size == size && known.modified == modified) {
-                return known.sha256;
+            EntityTag cachedTag = tags.get(file);
+            if (cachedTag != null && cachedTag.size == size && cachedTag.modified == modified) {
+                return cachedTag.sha256;
             }
         }
         MessageDigest digest = Digests.sha256();
@@ -115,89 +115,95 @@
         }
         String hex = Digests.hex(digest.digest());
         synchronized (tags) {
-            tags.put(file, new Tag(size, modified, hex));
+            tags.put(file, new EntityTag(size, modified, hex));
         }
         return hex;
     }
 
-    private final class Fetches extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private boolean counted;
+    private final class FetchHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private boolean isInProgress;
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) throws IOException {
+        protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) throws IOException {
             String name = request.uri().startsWith(PATH) ? request.uri().substring(PATH.length()) : "";
             Path file = folder.resolve(name + ".pkg");
-            boolean read =
+            boolean isRead =
                     request.method().equals(HttpMethod.GET) || request.method().equals(HttpMethod.HEAD);
-            if (!read) {
-                empty(ctx, HttpResponseStatus.METHOD_NOT_ALLOWED, null);
-            } else if (!NAME.matcher(name).matches() || !Files.isRegularFile(file)) {
-                empty(ctx, HttpResponseStatus.NOT_FOUND, null);
-            } else if (inHand.incrementAndGet() > most) {
-                inHand.decrementAndGet();
-                DefaultFullHttpResponse away = response(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                away.headers().setInt(HttpHeaderNames.RETRY_AFTER, 1);
-                ctx.writeAndFlush(away);
+            if (!isRead) {
+                writeEmpty(context, HttpResponseStatus.METHOD_NOT_ALLOWED, null);
+            } else if (!PACKAGE_NAME.matcher(name).matches() || !Files.isRegularFile(file)) {
+                writeEmpty(context, HttpResponseStatus.NOT_FOUND, null);
+            } else if (fetchesInProgress.incrementAndGet() > maxFetches) {
+                fetchesInProgress.decrementAndGet();
+                DefaultFullHttpResponse rejection = emptyResponse(HttpResponseStatus.SERVICE_UNAVAILABLE);
+                rejection.headers().setInt(HttpHeaderNames.RETRY_AFTER, 1);
+                context.writeAndFlush(rejection);
             } else {
-                counted = true;
-                serve(ctx, request, file.toFile());
+                isInProgress = true;
+                serve(context, request, file.toFile());
             }
         }
 
-        private void serve(ChannelHandlerContext ctx, FullHttpRequest request, File file) throws IOException {
+        private void serve(ChannelHandlerContext context, FullHttpRequest request, File file) throws IOException {
             String tag = '"' + sha256(file.toPath(), file.length(), file.lastModified()) + '"';
-            String known = request.headers().get(HttpHeaderNames.IF_NONE_MATCH);
-            if (known != null && (known.equals("*") || known.contains(tag))) {
-                over();
-                empty(ctx, HttpResponseStatus.NOT_MODIFIED, tag);
+            String ifNoneMatch = request.headers().get(HttpHeaderNames.IF_NONE_MATCH);
+            if (ifNoneMatch != null && (ifNoneMatch.equals("*") || ifNoneMatch.contains(tag))) {
+                onFetchEnded();
+                writeEmpty(context, HttpResponseStatus.NOT_MODIFIED, tag);
                 return;
             }
             long size = file.length();
-            String condition = request.headers().get(HttpHeaderNames.IF_RANGE);
-            boolean same = condition == null || condition.equals(tag);
-            ByteRange range =
-                    same ? ByteRange.parse(request.headers().get(HttpHeaderNames.RANGE), size) : ByteRange.WHOLE;
-            if (range == ByteRange.BEYOND) {
-                over();
-                DefaultFullHttpResponse beyond = response(HttpResponseStatus.REQUESTED_RANGE_NOT_SATISFIABLE);
-                beyond.headers()
+            String ifRange = request.headers().get(HttpHeaderNames.IF_RANGE);
+            boolean isSameVersion = ifRange == null || ifRange.equals(tag);
+            ByteRange range = isSameVersion
+                    ? ByteRange.parse(request.headers().get(HttpHeaderNames.RANGE), size)
+                    : ByteRange.WHOLE_FILE;
+            if (range == ByteRange.UNSATISFIABLE) {
+                onFetchEnded();
+                DefaultFullHttpResponse unsatisfiable =
+                        emptyResponse(HttpResponseStatus.REQUESTED_RANGE_NOT_SATISFIABLE);
+                unsatisfiable
+                        .headers()
                         .set(HttpHeaderNames.CONTENT_RANGE, "bytes */" + size)
                         .set(HttpHeaderNames.ETAG, tag);
-                ctx.writeAndFlush(beyond);
+                context.writeAndFlush(unsatisfiable);
                 return;
             }
-            boolean part = range != ByteRange.WHOLE;
-            long from = part ? range.from() : 0;
-            long length = part ? range.length() : size;
-            HttpResponse head = new DefaultHttpResponse(
-                    HttpVersion.HTTP_1_1, part ? HttpResponseStatus.PARTIAL_CONTENT : HttpResponseStatus.OK);
-            head.headers()
+            boolean isPartial = range != ByteRange.WHOLE_FILE;
+            long from = isPartial ? range.from() : 0;
+            long length = isPartial ? range.length() : size;
+            HttpResponse responseHead = new DefaultHttpResponse(
+                    HttpVersion.HTTP_1_1, isPartial ? HttpResponseStatus.PARTIAL_CONTENT : HttpResponseStatus.OK);
+            responseHead
+                    .headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, length)
                     .set(HttpHeaderNames.ETAG, tag)
                     .set(HttpHeaderNames.ACCEPT_RANGES, "bytes");
-            if (part) {
-                head.headers().set(HttpHeaderNames.CONTENT_RANGE, "bytes " + from + '-' + range.to() + '/' + size);
+            if (isPartial) {
+                responseHead
+                        .headers()
+                        .set(HttpHeaderNames.CONTENT_RANGE, "bytes " + from + '-' + range.to() + '/' + size);
             }
-            ctx.write(head);
+            context.write(responseHead);
             if (!request.method().equals(HttpMethod.HEAD) && length > 0) {
-                ctx.write(new DefaultFileRegion(file, from, length));
+                context.write(new DefaultFileRegion(file, from, length));
             }
-            ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
-                over();
+            context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(done -> {
+                onFetchEnded();
                 if (!done.isSuccess()) {
-                    ctx.close();
+                    context.close();
                 }
             });
         }
 
-        private void over() {
-            if (counted) {
-                counted = false;
-                inHand.decrementAndGet();
+        private void onFetchEnded() {
+            if (isInProgress) {
+                isInProgress = false;
+                fetchesInProgress.decrementAndGet();
             }
         }
 
-        private DefaultFullHttpResponse response(HttpResponseStatus status) {
+        private DefaultFullHttpResponse emptyResponse(HttpResponseStatus status) {
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status);
             if (!status.equals(HttpResponseStatus.NOT_MODIFIED)) {
                 response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, 0);
@@ -205,29 +211,29 @@
             return response;
         }
 
-        private void empty(ChannelHandlerContext ctx, HttpResponseStatus status, String tag) {
-            DefaultFullHttpResponse response = response(status);
+        private void writeEmpty(ChannelHandlerContext context, HttpResponseStatus status, String tag) {
+            DefaultFullHttpResponse response = emptyResponse(status);
             if (tag != null) {
                 response.headers().set(HttpHeaderNames.ETAG, tag);
             }
-            ctx.writeAndFlush(response);
+            context.writeAndFlush(response);
         }
 
         @Override
-        public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
+        public void userEventTriggered(ChannelHandlerContext context, Object event) {
             if (event instanceof IdleStateEvent) {
-                ctx.close(); // also one that takes nothing of what it asked for
+                context.close(); // also a client that does not read the response
             }
         }
 
         @Override
-        public void channelInactive(ChannelHandlerContext ctx) {
-            over();
+        public void channelInactive(ChannelHandlerContext context) {
+            onFetchEnded();
         }
 
         @Override
-        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            ctx.writeAndFlush(response(HttpResponseStatus.INTERNAL_SERVER_ERROR))
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            context.writeAndFlush(emptyResponse(HttpResponseStatus.INTERNAL_SERVER_ERROR))
                     .addListener(ChannelFutureListener.CLOSE);
         }
     }
--- a/worker/src/test/java/wharfhinge/worker/Packages.java
+++ b/worker/src/test/java/wharfhinge/worker/Packages.java
@@ -11,7 +11,7 @@
 import wharfhinge.worker.pack.Manifest;
 import wharfhinge.worker.pack.PackageBuilder;
 
-/** Packages of the classes in {@link TestFunctions}. */
+/** Builds packages of the classes in {@link TestFunctions}. */
 public final class Packages {
 
     private Packages() {}
@@ -26,23 +26,23 @@
         return files;
     }
 
-    /** What a package says. */
-    public static Manifest about(Class<?> entry, int memoryMb, int lanes, int callMillis, int startMillis) {
+    /** A manifest without files. */
+    public static Manifest manifest(Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis) {
         return new Manifest(
-                "test", "1", entry.getName(), memoryMb, lanes, "idempotent", callMillis, startMillis, Map.of());
+                "test", "1", entry.getName(), memoryMb, slots, "idempotent", callMillis, startMillis, Map.of());
     }
 
-    /** A package, whole. */
-    public static byte[] of(Class<?> entry, int memoryMb, int lanes, int callMillis, int startMillis, PrivateKey key)
+    /** A complete package. */
+    public static byte[] bytes(Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis, PrivateKey key)
             throws IOException, InvalidPackageException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        write(entry, memoryMb, lanes, callMillis, startMillis, key, out);
+        write(entry, memoryMb, slots, callMillis, startMillis, key, out);
         return out.toByteArray();
     }
 
     static void write(
-            Class<?> entry, int memoryMb, int lanes, int callMillis, int startMillis, PrivateKey key, OutputStream out)
+            Class<?> entry, int memoryMb, int slots, int callMillis, int startMillis, PrivateKey key, OutputStream out)
             throws IOException, InvalidPackageException {
-        PackageBuilder.write(about(entry, memoryMb, lanes, callMillis, startMillis), files(entry), key, out);
+        PackageBuilder.write(manifest(entry, memoryMb, slots, callMillis, startMillis), files(entry), key, out);
     }
 }
--- a/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
+++ b/worker/src/test/java/wharfhinge/worker/ParsersFuzzTest.java
@@ -10,7 +10,9 @@
 import wharfhinge.worker.pack.PackageReader;
 import wharfhinge.worker.store.ByteRange;
 
-/** Parsers of what others send: whatever comes, they refuse with a reason or take it. Without JAZZER_FUZZ only seeds run. */
+/**
+ * Parsers of input from outside the process accept any input or reject it with a reason. Without JAZZER_FUZZ only the seeds run.
+ */
 class ParsersFuzzTest {
 
     @FuzzTest(maxDuration = "10m")
@@ -18,10 +20,10 @@
         try {
             Manifest read = Manifest.parse(bytes);
             if (!read.equals(Manifest.parse(read.format()))) {
-                throw new AssertionError("written, it reads otherwise");
+                throw new AssertionError("a manifest that was formatted and parsed again differs");
             }
         } catch (InvalidPackageException e) {
-            shown(e);
+            assertMessageIsShort(e);
         }
     }
 
@@ -30,7 +32,7 @@
         try {
             PackageReader.read(new ByteArrayInputStream(bytes), List.of());
         } catch (InvalidPackageException e) {
-            shown(e);
+            assertMessageIsShort(e);
         }
     }
 
@@ -41,15 +43,17 @@
         if (range.from() >= 0 && (range.to() >= size || range.length() < 1)) {
             throw new AssertionError(range + " of " + size);
         }
-        WorkerCall head = WorkerCall.of(name -> data.consumeString(40));
-        if (head.waitMillis() < 1 || head.hint().memoryKb() < 0 || head.id().contains("\t")) {
-            throw new AssertionError(head.toString());
+        WorkerCall call = WorkerCall.of(name -> data.consumeString(40));
+        if (call.waitMillis() < 1
+                || call.memoryEstimate().memoryKb() < 0
+                || call.id().contains("\t")) {
+            throw new AssertionError(call.toString());
         }
     }
 
-    private static void shown(InvalidPackageException e) {
+    private static void assertMessageIsShort(InvalidPackageException e) {
         if (e.getMessage().length() > 1000) {
-            throw new AssertionError("a message of " + e.getMessage().length());
+            throw new AssertionError("length of the message: " + e.getMessage().length());
         }
     }
 }
--- a/worker/src/test/java/wharfhinge/worker/TestFunctions.java
+++ b/worker/src/test/java/wharfhinge/worker/TestFunctions.java
@@ -5,19 +5,19 @@
 import wharfhinge.worker.api.Function;
 import wharfhinge.worker.api.Invocation;
 
-/** Functions that behave and misbehave; each goes into a package of its own. */
+/** Functions that behave well or badly; each is packed into a package of its own. */
 final class TestFunctions {
 
     private TestFunctions() {}
 
-    /** Does what its input says. */
-    public static final class Obedient implements Function {
-        private static int calls; // of this copy alone, for its classes are its own
+    /** Does what the input of the call says. */
+    public static final class Scripted implements Function {
+        private static int calls; // calls of this copy only, since copies share no classes
         private CopyContext context;
 
         @Override
-        public void start(CopyContext given) {
-            context = given;
+        public void start(CopyContext initialContext) {
+            context = initialContext;
             context.memory().put(0, (byte) 1);
         }
 
@@ -25,19 +25,19 @@
         public byte[] call(Invocation call) throws Exception {
             String input = new String(call.input(), StandardCharsets.UTF_8);
             int number;
-            synchronized (Obedient.class) {
+            synchronized (Scripted.class) {
                 number = ++calls;
             }
             switch (input) {
-                case "throw" -> throw new IllegalStateException("as told");
+                case "throw" -> throw new IllegalStateException("requested by the test");
                 case "exit" -> System.exit(3);
                 case "halt" -> Runtime.getRuntime().halt(3);
                 case "memory" -> {
-                    long[][] all = new long[1 << 20][];
-                    for (int i = 0; i < all.length; i++) {
-                        all[i] = new long[Integer.MAX_VALUE - 8];
+                    long[][] arrays = new long[1 << 20][];
+                    for (int i = 0; i < arrays.length; i++) {
+                        arrays[i] = new long[Integer.MAX_VALUE - 8];
                     }
-                    return new byte[all.length];
+                    return new byte[arrays.length];
                 }
                 case "spin" -> {
                     while (!Boolean.getBoolean("test.spin.end")) {
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Its start does not end until it is told. */
+    /** Its start does not return until the test sets {@code test.start.end}. */
     public static final class HangsAtStart implements Function {
         @Override
         public void start(CopyContext context) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Fails halfway; whether a thread that uses the memory is left is told. */
+    /** Its start fails; if {@code test.leave.thread} is set, it leaves a thread that writes to the memory. */
     public static final class FailsAtStart implements Function {
         @Override
         public void start(CopyContext context) {
