--- a/bench-adapter/src/main/java/wharfhinge/adapter/Fields.java
+++ b/bench-adapter/src/main/java/wharfhinge/adapter/Fields.java
@@ -4,94 +4,96 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The values of one line, taken in order; each is set apart from the next by one space. */
+/** Reads the values of one line in order; values are separated by single spaces, and {@code -} is an absent value. */
 final class Fields {
     private final String line;
-    private final long number;
-    private int at;
+    private final long lineNumber;
+    private int position;
 
-    Fields(String line, long number) {
+    Fields(String line, long lineNumber) {
         this.line = line;
-        this.number = number;
+        this.lineNumber = lineNumber;
     }
 
-    MalformedInputException bad(String reason) {
-        return new MalformedInputException(number, reason);
+    MalformedInputException malformed(String reason) {
+        return new MalformedInputException(lineNumber, reason);
     }
 
     String text(String name) throws MalformedInputException {
-        if (at > line.length()) {
-            throw bad("missing value: " + name);
+        if (position > line.length()) {
+            throw malformed("missing value: " + name);
         }
-        int end = line.indexOf(' ', at);
+        int end = line.indexOf(' ', position);
         if (end < 0) {
             end = line.length();
         }
-        if (end == at) {
-            throw bad("missing value: " + name);
+        if (end == position) {
+            throw malformed("missing value: " + name);
         }
-        String value = line.substring(at, end);
-        at = end + 1;
+        String value = line.substring(position, end);
+        position = end + 1;
         return value;
     }
 
-    /** The value, or null where it is absent. */
+    /** The value, or null if it is absent. */
     String optional(String name) throws MalformedInputException {
         String value = text(name);
         return value.equals("-") ? null : value;
     }
 
-    /** A value that has to stand. */
+    /** The value, which must not be absent. */
     String required(String name) throws MalformedInputException {
         String value = optional(name);
         if (value == null) {
-            throw bad("absent value: " + name);
+            throw malformed("absent value: " + name);
         }
         return value;
     }
 
+    /** The remainder of the line, spaces included. */
     String rest(String name) throws MalformedInputException {
-        if (at >= line.length()) {
-            throw bad("missing value: " + name);
+        if (position >= line.length()) {
+            throw malformed("missing value: " + name);
         }
-        String value = line.substring(at);
-        at = line.length() + 1;
+        String value = line.substring(position);
+        position = line.length() + 1;
         return value;
     }
 
-    void end() throws MalformedInputException {
-        if (at <= line.length()) {
-            throw bad("more values than expected");
+    /** Fails if the line has further values. */
+    void expectEnd() throws MalformedInputException {
+        if (position <= line.length()) {
+            throw malformed("more values than expected");
         }
     }
 
-    /** A whole number that has to stand. */
-    long whole(String name) throws MalformedInputException {
+    /** An integer, which must not be absent. */
+    long longValue(String name) throws MalformedInputException {
         return parseLong(required(name), name);
     }
 
-    /** A whole number; 0 where it is absent. */
-    long wholeOrZero(String name) throws MalformedInputException {
+    /** An integer, or 0 if it is absent. */
+    long longOrZero(String name) throws MalformedInputException {
         String value = optional(name);
         return value == null ? 0 : parseLong(value, name);
     }
 
-    int small(String name) throws MalformedInputException {
-        return toInt(whole(name), name);
+    int intValue(String name) throws MalformedInputException {
+        return toInt(longValue(name), name);
     }
 
-    int smallOrZero(String name) throws MalformedInputException {
-        return toInt(wholeOrZero(name), name);
+    int intOrZero(String name) throws MalformedInputException {
+        return toInt(longOrZero(name), name);
     }
 
     private int toInt(long value, String name) throws MalformedInputException {
         if (value != (int) value) {
-            throw bad("out of range: " + name);
+            throw malformed("out of range: " + name);
         }
         return (int) value;
     }
 
-    double numberOrZero(String name) throws MalformedInputException {
+    double doubleOrZero(String name) throws MalformedInputException {
         String value = optional(name);
         return value == null ? 0 : parseDouble(value, name);
     }
@@ -99,7 +101,7 @@
     boolean flag(String name) throws MalformedInputException {
         String value = required(name);
         if (!value.equals("0") && !value.equals("1")) {
-            throw bad("not 0 or 1: " + name);
+            throw malformed("not 0 or 1: " + name);
         }
         return value.equals("1");
     }
@@ -109,7 +111,7 @@
         try {
             return value == null ? new byte[0] : HexFormat.of().parseHex(value);
         } catch (IllegalArgumentException e) {
-            throw bad("not hex digits: " + name);
+            throw malformed("not hex digits: " + name);
         }
     }
 
@@ -125,7 +127,7 @@
             int to = comma < 0 ? value.length() : comma;
             int colon = value.indexOf(':', from);
             if (colon <= from || colon >= to) {
-                throw bad("not name:value pairs: " + name);
+                throw malformed("not name:value pairs: " + name);
             }
             pairs.put(value.substring(from, colon), parseDouble(value.substring(colon + 1, to), name));
             from = to + 1;
@@ -137,7 +139,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw bad("not a whole number: " + name);
+            throw malformed("not a whole number: " + name);
         }
     }
 
@@ -148,8 +150,8 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported by the throw below
         }
-        throw bad("not a number: " + name);
+        throw malformed("not a number: " + name);
     }
 }
--- a/bench-adapter/src/main/java/wharfhinge/adapter/Main.java
+++ b/bench-adapter/src/main/java/wharfhinge/adapter/Main.java
@@ -6,7 +6,7 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Command line of the jar: {@code adapter} speaks the wire on standard input and output. */
+/** Command line of the jar: {@code adapter} serves the line protocol on standard input and output. */
 public final class Main {
 
     private Main() {}
--- a/bench-adapter/src/main/java/wharfhinge/adapter/MalformedInputException.java
+++ b/bench-adapter/src/main/java/wharfhinge/adapter/MalformedInputException.java
@@ -1,6 +1,6 @@
 package wharfhinge.adapter;
 
-/** Input that does not follow the wire; the message names the line and the reason. */
+/** Input that violates the line protocol; the message names the line and the reason. */
 final class MalformedInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/bench-adapter/src/main/java/wharfhinge/adapter/Session.java
+++ b/bench-adapter/src/main/java/wharfhinge/adapter/Session.java
@@ -22,12 +22,16 @@
 import wharfhinge.policy.Request;
 import wharfhinge.settings.SettingsJson;
 
-/** One stream of batches: decodes events, hands each to its instance, writes a reply a batch. */
+/** Serves one stream of batches: decodes events, passes each to its dispatcher instance, writes one reply per batch. */
 final class Session {
-    private static final CacheStatus[] NOTES = CacheStatus.values();
-    private static final int NOTE_BITS = 7;
-    private static final int COMPANY_SHIFT = 3;
-    private static final int REPEAT_BIT = 2;
+    private static final CacheStatus[] CACHE_STATUSES = CacheStatus.values();
+    /** Of {@code remark}: the low bits hold the cache status, the rest the concurrent requests found on the worker. */
+    private static final int CACHE_STATUS_MASK = 7;
+
+    private static final int CONCURRENT_SHIFT = 3;
+    /** Of {@code opts}: bit 0 marks the cost as known, the others a retry and a write. */
+    private static final int RETRY_BIT = 2;
+
     private static final int WRITE_BIT = 4;
 
     private final InputStream in;
@@ -38,10 +42,11 @@
     private long lineNumber;
     private long now;
 
+    /** A dispatcher and the writer of its actions. */
     private record Instance(Dispatcher dispatcher, WireActions actions) {}
 
     private interface Event {
-        void tell(Dispatcher dispatcher);
+        void deliver(Dispatcher dispatcher);
     }
 
     Session(InputStream in, OutputStream out) {
@@ -54,12 +59,12 @@
         for (String line = readLine(); line != null; line = readLine()) {
             Fields fields = new Fields(line, lineNumber);
             if (!fields.text("message").equals("TICK")) {
-                throw fields.bad("a batch begins with TICK");
+                throw fields.malformed("a batch begins with TICK");
             }
-            long clock = fields.whole("clock");
-            fields.end();
+            long clock = fields.longValue("clock");
+            fields.expectEnd();
             if (clock < now) {
-                throw fields.bad("the clock runs backwards");
+                throw fields.malformed("the clock runs backwards");
             }
             now = clock;
             batch();
@@ -70,197 +75,207 @@
         }
     }
 
+    /** Processes the events of one batch up to its {@code COMMIT}. */
     private void batch() throws IOException, MalformedInputException {
         while (true) {
             String line = requireLine();
             Fields fields = new Fields(line, lineNumber);
             String message = fields.text("message");
             if (message.equals("COMMIT")) {
-                fields.end();
+                fields.expectEnd();
                 return;
             }
             event(message, fields);
         }
     }
 
-    private void event(String message, Fields f) throws IOException, MalformedInputException {
+    private void event(String message, Fields fields) throws IOException, MalformedInputException {
         switch (message) {
-            case "BEGIN" -> begin(f);
-            case "MEMBERS" -> members(f);
-            case "QUERY" -> query(f);
-            case "COMPLETED" -> completed(f);
+            case "BEGIN" -> begin(fields);
+            case "MEMBERS" -> members(fields);
+            case "QUERY" -> query(fields);
+            case "COMPLETED" -> completed(fields);
             case "DUE" -> {
-                int i = f.small("i");
-                String token = f.rest("token");
-                tell(f, i, d -> d.onTimer(now, token));
+                int instanceId = fields.intValue("i");
+                String token = fields.rest("token");
+                deliver(fields, instanceId, d -> d.onTimer(now, token));
             }
             case "TIMED_OUT_CLIENT" -> {
-                int i = f.small("i");
-                String call = f.required("call");
-                tell(f, i, d -> d.onClientCancelled(now, call));
+                int instanceId = fields.intValue("i");
+                String call = fields.required("call");
+                deliver(fields, instanceId, d -> d.onClientCancelled(now, call));
             }
             case "CHECKED" -> {
-                int i = f.small("i");
-                String worker = f.required("runner");
-                Outcome outcome = outcome(f);
-                long took = f.wholeOrZero("time_taken_ns");
-                Map<String, Double> report = f.pairs("telemetry");
-                tell(f, i, d -> d.onProbeCompleted(now, worker, outcome, took, report));
+                int instanceId = fields.intValue("i");
+                String worker = fields.required("runner");
+                Outcome outcome = outcome(fields);
+                long tookNanos = fields.longOrZero("time_taken_ns");
+                Map<String, Double> report = fields.pairs("telemetry");
+                deliver(fields, instanceId, d -> d.onProbeCompleted(now, worker, outcome, tookNanos, report));
             }
             case "ESTABLISHED" -> {
-                int i = f.small("i");
-                String call = f.required("call");
-                f.wholeOrZero("time_taken_ns");
-                int attempt = f.smallOrZero("attempt");
-                String worker = f.required("runner");
-                tell(f, i, d -> d.onStreamStarted(now, call, attempt, worker));
+                int instanceId = fields.intValue("i");
+                String call = fields.required("call");
+                fields.longOrZero("time_taken_ns");
+                int attempt = fields.intOrZero("attempt");
+                String worker = fields.required("runner");
+                deliver(fields, instanceId, d -> d.onStreamStarted(now, call, attempt, worker));
             }
             case "INBOX" -> {
-                int i = f.small("i");
-                int peer = f.small("src_peer");
-                byte[] payload = f.hex("payload");
-                tell(f, i, d -> d.onPeerMessage(now, peer, payload));
+                int instanceId = fields.intValue("i");
+                int peer = fields.intValue("src_peer");
+                byte[] payload = fields.hex("payload");
+                deliver(fields, instanceId, d -> d.onPeerMessage(now, peer, payload));
             }
             case "RESIDENT" -> {
-                int i = f.small("i");
-                long took = f.wholeOrZero("time_taken_ns");
-                int count = f.smallOrZero("count");
-                Outcome outcome = outcome(f);
-                String worker = f.required("runner");
-                String function = f.required("model");
-                tell(f, i, d -> d.onLoadCompleted(now, worker, function, count, outcome, took));
+                int instanceId = fields.intValue("i");
+                long tookNanos = fields.longOrZero("time_taken_ns");
+                int count = fields.intOrZero("count");
+                Outcome outcome = outcome(fields);
+                String worker = fields.required("runner");
+                String function = fields.required("model");
+                deliver(fields, instanceId, d -> d.onLoadCompleted(now, worker, function, count, outcome, tookNanos));
             }
             case "RETIRE" -> {
-                int i = f.small("i");
-                f.end();
-                if (instances.remove(i) == null) {
-                    throw f.bad("instance never begun: " + i);
+                int instanceId = fields.intValue("i");
+                fields.expectEnd();
+                if (instances.remove(instanceId) == null) {
+                    throw fields.malformed("instance never begun: " + instanceId);
                 }
             }
-            default -> throw f.bad("unknown message: " + message);
+            default -> throw fields.malformed("unknown message: " + message);
         }
     }
 
-    private void tell(Fields f, int i, Event event) throws MalformedInputException {
-        f.end();
-        Instance instance = instances.get(i);
+    /** Passes an event to its instance; an exception that the dispatcher throws becomes a line of the reply. */
+    private void deliver(Fields fields, int instanceId, Event event) throws MalformedInputException {
+        fields.expectEnd();
+        Instance instance = instances.get(instanceId);
         if (instance == null) {
-            throw f.bad("instance never begun: " + i);
+            throw fields.malformed("instance never begun: " + instanceId);
         }
         try {
-            event.tell(instance.dispatcher());
+            event.deliver(instance.dispatcher());
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            instance.actions().exception(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            instance.actions().reportException(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private void begin(Fields f) throws MalformedInputException {
-        int i = f.small("i");
-        long seed = f.whole("random_seed");
-        String env = f.rest("env");
+    private void begin(Fields fields) throws MalformedInputException {
+        int instanceId = fields.intValue("i");
+        long seed = fields.longValue("random_seed");
+        String env = fields.rest("env");
         DispatcherSettings settings;
         try {
             settings = SettingsJson.parse(env);
         } catch (JsonParseException e) {
-            throw f.bad("settings: " + e.getMessage());
+            throw fields.malformed("settings: " + e.getMessage());
         }
-        WireActions actions = new WireActions(reply, i);
+        WireActions actions = new WireActions(reply, instanceId);
         try {
-            instances.put(i, new Instance(new CacheAwareDispatcher(now, seed, settings, actions), actions));
+            instances.put(instanceId, new Instance(new CacheAwareDispatcher(now, seed, settings, actions), actions));
         } catch (IllegalArgumentException e) {
-            throw f.bad("settings: " + e.getMessage());
+            throw fields.malformed("settings: " + e.getMessage());
         }
     }
 
-    private void members(Fields f) throws IOException, MalformedInputException {
-        int i = f.small("i");
+    private void members(Fields fields) throws IOException, MalformedInputException {
+        int instanceId = fields.intValue("i");
         EndpointUpdateMode mode =
-                switch (f.required("mode")) {
+                switch (fields.required("mode")) {
                     case "changes" -> EndpointUpdateMode.INCREMENTAL;
                     case "all" -> EndpointUpdateMode.FULL;
                     case "remembered" -> EndpointUpdateMode.SNAPSHOT;
                     case "refused" -> EndpointUpdateMode.REJECTED;
-                    default -> throw f.bad("unknown mode");
+                    default -> throw fields.malformed("unknown mode");
                 };
-        long revision = f.wholeOrZero("rev");
-        int count = f.smallOrZero("elements");
+        long revision = fields.longOrZero("rev");
+        int count = fields.intOrZero("elements");
         List<Endpoint> entries = new ArrayList<>();
         for (int k = 0; k < count; k++) {
             entries.add(entry(new Fields(requireLine(), lineNumber)));
         }
-        tell(f, i, d -> d.onEndpointUpdate(now, mode, revision, entries));
+        deliver(fields, instanceId, d -> d.onEndpointUpdate(now, mode, revision, entries));
     }
 
-    private static Endpoint entry(Fields f) throws MalformedInputException {
-        if (!f.text("message").equals("M")) {
-            throw f.bad("an entry begins with M");
+    private static Endpoint entry(Fields fields) throws MalformedInputException {
+        if (!fields.text("message").equals("M")) {
+            throw fields.malformed("an entry begins with M");
         }
-        String worker = f.required("runner");
-        String zone = f.optional("area");
-        String kind = f.optional("sku");
-        int cell = f.smallOrZero("pack");
+        String worker = fields.required("runner");
+        String zone = fields.optional("area");
+        String kind = fields.optional("sku");
+        int cell = fields.intOrZero("pack");
         Availability availability =
-                switch (f.required("availability")) {
+                switch (fields.required("availability")) {
                     case "U" -> Availability.UP;
                     case "L" -> Availability.DRAINING;
                     case "D" -> Availability.REMOVED;
-                    default -> throw f.bad("unknown availability");
+                    default -> throw fields.malformed("unknown availability");
                 };
-        double weight = f.numberOrZero("power_hint");
-        long startedAt = f.wholeOrZero("boot_time_ns");
-        f.end();
+        double weight = fields.doubleOrZero("power_hint");
+        long startedAt = fields.longOrZero("boot_time_ns");
+        fields.expectEnd();
         return new Endpoint(worker, zone, kind, cell, availability, weight, startedAt);
     }
 
-    private void query(Fields f) throws MalformedInputException {
-        int i = f.small("i");
-        String call = f.required("call");
-        String tenant = f.optional("project");
-        long remaining = f.whole("remaining_ns");
-        double memory = f.numberOrZero("resident_mb");
-        String function = f.required("model");
-        long cost = f.wholeOrZero("cost_ns");
-        int lanes = (int) f.numberOrZero("lanes");
-        double loadMillis = f.numberOrZero("warm_ms");
-        String requestClass = f.required("priority");
-        int opts = f.smallOrZero("opts");
+    private void query(Fields fields) throws MalformedInputException {
+        int instanceId = fields.intValue("i");
+        String call = fields.required("call");
+        String tenant = fields.optional("project");
+        long remainingNanos = fields.longValue("remaining_ns");
+        double memoryMb = fields.doubleOrZero("resident_mb");
+        String function = fields.required("model");
+        long costNanos = fields.longOrZero("cost_ns");
+        int concurrencyPerCopy = (int) fields.doubleOrZero("lanes");
+        double loadMillis = fields.doubleOrZero("warm_ms");
+        String requestClass = fields.required("priority");
+        int options = fields.intOrZero("opts");
         Request request = new Request(
                 call,
                 tenant,
-                remaining,
-                memory,
+                remainingNanos,
+                memoryMb,
                 function,
-                (opts & 1) != 0 ? cost : 0,
-                lanes,
+                (options & 1) != 0 ? costNanos : 0,
+                concurrencyPerCopy,
                 loadMillis,
                 requestClass,
-                (opts & REPEAT_BIT) != 0,
-                (opts & WRITE_BIT) != 0);
-        tell(f, i, d -> d.onRequest(now, request));
+                (options & RETRY_BIT) != 0,
+                (options & WRITE_BIT) != 0);
+        deliver(fields, instanceId, d -> d.onRequest(now, request));
     }
 
-    private void completed(Fields f) throws MalformedInputException {
-        int i = f.small("i");
-        String call = f.required("call");
-        Outcome outcome = outcome(f);
-        int attempt = f.smallOrZero("attempt");
-        long took = f.wholeOrZero("time_taken_ns");
-        String worker = f.required("runner");
-        int remark = f.smallOrZero("remark");
-        boolean settled = f.flag("settled");
-        Map<String, Double> report = f.pairs("telemetry");
-        int note = remark & NOTE_BITS;
-        if (remark < 0 || note >= NOTES.length) {
-            throw f.bad("unknown remark: " + remark);
+    private void completed(Fields fields) throws MalformedInputException {
+        int instanceId = fields.intValue("i");
+        String call = fields.required("call");
+        Outcome outcome = outcome(fields);
+        int attempt = fields.intOrZero("attempt");
+        long tookNanos = fields.longOrZero("time_taken_ns");
+        String worker = fields.required("runner");
+        int remark = fields.intOrZero("remark");
+        boolean answered = fields.flag("settled");
+        Map<String, Double> report = fields.pairs("telemetry");
+        int cacheStatus = remark & CACHE_STATUS_MASK;
+        if (remark < 0 || cacheStatus >= CACHE_STATUSES.length) {
+            throw fields.malformed("unknown remark: " + remark);
         }
         AttemptCompletion completion = new AttemptCompletion(
-                call, outcome, attempt, took, worker, NOTES[note], remark >> COMPANY_SHIFT, settled, report);
-        tell(f, i, d -> d.onAttemptCompleted(now, completion));
+                call,
+                outcome,
+                attempt,
+                tookNanos,
+                worker,
+                CACHE_STATUSES[cacheStatus],
+                remark >> CONCURRENT_SHIFT,
+                answered,
+                report);
+        deliver(fields, instanceId, d -> d.onAttemptCompleted(now, completion));
     }
 
-    private static Outcome outcome(Fields f) throws MalformedInputException {
-        int code = f.small("verdict");
+    private static Outcome outcome(Fields fields) throws MalformedInputException {
+        int code = fields.intValue("verdict");
         return switch (code) {
             case 0 -> Outcome.SERVED;
             case 2 -> Outcome.NOT_LOADED;
@@ -271,7 +286,7 @@
             case 111 -> Outcome.CONNECT_FAILED;
             case 114 -> Outcome.SUPERSEDED;
             case 125 -> Outcome.CANCELLED;
-            default -> throw f.bad("unknown verdict: " + code);
+            default -> throw fields.malformed("unknown verdict: " + code);
         };
     }
 
--- a/bench-adapter/src/main/java/wharfhinge/adapter/WireActions.java
+++ b/bench-adapter/src/main/java/wharfhinge/adapter/WireActions.java
@@ -3,7 +3,7 @@
 import java.util.HexFormat;
 import wharfhinge.policy.DispatcherActions;
 
-/** Writes one instance's actions as lines of the reply. */
+/** Writes the actions of one dispatcher instance as lines of the reply. */
 final class WireActions implements DispatcherActions {
     private final StringBuilder reply;
     private final int instance;
@@ -13,13 +13,13 @@
         this.instance = instance;
     }
 
-    private StringBuilder line(String message) {
+    private StringBuilder startLine(String message) {
         return reply.append(message).append(' ').append(instance);
     }
 
     @Override
     public void sendAttempt(String request, String worker, long timeoutNanos) {
-        line("ATTEMPT")
+        startLine("ATTEMPT")
                 .append(' ')
                 .append(request)
                 .append(' ')
@@ -31,12 +31,17 @@
 
     @Override
     public void cancelAttempt(String request, int attempt) {
-        line("RECALL").append(' ').append(request).append(' ').append(attempt).append('\n');
+        startLine("RECALL")
+                .append(' ')
+                .append(request)
+                .append(' ')
+                .append(attempt)
+                .append('\n');
     }
 
     @Override
     public void reject(String request, long coolDownNanos) {
-        line("PUSH_BACK")
+        startLine("PUSH_BACK")
                 .append(' ')
                 .append(request)
                 .append(' ')
@@ -46,12 +51,12 @@
 
     @Override
     public void fail(String request) {
-        line("DROP_REQUEST").append(' ').append(request).append('\n');
+        startLine("DROP_REQUEST").append(' ').append(request).append('\n');
     }
 
     @Override
     public void ensureLoaded(String worker, String function, int count) {
-        line("BRING_UP")
+        startLine("BRING_UP")
                 .append(' ')
                 .append(function)
                 .append(' ')
@@ -63,17 +68,22 @@
 
     @Override
     public void unload(String worker, String function) {
-        line("SHELVE").append(' ').append(worker).append(' ').append(function).append('\n');
+        startLine("SHELVE")
+                .append(' ')
+                .append(worker)
+                .append(' ')
+                .append(function)
+                .append('\n');
     }
 
     @Override
     public void probe(String worker) {
-        line("TEST").append(' ').append(worker).append('\n');
+        startLine("TEST").append(' ').append(worker).append('\n');
     }
 
     @Override
     public void scheduleTimer(String token, long delayNanos) {
-        line("NOTIFY_ME")
+        startLine("NOTIFY_ME")
                 .append(' ')
                 .append(token)
                 .append(' ')
@@ -83,7 +93,7 @@
 
     @Override
     public void sendToPeers(int peer, byte[] payload) {
-        line("PUBLISH")
+        startLine("PUBLISH")
                 .append(' ')
                 .append(peer)
                 .append(' ')
@@ -93,26 +103,26 @@
 
     @Override
     public void watchEndpoints(boolean on) {
-        line("LISTEN").append(on ? " 1\n" : " 0\n");
+        startLine("LISTEN").append(on ? " 1\n" : " 0\n");
     }
 
     @Override
     public void refreshEndpoints() {
-        line("RELOAD").append('\n');
+        startLine("RELOAD").append('\n');
     }
 
     @Override
     public void closeIdleConnections(String worker) {
-        line("HANG_UP").append(' ').append(worker).append('\n');
+        startLine("HANG_UP").append(' ').append(worker).append('\n');
     }
 
     @Override
     public void logDiagnostic(String text) {
-        line("REMARK").append(' ').append(text.replace('\n', ' ')).append('\n');
+        startLine("REMARK").append(' ').append(text.replace('\n', ' ')).append('\n');
     }
 
-    /** Says that the instance's decisions failed. */
-    void exception(String reason) {
-        line("EXCEPTION").append(' ').append(reason.replace('\n', ' ')).append('\n');
+    /** Reports that the instance's dispatcher threw an exception. */
+    void reportException(String reason) {
+        startLine("EXCEPTION").append(' ').append(reason.replace('\n', ' ')).append('\n');
     }
 }
