--- a/app/src/main/java/wharfhinge/app/measure/ChainCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ChainCostCommand.java
@@ -13,24 +13,25 @@
 import wharfhinge.decisions.chain.ChainSettings;
 import wharfhinge.policy.Effect;
 
-/** What the decisions on a chain cost, without sockets and without the policy. */
+/** Measures the processor time of the chain scheduler's decisions, without sockets and without the dispatcher. */
 @Command(
         name = "chain-cost",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "Measures the decisions on chains of 2, 4, 8 and 16 steps in a row: microseconds a step, warm.")
+        description =
+                "Measures the scheduling decisions on chains of 2, 4, 8 and 16 sequential steps: microseconds per step after warm-up.")
 final class ChainCostCommand implements Callable<Integer> {
     private static final long MS = 1_000_000L;
-    private static final int WARM_UP = 200_000;
+    private static final int WARM_UP_STEPS = 200_000;
     private static final int CHAINS = 100_000;
 
     @Override
     public Integer call() throws Exception {
         System.out.println("steps  us/step p50     p99   mean");
         for (int steps : new int[] {2, 4, 8, 16}) {
-            List<ChainPlan.Step> row = new ArrayList<>();
+            List<ChainPlan.Step> sequence = new ArrayList<>();
             for (int i = 0; i < steps; i++) {
-                row.add(new ChainPlan.Step(
+                sequence.add(new ChainPlan.Step(
                         "s" + i,
                         "f" + i % 200,
                         "c",
@@ -39,8 +40,8 @@
                         0,
                         500 * MS));
             }
-            ChainPlan plan = ChainPlan.of(row);
-            run(plan, WARM_UP / steps);
+            ChainPlan plan = ChainPlan.of(sequence);
+            run(plan, WARM_UP_STEPS / steps);
             Histogram cost = run(plan, CHAINS);
             System.out.printf(
                     "%5d  %11.2f %7.2f %6.2f%n",
@@ -52,14 +53,14 @@
         return Program.OK;
     }
 
-    /** Whole chains from begin to end; each histogram value is one chain's time. */
+    /** Runs whole chains; each value of the histogram is the time of all decisions on one chain. */
     private static Histogram run(ChainPlan plan, int chains) {
         Histogram cost = new Histogram(10_000_000_000L, 3);
-        ChainScheduler decisions = new ChainScheduler(
+        ChainScheduler scheduler = new ChainScheduler(
                 new ChainSettings(ChainSettings.Clock.SHARED_DEADLINE, true, 50, true, 100, 100, 1, 1 << 20, 4 * MS),
                 new ChainScheduler.Actions() {
                     @Override
-                    public void startStep(long chain, int step, long mayTakeNanos) {}
+                    public void startStep(long chain, int step, long timeoutNanos) {}
 
                     @Override
                     public void cancelStep(long chain, int step) {}
@@ -68,18 +69,18 @@
                     public void prefetch(long chain, int step) {}
 
                     @Override
-                    public void completeChain(long chain, ChainResult end) {}
+                    public void completeChain(long chain, ChainResult result) {}
                 },
                 function -> (function.hashCode() & 3) != 0);
         for (long id = 0; id < chains; id++) {
             long now = id * MS;
-            long began = System.nanoTime();
-            decisions.onChain(now, id, plan, "t", now + 60_000 * MS, null);
+            long startedAt = System.nanoTime();
+            scheduler.onChain(now, id, plan, "t", now + 60_000 * MS, null);
             for (int step = 0; step < plan.size(); step++) {
-                decisions.onStepCompleted(
+                scheduler.onStepCompleted(
                         now + (step + 1) * 20 * MS, id, step, StepEnd.SERVED, (10 + id % 40) * MS, id % 7 == 0);
             }
-            cost.recordValue(System.nanoTime() - began);
+            cost.recordValue(System.nanoTime() - startedAt);
         }
         return cost;
     }
--- a/app/src/main/java/wharfhinge/app/measure/ClientBenchmark.java
+++ b/app/src/main/java/wharfhinge/app/measure/ClientBenchmark.java
@@ -19,18 +19,18 @@
 import wharfhinge.client.grpc.GrpcTransport;
 import wharfhinge.client.http.HttpTransport;
 
-/** One call at a time, waited for: what a caller feels of the library beside its bare transport. */
+/** One call at a time, awaited: the latency that a caller sees with the client library and with its transport alone. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class ClientBenchmark {
-    /** Addresses of a gateway, for HTTP and for gRPC. */
+    /** Address (host:port) of the gateway's HTTP listener. */
     @Param("")
     public String http;
-    /** See {@link #http}. */
+    /** Address (host:port) of the gateway's gRPC listener. */
     @Param("")
     public String grpc;
-    /** Which protocol. */
+    /** Protocol of the run: {@code http} or {@code grpc}. */
     @Param({"http", "grpc"})
     public String protocol;
 
@@ -38,7 +38,7 @@
     private WharfhingeClient client;
     private String gateway;
 
-    /** Both speak through transports of their own. */
+    /** Opens the client and the bare transport; the client has a transport of its own. */
     @Setup
     public void open() {
         gateway = protocol.equals("http") ? http : grpc;
@@ -52,26 +52,26 @@
                 : new GrpcTransport(Duration.ofSeconds(2), 1 << 20, null, null);
     }
 
-    /** The bare transport. */
+    /** A call by the transport without the client library. */
     @Benchmark
     public Object transportAlone() {
-        CompletableFuture<Transport.Reply> end = new CompletableFuture<>();
+        CompletableFuture<Transport.Reply> reply = new CompletableFuture<>();
         transport.send(
                 gateway,
                 ClientCostCommand.CALL,
                 ClientCostCommand.CALL.deadline().toNanos(),
                 false,
-                end::complete);
-        return end.join();
+                reply::complete);
+        return reply.join();
     }
 
-    /** The library. */
+    /** A call by the client library. */
     @Benchmark
     public Object library() {
         return client.call(ClientCostCommand.CALL).join();
     }
 
-    /** Closes both. */
+    /** Closes the transport and the client. */
     @TearDown
     public void close() throws InterruptedException {
         transport.close();
--- a/app/src/main/java/wharfhinge/app/measure/ClientCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ClientCostCommand.java
@@ -31,16 +31,17 @@
 import wharfhinge.client.grpc.GrpcTransport;
 import wharfhinge.client.http.HttpTransport;
 
-/** What the client library adds to its bare transport, over both protocols. */
+/** Measures what the client library adds to its bare transport, over both protocols. */
 @Command(
         name = "clients",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Measures calls a second with 64 open and processor time a call through one gateway: by the bare transport and by the "
-                        + "client library, over HTTP/2 and over gRPC, in turns of one run; with --certificates over TLS.")
+                "Measures calls per second with 64 in flight and client processor time per call through one gateway, with the bare "
+                        + "transport and with the client library, over HTTP/2 and over gRPC, alternating within one run; with "
+                        + "--certificates over TLS.")
 final class ClientCostCommand implements Callable<Integer> {
-    private static final int OPEN = 64;
+    private static final int CALLS_IN_FLIGHT = 64;
     private static final int WORKERS = 8;
     private static final int ROUNDS = 3;
     static final Call CALL = Call.safe("f", "safe", Duration.ofSeconds(2))
@@ -48,72 +49,77 @@
             .copy(10, 64, 1)
             .build();
 
-    @Option(names = "--seconds", defaultValue = "4", description = "Of each turn. Default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seconds",
+            defaultValue = "4",
+            description = "Duration of each measurement in seconds. Default ${DEFAULT-VALUE}.")
     private int seconds;
 
     @Option(
             names = "--certificates",
             paramLabel = "PEM",
-            description = "The gateway's certificate for 127.0.0.1; it is trusted as it is.")
+            description = "The gateway's certificate for 127.0.0.1; the client uses it as its trust anchor.")
     private Path certificates;
 
-    @Option(names = "--key", paramLabel = "PEM", description = "Its key, PKCS 8.")
+    @Option(names = "--key", paramLabel = "PEM", description = "Private key of the certificate, in PKCS 8.")
     private Path key;
 
     @Option(
             names = "--jmh",
-            description = "One call at a time with JMH in a process of its own, in the clear, in place of turns.")
+            description =
+                    "Measures the latency of one call at a time instead, with JMH in a separate process and without TLS.")
     private boolean jmh;
 
-    private interface Way {
-        void call(Runnable ended);
+    private interface Caller {
+        void call(Runnable onEnd);
     }
 
     @Override
     public Integer call() throws Exception {
-        try (Bench bench = new Bench(WORKERS)) {
+        try (LoopbackTestbed testbed = new LoopbackTestbed(WORKERS)) {
             String tls = certificates == null
                     ? ""
                     : "<tls certificates='" + certificates.toAbsolutePath() + "' key='" + key.toAbsolutePath() + "'/>";
-            Bench.Started gateway = bench.gateway("gateway", null, tls + "<grpc port='0'/>", "info", 1);
+            LoopbackTestbed.RunningGateway gateway =
+                    testbed.gateway("gateway", null, tls + "<grpc port='0'/>", "info", 1);
             String http = "127.0.0.1:" + gateway.port();
             String grpc = "127.0.0.1:" + gateway.grpcPort();
             if (jmh) {
-                return sampled(http, grpc);
+                return runJmh(http, grpc);
             }
-            Map<String, Way> ways = new LinkedHashMap<>();
-            List<AutoCloseable> open = new ArrayList<>();
-            ways.put("http transport", bare(transport(true), http, open));
-            ways.put("http library", library(transport(true), http, open));
-            ways.put("grpc transport", bare(transport(false), grpc, open));
-            ways.put("grpc library", library(transport(false), grpc, open));
+            Map<String, Caller> callers = new LinkedHashMap<>();
+            List<AutoCloseable> resources = new ArrayList<>();
+            callers.put("http transport", transportCaller(transport(true), http, resources));
+            callers.put("http library", libraryCaller(transport(true), http, resources));
+            callers.put("grpc transport", transportCaller(transport(false), grpc, resources));
+            callers.put("grpc library", libraryCaller(transport(false), grpc, resources));
             Map<String, double[]> best = new LinkedHashMap<>();
             for (int round = 0; round <= ROUNDS; round++) {
-                for (Map.Entry<String, Way> way : ways.entrySet()) {
-                    double[] got = turn(way.getValue());
-                    if (round > 0) { // the first is warm-up
-                        best.merge(way.getKey(), got, (a, b) -> a[0] >= b[0] ? a : b);
+                for (Map.Entry<String, Caller> caller : callers.entrySet()) {
+                    double[] result = measure(caller.getValue());
+                    if (round > 0) { // round 0 is the warm-up
+                        best.merge(caller.getKey(), result, (a, b) -> a[0] >= b[0] ? a : b);
                     }
                 }
             }
             System.out.printf(
                     "%d processors shared with gateway and workers; %d open, best of %d turns of %d s, %s%n",
                     Runtime.getRuntime().availableProcessors(),
-                    OPEN,
+                    CALLS_IN_FLIGHT,
                     ROUNDS,
                     seconds,
                     certificates == null ? "in the clear" : "TLS");
             System.out.println("| way | calls/s | client's processor us a call |");
             System.out.println("| --- | --- | --- |");
-            best.forEach((way, got) -> System.out.printf("| %s | %.0f | %.1f |%n", way, got[0], got[1]));
-            for (AutoCloseable one : open) {
-                one.close();
+            best.forEach((name, result) -> System.out.printf("| %s | %.0f | %.1f |%n", name, result[0], result[1]));
+            for (AutoCloseable resource : resources) {
+                resource.close();
             }
             return Program.OK;
         }
     }
 
-    private int sampled(String http, String grpc) throws RunnerException {
+    private int runJmh(String http, String grpc) throws RunnerException {
         System.out.println("| protocol | way | mean us | p50 | p99 |");
         System.out.println("| --- | --- | --- | --- | --- |");
         for (RunResult r : new Runner(new OptionsBuilder()
@@ -153,44 +159,44 @@
                 : new GrpcTransport(Duration.ofSeconds(2), 1 << 20, tls, null);
     }
 
-    private static Way bare(Transport transport, String gateway, List<AutoCloseable> open) {
-        open.add(transport);
-        return ended -> transport.send(gateway, CALL, CALL.deadline().toNanos(), false, reply -> {
+    private static Caller transportCaller(Transport transport, String gateway, List<AutoCloseable> resources) {
+        resources.add(transport);
+        return onEnd -> transport.send(gateway, CALL, CALL.deadline().toNanos(), false, reply -> {
             if (reply.result() != AttemptResult.SERVED) {
                 System.out.println("not served: " + reply.reason());
             }
-            ended.run();
+            onEnd.run();
         });
     }
 
-    private static Way library(Transport transport, String gateway, List<AutoCloseable> open) {
+    private static Caller libraryCaller(Transport transport, String gateway, List<AutoCloseable> resources) {
         WharfhingeClient client = new WharfhingeClient(transport, ClientPolicy.DEFAULT, List.of(gateway));
-        open.add(client);
-        return ended -> client.call(CALL).thenAccept(r -> {
+        resources.add(client);
+        return onEnd -> client.call(CALL).thenAccept(r -> {
             if (!(r instanceof Result.Served)) {
                 System.out.println("not served: " + r);
             }
-            ended.run();
+            onEnd.run();
         });
     }
 
-    /** Calls a second, and the processor time of this process a call in microseconds. */
-    private double[] turn(Way way) throws InterruptedException {
+    /** Returns the calls per second and this process's processor time per call in microseconds. */
+    private double[] measure(Caller caller) throws InterruptedException {
         var system = (com.sun.management.OperatingSystemMXBean)
                 java.lang.management.ManagementFactory.getOperatingSystemMXBean();
-        Semaphore room = new Semaphore(OPEN);
-        LongAdder done = new LongAdder();
+        Semaphore semaphore = new Semaphore(CALLS_IN_FLIGHT);
+        LongAdder ended = new LongAdder();
         long cpu = system.getProcessCpuTime();
         long begin = System.nanoTime();
         while (System.nanoTime() - begin < seconds * 1_000_000_000L) {
-            room.acquire();
-            way.call(() -> {
-                done.increment();
-                room.release();
+            semaphore.acquire();
+            caller.call(() -> {
+                ended.increment();
+                semaphore.release();
             });
         }
-        double took = (System.nanoTime() - begin) / 1e9;
-        room.acquire(OPEN);
-        return new double[] {done.sum() / took, (system.getProcessCpuTime() - cpu) / 1000.0 / done.sum()};
+        double elapsedSeconds = (System.nanoTime() - begin) / 1e9;
+        semaphore.acquire(CALLS_IN_FLIGHT);
+        return new double[] {ended.sum() / elapsedSeconds, (system.getProcessCpuTime() - cpu) / 1000.0 / ended.sum()};
     }
 }
--- a/app/src/main/java/wharfhinge/app/measure/ColdStartCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ColdStartCommand.java
@@ -8,28 +8,34 @@
 import wharfhinge.app.Program;
 import wharfhinge.standin.HttpCaller;
 
-/** What the first seconds of a new process are like under full load, with and without its rehearsal. */
+/** Measures calls served late by a new gateway process under full load, with and without its warm-up. */
 @Command(
         name = "cold",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Sends calls at a steady rate to a gateway process from the moment it takes calls, with and without its rehearsal: by "
-                        + "second the calls that were not served within 50 ms of when they were due.")
+                "Sends calls at a fixed rate to a gateway process from the moment it accepts calls, with and without its warm-up, and "
+                        + "prints for each second how many calls were not served within 50 ms of the time when they were due.")
 final class ColdStartCommand implements Callable<Integer> {
     private static final int WORKERS = 20;
     private static final int FUNCTIONS = 200;
     private static final long IN_TIME_NS = 50_000_000;
-    private static final long LAST_ANSWERS_MS = 1500;
-    private static final String PATIENCE_MS = "1000";
+    private static final long LAST_RESPONSES_MS = 1500;
+    private static final String DEADLINE_MS = "1000";
 
-    @Option(names = "--rate", defaultValue = "3000", description = "Calls a second. Default ${DEFAULT-VALUE}.")
+    @Option(names = "--rate", defaultValue = "3000", description = "Calls per second. Default ${DEFAULT-VALUE}.")
     private int rate;
 
-    @Option(names = "--seconds", defaultValue = "6", description = "Default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seconds",
+            defaultValue = "6",
+            description = "Duration of each run in seconds. Default ${DEFAULT-VALUE}.")
     private int seconds;
 
-    @Option(names = "--rounds", defaultValue = "2", description = "Default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--rounds",
+            defaultValue = "2",
+            description = "Rounds of one run without and one with warm-up. Default ${DEFAULT-VALUE}.")
     private int rounds;
 
     @Override
@@ -38,30 +44,30 @@
                 "%d processors; %d calls a second%n| rehearsal | start ms | not in time in second 1 | 2 | 3 | further | all |%n"
                         + "| --- | --- | --- | --- | --- | --- | --- |%n",
                 Runtime.getRuntime().availableProcessors(), rate);
-        try (Bench bench = new Bench(WORKERS)) {
-            HttpCaller warm = new HttpCaller(
-                    bench.group, bench.gateway("other", null, "", "info", 1).port());
-            MeasureCommand.closed(warm, 4, FUNCTIONS); // this process's own compiler, and the workers'
+        try (LoopbackTestbed testbed = new LoopbackTestbed(WORKERS)) {
+            HttpCaller warmCaller = new HttpCaller(
+                    testbed.group, testbed.gateway("other", null, "", "info", 1).port());
+            MeasureCommand.runClosedLoop(warmCaller, 4, FUNCTIONS); // JIT compilation here and in the workers
             for (int round = 0; round < rounds; round++) {
-                for (String way : new String[] {"none", "yes"}) {
+                for (String warmUp : new String[] {"none", "yes"}) {
                     long from = System.nanoTime();
-                    Bench.Started gateway = bench.gateway(
-                            way + round, null, "", "info", 1, way.equals("none") ? " rehearse-ms=\"0\"" : "");
+                    LoopbackTestbed.RunningGateway gateway = testbed.gateway(
+                            warmUp + round, null, "", "info", 1, warmUp.equals("none") ? " rehearse-ms=\"0\"" : "");
                     long startMillis = (System.nanoTime() - from) / 1_000_000;
-                    int[] wanting = play(new HttpCaller(bench.group, gateway.port()));
-                    int further = 0;
+                    int[] missed = countMissed(new HttpCaller(testbed.group, gateway.port()));
+                    int missedLater = 0;
                     for (int i = 3; i < seconds; i++) {
-                        further += wanting[i];
+                        missedLater += missed[i];
                     }
                     System.out.printf(
                             "| %s | %d | %d | %d | %d | %d | %d |%n",
-                            way,
+                            warmUp,
                             startMillis,
-                            wanting[0],
-                            wanting[1],
-                            wanting[2],
-                            further,
-                            wanting[0] + wanting[1] + wanting[2] + further);
+                            missed[0],
+                            missed[1],
+                            missed[2],
+                            missedLater,
+                            missed[0] + missed[1] + missed[2] + missedLater);
                     gateway.process().destroy();
                     gateway.process().waitFor();
                 }
@@ -70,7 +76,8 @@
         return Program.OK;
     }
 
-    private int[] play(HttpCaller caller) throws InterruptedException {
+    /** Counts by second the calls that were not served in time. */
+    private int[] countMissed(HttpCaller caller) throws InterruptedException {
         AtomicIntegerArray inTime = new AtomicIntegerArray(seconds);
         long begin = System.nanoTime();
         for (int i = 0; i < rate * seconds; i++) {
@@ -83,7 +90,7 @@
                     caller,
                     i,
                     FUNCTIONS,
-                    PATIENCE_MS,
+                    DEADLINE_MS,
                     () -> {
                         if (System.nanoTime() - due <= IN_TIME_NS) {
                             inTime.incrementAndGet(second);
@@ -91,11 +98,11 @@
                     },
                     () -> {});
         }
-        Thread.sleep(LAST_ANSWERS_MS);
-        int[] wanting = new int[seconds];
+        Thread.sleep(LAST_RESPONSES_MS);
+        int[] missed = new int[seconds];
         for (int i = 0; i < seconds; i++) {
-            wanting[i] = rate - inTime.get(i);
+            missed[i] = rate - inTime.get(i);
         }
-        return wanting;
+        return missed;
     }
 }
--- a/app/src/main/java/wharfhinge/app/measure/DecisionCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/DecisionCostCommand.java
@@ -51,71 +51,74 @@
 import wharfhinge.policy.RequestClass;
 import wharfhinge.policy.WeightReporting;
 
-/** What the decisions on a call cost by the size of the fleet, without sockets. */
+/** Measures the dispatcher's processor time and allocation per call by fleet size, without sockets. */
 @Command(
         name = "decisions",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Measures the decisions on a call (its query, its answer, its timers, its probes) at 20 to 3000 workers, believing "
-                        + "itself one of 1 and of 100: microseconds and bytes allocated, warm, one thread, simulated time.")
+                "Measures the dispatcher's decisions on a call (its request, its response, its timers, its probes) with 20 to 3000 "
+                        + "workers and group sizes of 1 and 100 dispatchers: microseconds and allocated bytes per call after warm-up, on "
+                        + "one thread in simulated time.")
 final class DecisionCostCommand implements Callable<Integer> {
     private static final Pattern ROW = Pattern.compile("\\| (\\d+ \\| \\d+ \\|)( [0-9.]+ \\| \\d+ \\|)");
     private static final long MS = 1_000_000L;
-    private static final int MOST_NOTED = 100_000; // decided on one event
-    private static final int WARM = 40; // calls for each worker, so that most functions stand somewhere
+    private static final int MAX_RECORDED_ACTIONS = 100_000; // by one event
+    private static final int WARM_UP_CALLS_PER_WORKER = 40; // enough that most functions are loaded on some worker
 
     @Option(
             names = "--against",
             paramLabel = "JAR",
-            description = "The wharfhinge.jar of an earlier build, whose own measurement is shown beside.")
-    private Path against;
+            description = "The wharfhinge.jar of an earlier build; its own measurement is shown for comparison.")
+    private Path earlierJar;
 
     @Option(
             names = "--calls",
             defaultValue = "20000",
             description =
-                    "Calls of each part, after half as many or 40 for each worker. " + "Default ${DEFAULT-VALUE}.")
+                    "Measured calls for each size, after a warm-up of half as many or 40 per worker, whichever is more. "
+                            + "Default ${DEFAULT-VALUE}.")
     private int calls;
 
     @Option(
             names = "--workers",
             split = ",",
             defaultValue = "20,85,200,800,3000",
-            description = "Sizes of the fleet. Default ${DEFAULT-VALUE}.")
+            description = "Fleet sizes in workers, separated by commas. Default ${DEFAULT-VALUE}.")
     private int[] fleets;
 
     @Option(
             names = "--groups",
             split = ",",
             defaultValue = "1,100",
-            description = "Sizes of the group. Default ${DEFAULT-VALUE}.")
+            description = "Group sizes in dispatchers, separated by commas. Default ${DEFAULT-VALUE}.")
     private int[] groups;
 
     @Override
     public Integer call() throws Exception {
-        Map<String, String> earlier = against == null ? Map.of() : earlierRows(against);
+        Map<String, String> earlier = earlierJar == null ? Map.of() : earlierRows(earlierJar);
         System.out.printf(
                 "%d processors; %d calls of each part after %d or %d for each worker%n",
-                Runtime.getRuntime().availableProcessors(), calls, calls / 2, WARM);
-        new Fleet(CacheAwareDispatcher::new, 20, 1).run(calls); // the first row's compiler
-        System.out.println("| workers | group | " + (against == null ? "" : "earlier us | earlier bytes | ")
+                Runtime.getRuntime().availableProcessors(), calls, calls / 2, WARM_UP_CALLS_PER_WORKER);
+        new SimulatedFleet(CacheAwareDispatcher::new, 20, 1)
+                .run(calls); // JIT compilation, so that it doesn't count in the first row
+        System.out.println("| workers | group | " + (earlierJar == null ? "" : "earlier us | earlier bytes | ")
                 + "us a call | bytes a call |");
-        System.out.println("| --- | --- | " + (against == null ? "" : "--- | --- | ") + "--- | --- |");
+        System.out.println("| --- | --- | " + (earlierJar == null ? "" : "--- | --- | ") + "--- | --- |");
         for (int workers : fleets) {
             for (int group : groups) {
                 String size = workers + " | " + group + " |";
-                Fleet fleet = new Fleet(CacheAwareDispatcher::new, workers, group);
-                fleet.run(Math.max(calls / 2, WARM * workers));
-                long[] took = fleet.run(calls);
+                SimulatedFleet fleet = new SimulatedFleet(CacheAwareDispatcher::new, workers, group);
+                fleet.run(Math.max(calls / 2, WARM_UP_CALLS_PER_WORKER * workers));
+                long[] cost = fleet.run(calls);
                 System.out.println("| " + size + earlier.getOrDefault(size, "")
-                        + String.format(Locale.ROOT, " %.1f | %d |", took[0] / 1000.0 / calls, took[1] / calls));
+                        + String.format(Locale.ROOT, " %.1f | %d |", cost[0] / 1000.0 / calls, cost[1] / calls));
             }
         }
         return Program.OK;
     }
 
-    /** The same measurement by an earlier build's own command, in a process of its own: figures by size of fleet and group. */
+    /** Runs this command of an earlier build in its own process; returns the figures of its rows by fleet and group size. */
     private Map<String, String> earlierRows(Path jar) throws IOException, InterruptedException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         Process process = new ProcessBuilder(
@@ -139,7 +142,7 @@
             }
         }
         if (process.waitFor() != 0) {
-            throw new IOException(jar + ": its 'measure decisions' ended with " + process.exitValue());
+            throw new IOException(jar + ": 'measure decisions' exited with code " + process.exitValue());
         }
         return rows;
     }
@@ -186,113 +189,114 @@
                 new ClientBehavior(false));
     }
 
-    private record Due(long at, long number, Runnable what) {}
+    private record ScheduledEvent(long at, long sequence, Runnable action) {}
 
-    /** Workers that answer after 20 ms, half of the lanes of the fleet in use, functions asked for by rank. */
-    private static final class Fleet implements DispatcherActions {
-        private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        private final long self = Thread.currentThread().getId();
-        private final PriorityQueue<Due> queue =
-                new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
+    /** Simulated workers that respond after 20 ms; calls come at half a call in flight per worker, for functions of skewed popularity. */
+    private static final class SimulatedFleet implements DispatcherActions {
+        private final ThreadMXBean threadBean = (ThreadMXBean) ManagementFactory.getThreadMXBean();
+        private final long threadId = Thread.currentThread().getId();
+        private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>(
+                Comparator.comparingLong(ScheduledEvent::at).thenComparingLong(ScheduledEvent::sequence));
         private final Random random = new Random(1);
-        private final Dispatcher to;
+        private final Dispatcher dispatcher;
         private final int workers;
-        private final RecordedAction.Kind[] kinds = new RecordedAction.Kind[MOST_NOTED];
-        private final String[] firsts = new String[MOST_NOTED];
-        private final String[] seconds = new String[MOST_NOTED];
-        private final long[] delays = new long[MOST_NOTED];
-        private int noted;
+        private final RecordedAction.Kind[] kinds = new RecordedAction.Kind[MAX_RECORDED_ACTIONS];
+        private final String[] firstArguments = new String[MAX_RECORDED_ACTIONS];
+        private final String[] secondArguments = new String[MAX_RECORDED_ACTIONS];
+        private final long[] delaysNanos = new long[MAX_RECORDED_ACTIONS];
+        private int recordedCount;
         private long now = MS;
-        private long number;
-        private long ids;
-        private long took;
-        private long bytes;
+        private long nextSequence;
+        private long nextId;
+        private long elapsedNanos;
+        private long allocatedBytes;
 
-        Fleet(Recorder.DispatcherConstructor maker, int workers, int group) {
+        SimulatedFleet(Recorder.DispatcherConstructor constructor, int workers, int group) {
             this.workers = workers;
             List<Endpoint> list = new ArrayList<>();
             for (int i = 0; i < workers; i++) {
                 list.add(new Endpoint("10.0.0." + i + ":7000", "z", "k", 0, Availability.UP, 1, 0));
             }
-            to = maker.create(now, 1, settings(group), this);
-            doNoted();
-            told(() -> to.onEndpointUpdate(now, EndpointUpdateMode.FULL, 1, list));
+            dispatcher = constructor.create(now, 1, settings(group), this);
+            performRecordedActions();
+            runTimed(() -> dispatcher.onEndpointUpdate(now, EndpointUpdateMode.FULL, 1, list));
         }
 
-        /** Nanoseconds and bytes that the decisions on so many calls took. */
+        /** Runs the given number of calls; returns the nanoseconds and the allocated bytes of the decisions on them. */
         long[] run(int calls) {
-            took = 0;
-            bytes = 0;
-            long between = 40 * MS / workers; // half a call in flight for each worker
+            elapsedNanos = 0;
+            allocatedBytes = 0;
+            long intervalNanos = 40 * MS / workers; // half a call in flight for each worker
             for (int i = 0; i < calls; i++) {
-                now += between;
+                now += intervalNanos;
                 while (!queue.isEmpty() && queue.peek().at <= now) {
-                    queue.poll().what.run();
+                    queue.poll().action.run();
                 }
                 String function = "f" + (int) (Math.pow(random.nextDouble(), 3) * workers * 4);
-                Request request =
-                        new Request("c" + ids++, null, 2000 * MS, 100, function, 20 * MS, 4, 300, "safe", false, false);
-                told(() -> to.onRequest(now, request));
+                Request request = new Request(
+                        "c" + nextId++, null, 2000 * MS, 100, function, 20 * MS, 4, 300, "safe", false, false);
+                runTimed(() -> dispatcher.onRequest(now, request));
             }
-            return new long[] {took, bytes};
+            return new long[] {elapsedNanos, allocatedBytes};
         }
 
-        /** What is decided is noted down in what is there already, and done once the clock has stopped. */
-        private void told(Runnable what) {
-            noted = 0;
-            long allocated = threads.getThreadAllocatedBytes(self);
-            long began = System.nanoTime();
-            what.run();
-            took += System.nanoTime() - began;
-            bytes += threads.getThreadAllocatedBytes(self) - allocated;
-            doNoted();
+        /** Times one event. Its actions are only recorded, in preallocated arrays, and carried out after the time was taken. */
+        private void runTimed(Runnable event) {
+            recordedCount = 0;
+            long allocatedBefore = threadBean.getThreadAllocatedBytes(threadId);
+            long startedAt = System.nanoTime();
+            event.run();
+            elapsedNanos += System.nanoTime() - startedAt;
+            allocatedBytes += threadBean.getThreadAllocatedBytes(threadId) - allocatedBefore;
+            performRecordedActions();
         }
 
-        private void doNoted() {
-            for (int i = 0; i < noted; i++) {
-                String first = firsts[i];
-                String second = seconds[i];
+        private void performRecordedActions() {
+            for (int i = 0; i < recordedCount; i++) {
+                String first = firstArguments[i];
+                String second = secondArguments[i];
                 switch (kinds[i]) {
-                    case ATTEMPT -> answer(first, second);
-                    case PROBE -> later(
+                    case ATTEMPT -> respond(first, second);
+                    case PROBE -> schedule(
                             MS,
-                            () -> told(() -> to.onProbeCompleted(now, first, Outcome.SERVED, MS, Map.of("rif", 1.0))));
-                    default -> later(delays[i], () -> told(() -> to.onTimer(now, first)));
+                            () -> runTimed(() ->
+                                    dispatcher.onProbeCompleted(now, first, Outcome.SERVED, MS, Map.of("rif", 1.0))));
+                    default -> schedule(delaysNanos[i], () -> runTimed(() -> dispatcher.onTimer(now, first)));
                 }
             }
         }
 
-        private void note(RecordedAction.Kind kind, String first, String second, long delayNanos) {
-            kinds[noted] = kind;
-            firsts[noted] = first;
-            seconds[noted] = second;
-            delays[noted++] = delayNanos;
+        private void recordAction(RecordedAction.Kind kind, String first, String second, long delayNanos) {
+            kinds[recordedCount] = kind;
+            firstArguments[recordedCount] = first;
+            secondArguments[recordedCount] = second;
+            delaysNanos[recordedCount++] = delayNanos;
         }
 
-        private void answer(String request, String worker) {
-            AttemptCompletion end = new AttemptCompletion(
+        private void respond(String request, String worker) {
+            AttemptCompletion completion = new AttemptCompletion(
                     request, Outcome.SERVED, 0, 20 * MS, worker, CacheStatus.HIT, 0, true, Map.of("rif", (double)
                             random.nextInt(4)));
-            later(20 * MS, () -> told(() -> to.onAttemptCompleted(now, end)));
+            schedule(20 * MS, () -> runTimed(() -> dispatcher.onAttemptCompleted(now, completion)));
         }
 
-        private void later(long delayNanos, Runnable what) {
-            queue.add(new Due(now + delayNanos, number++, what));
+        private void schedule(long delayNanos, Runnable action) {
+            queue.add(new ScheduledEvent(now + delayNanos, nextSequence++, action));
         }
 
         @Override
         public void sendAttempt(String request, String worker, long timeoutNanos) {
-            note(RecordedAction.Kind.ATTEMPT, request, worker, timeoutNanos);
+            recordAction(RecordedAction.Kind.ATTEMPT, request, worker, timeoutNanos);
         }
 
         @Override
         public void probe(String worker) {
-            note(RecordedAction.Kind.PROBE, worker, null, 0);
+            recordAction(RecordedAction.Kind.PROBE, worker, null, 0);
         }
 
         @Override
         public void scheduleTimer(String token, long delayNanos) {
-            note(RecordedAction.Kind.TIMER, token, null, delayNanos);
+            recordAction(RecordedAction.Kind.TIMER, token, null, delayNanos);
         }
 
         @Override
--- a/app/src/main/java/wharfhinge/app/measure/EchoCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/EchoCommand.java
@@ -9,27 +9,27 @@
 import wharfhinge.standin.Echo;
 import wharfhinge.standin.Net;
 
-/** The peers of a measurement: workers that answer at once, the same over HTTP/1.1, and a bare pass-through. */
+/** Runs the peers of a measurement: workers that respond at once, HTTP/1.1 servers that do the same, and a bare pass-through. */
 @Command(
         name = "echo",
         hidden = true,
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "Peers of a measurement.")
+        description = "Runs the peers of a measurement and prints their ports.")
 final class EchoCommand implements Callable<Integer> {
-    @Option(names = "--workers", required = true, description = "How many.")
+    @Option(names = "--workers", required = true, description = "Number of workers.")
     private int workers;
 
     @Override
     public Integer call() throws InterruptedException {
         EventLoopGroup group = Net.group(2);
-        int plain = Echo.plain(group);
-        int[] plains = new int[workers];
-        StringBuilder ports = new StringBuilder("ports ").append(plain);
+        int directPort = Echo.plain(group);
+        int[] httpPorts = new int[workers];
+        StringBuilder ports = new StringBuilder("ports ").append(directPort);
         for (int i = 0; i < workers; i++) {
-            plains[i] = Echo.plain(group);
+            httpPorts[i] = Echo.plain(group);
         }
-        ports.append(' ').append(Echo.passThrough(Net.group(2), plains));
+        ports.append(' ').append(Echo.passThrough(Net.group(2), httpPorts));
         for (int i = 0; i < workers; i++) {
             ports.append(' ').append(Echo.worker(group));
         }
--- a/app/src/main/java/wharfhinge/app/measure/Bench.java
+++ b/app/src/main/java/wharfhinge/app/measure/LoopbackTestbed.java
@@ -17,18 +17,18 @@
 import wharfhinge.standin.RosterStandIn;
 import wharfhinge.standin.Trace;
 
-/** What measurements on loopback are made on: echo workers in one process, their roster, gateways in processes of their own. */
-final class Bench implements AutoCloseable {
-    private static final int WAITS = 500;
+/** Environment of measurements on loopback: echo workers in one process, an endpoint service, each gateway in its own process. */
+final class LoopbackTestbed implements AutoCloseable {
+    private static final int MAX_START_POLLS = 500;
 
-    /** Where the echo process answers: itself, its bare pass-through, its workers. */
-    record Echoes(int direct, int passThrough, int[] workers) {}
+    /** Ports of the echo process: of its HTTP/1.1 server, of its bare pass-through and of its workers. */
+    record EchoPorts(int direct, int passThrough, int[] workers) {}
 
-    /** A gateway that takes calls. */
-    record Started(Process process, int port, Path log) {
-        /** Its gRPC port. */
+    /** A gateway that accepts calls. */
+    record RunningGateway(Process process, int port, Path log) {
+        /** The port of its gRPC listener. */
         int grpcPort() throws IOException {
-            return portAfter(log, "takes gRPC on /127.0.0.1:");
+            return portInLog(log, "takes gRPC on /127.0.0.1:");
         }
     }
 
@@ -36,54 +36,56 @@
     final Path folder;
     private final List<Process> processes = new ArrayList<>();
     private final RosterStandIn roster;
-    private final Echoes echoes;
+    private final EchoPorts echoPorts;
 
-    Bench(int workers) throws IOException, InterruptedException {
+    LoopbackTestbed(int workers) throws IOException, InterruptedException {
         folder = Files.createTempDirectory("wharfhinge-measure");
         Process echo = start(null, null, "measure", "echo", "--workers", Integer.toString(workers));
         int[] ports = ports(new BufferedReader(new InputStreamReader(echo.getInputStream(), StandardCharsets.UTF_8)));
-        echoes = new Echoes(ports[0], ports[1], java.util.Arrays.copyOfRange(ports, 2, 2 + workers));
+        echoPorts = new EchoPorts(ports[0], ports[1], java.util.Arrays.copyOfRange(ports, 2, 2 + workers));
         roster = new RosterStandIn(group, 0, 0, new Trace(System::nanoTime));
-        for (int port : echoes.workers) {
+        for (int port : echoPorts.workers) {
             roster.report(new RosterEntry("127.0.0.1:" + port, "z", "k", 0, RosterEntry.State.UP, 1, 86_000_000, "b0"));
         }
     }
 
-    Echoes echoes() {
-        return echoes;
+    EchoPorts echoPorts() {
+        return echoPorts;
     }
 
     /**
-     * Starts a gateway and waits until it takes calls.
+     * Starts a gateway and waits until it accepts calls.
      *
-     * @param jar  the program of another build, or null for this one
-     * @param more elements of its settings
+     * @param jar           the jar of another build, or null for this build
+     * @param extraElements further elements of its settings, as XML
      */
-    Started gateway(String name, Path jar, String more, String logLevel, int groupSize)
+    RunningGateway gateway(String name, Path jar, String extraElements, String logLevel, int groupSize)
             throws IOException, InterruptedException {
-        return gateway(name, jar, more, logLevel, groupSize, "");
+        return gateway(name, jar, extraElements, logLevel, groupSize, "");
     }
 
-    /** The same; {@code clients} are further settings of the clients' side. */
-    Started gateway(String name, Path jar, String more, String logLevel, int groupSize, String clients)
+    /** As above, with further attributes of the {@code clients} element of the settings. */
+    RunningGateway gateway(
+            String name, Path jar, String extraElements, String logLevel, int groupSize, String clientAttributes)
             throws IOException, InterruptedException {
-        Path own = Files.createDirectories(folder.resolve(name));
-        Path log = own.resolve("gateway.log");
+        Path directory = Files.createDirectories(folder.resolve(name));
+        Path log = directory.resolve("gateway.log");
         Process process = start(
                 log,
                 jar,
                 "serve",
                 "--config",
-                settings(own, more, logLevel, groupSize, clients).toString());
-        for (int i = 0; i < WAITS; i++) {
-            int port = portAfter(log, "takes calls on /127.0.0.1:");
+                settings(directory, extraElements, logLevel, groupSize, clientAttributes)
+                        .toString());
+        for (int i = 0; i < MAX_START_POLLS; i++) {
+            int port = portInLog(log, "takes calls on /127.0.0.1:");
             if (port > 0) {
-                Thread.sleep(500); // it has its list
-                return new Started(process, port, log);
+                Thread.sleep(500); // until it has received the endpoint list
+                return new RunningGateway(process, port, log);
             }
             Thread.sleep(20);
         }
-        throw new IOException("the gateway did not start, see " + log);
+        throw new IOException("the gateway did not accept calls within 10 s, see " + log);
     }
 
     private Process start(Path log, Path jar, String... arguments) throws IOException {
@@ -109,25 +111,26 @@
             line = in.readLine();
         }
         if (line == null) {
-            throw new IOException("the echo process did not start");
+            throw new IOException("the echo process ended before it printed its ports");
         }
         return Stream.of(line.substring(6).split(" "))
                 .mapToInt(Integer::parseInt)
                 .toArray();
     }
 
-    /** The port that a line of a log ends with, or 0 where there is none yet. */
-    private static int portAfter(Path log, String words) throws IOException {
+    /** The port at the end of the first log line that contains the text, or 0 if there is no such line yet. */
+    private static int portInLog(Path log, String text) throws IOException {
         return Files.readAllLines(log).stream()
-                .filter(l -> l.contains(words))
+                .filter(l -> l.contains(text))
                 .mapToInt(l ->
                         Integer.parseInt(l.substring(l.lastIndexOf(':') + 1).trim()))
                 .findFirst()
                 .orElse(0);
     }
 
-    private Path settings(Path own, String more, String logLevel, int groupSize, String clients) throws IOException {
-        Path file = own.resolve("gateway.xml");
+    private Path settings(Path directory, String extraElements, String logLevel, int groupSize, String clientAttributes)
+            throws IOException {
+        Path file = directory.resolve("gateway.xml");
         Files.writeString(
                 file,
                 """
@@ -148,8 +151,8 @@
             """
                         .replace("PORT", Integer.toString(roster.port()))
                         .replace("LEVEL", logLevel)
-                        .replace("MORE", more)
-                        .replace("CLIENTS", clients)
+                        .replace("MORE", extraElements)
+                        .replace("CLIENTS", clientAttributes)
                         .replace("GROUP", Integer.toString(groupSize)));
         return file;
     }
--- a/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
@@ -28,14 +28,15 @@
 import wharfhinge.app.Program;
 import wharfhinge.standin.HttpCaller;
 
-/** Measures what the gateway adds: direct, a bare pass-through, the gateway; each its own process, all in one run. */
+/** Measures what a gateway adds to a call, compared in one run with a direct call and a bare pass-through in other processes. */
 @Command(
         name = "measure",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Measures on loopback what the gateway adds to a call, beside a call straight to the worker and a bare "
-                        + "pass-through with random choice. Latency counts from the time a call was due, so that a stall is not left out.",
+                "Measures on loopback the latency that the gateway adds to a call, compared with a call sent directly to the worker "
+                        + "and with a bare pass-through that picks a worker at random. Latency counts from the time when a call was "
+                        + "due, so that stalls are included.",
         subcommands = {
             EchoCommand.class,
             ChainCostCommand.class,
@@ -49,35 +50,38 @@
 public final class MeasureCommand implements Callable<Integer> {
     private static final int WORKERS = 8;
     private static final int FUNCTIONS = 64;
-    private static final int HELD = 4000;
+    private static final int HELD_CONNECTIONS = 4000;
     private static final byte[] BODY = new byte[256];
 
-    @Option(names = "--rate", defaultValue = "3000", description = "Calls a second. Default ${DEFAULT-VALUE}.")
+    @Option(names = "--rate", defaultValue = "3000", description = "Calls per second. Default ${DEFAULT-VALUE}.")
     private int rate;
 
-    @Option(names = "--seconds", defaultValue = "10", description = "Of each part. Default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "Duration of each part in seconds. Default ${DEFAULT-VALUE}.")
     private int seconds;
 
     @Option(
             names = "--warm-up",
             defaultValue = "8",
-            description = "Seconds before each part. Default ${DEFAULT-VALUE}.")
+            description = "Warm-up before each part in seconds. Default ${DEFAULT-VALUE}.")
     private int warmUp;
 
     @Option(
             names = "--log-level",
             defaultValue = "info",
-            description = "The gateway's: with info, a line for each answer "
-                    + "is written to a file. Default ${DEFAULT-VALUE}.")
+            description = "Log level of the gateway; with info it writes a line for each response to a file. "
+                    + "Default ${DEFAULT-VALUE}.")
     private String logLevel;
 
     @Override
     public Integer call() throws Exception {
-        try (Bench bench = new Bench(WORKERS)) {
-            EventLoopGroup group = bench.group;
-            Bench.Started gateway = bench.gateway("plain", null, "", logLevel, 1);
+        try (LoopbackTestbed testbed = new LoopbackTestbed(WORKERS)) {
+            EventLoopGroup group = testbed.group;
+            LoopbackTestbed.RunningGateway gateway = testbed.gateway("plain", null, "", logLevel, 1);
             int gatewayPort = gateway.port();
-            int capturingPort = bench.gateway("capturing", null, "<capture folder=\"captures\"/>", logLevel, 1)
+            int capturingPort = testbed.gateway("capturing", null, "<capture folder=\"captures\"/>", logLevel, 1)
                     .port();
             System.out.printf(
                     "%d processors; %d calls/s for %d s after %d s of warm-up, %d workers, %d functions, %d bytes; "
@@ -90,54 +94,56 @@
                     FUNCTIONS,
                     BODY.length,
                     logLevel);
-            Map<String, Integer> ways = new LinkedHashMap<>();
-            ways.put("direct", bench.echoes().direct());
-            ways.put("pass-through", bench.echoes().passThrough());
-            ways.put("gateway", gatewayPort);
-            ways.put("capturing", capturingPort);
+            Map<String, Integer> portByTarget = new LinkedHashMap<>();
+            portByTarget.put("direct", testbed.echoPorts().direct());
+            portByTarget.put("pass-through", testbed.echoPorts().passThrough());
+            portByTarget.put("gateway", gatewayPort);
+            portByTarget.put("capturing", capturingPort);
             Map<String, Histogram> latencies = new LinkedHashMap<>();
-            for (Map.Entry<String, Integer> way : ways.entrySet()) {
-                HttpCaller caller = new HttpCaller(group, way.getValue());
-                paced(caller, warmUp, way.getKey() + ", warming up");
-                latencies.put(way.getKey(), paced(caller, seconds, way.getKey()));
+            for (Map.Entry<String, Integer> target : portByTarget.entrySet()) {
+                HttpCaller caller = new HttpCaller(group, target.getValue());
+                runAtFixedRate(caller, warmUp, target.getKey() + ", warming up");
+                latencies.put(target.getKey(), runAtFixedRate(caller, seconds, target.getKey()));
             }
             System.out.println("way            p50 us   p90 us   p99 us p99.9 us   max us   calls");
-            latencies.forEach((way, h) -> System.out.printf(
+            latencies.forEach((target, h) -> System.out.printf(
                     "%-13s %7d  %7d  %7d  %7d  %7d  %6d%n",
-                    way, us(h, 50), us(h, 90), us(h, 99), us(h, 99.9), h.getMaxValue() / 1000, h.getTotalCount()));
-            Histogram direct = latencies.get("direct");
-            Histogram through = latencies.get("gateway");
+                    target, us(h, 50), us(h, 90), us(h, 99), us(h, 99.9), h.getMaxValue() / 1000, h.getTotalCount()));
+            Histogram directLatency = latencies.get("direct");
+            Histogram gatewayLatency = latencies.get("gateway");
             System.out.printf(
                     "added by the gateway over direct: median %d us (wanted under 300), p99 %d us (wanted under "
                             + "2000)%n",
-                    us(through, 50) - us(direct, 50), us(through, 99) - us(direct, 99));
-            Map<String, Double> highest = new LinkedHashMap<>();
+                    us(gatewayLatency, 50) - us(directLatency, 50), us(gatewayLatency, 99) - us(directLatency, 99));
+            Map<String, Double> highestRates = new LinkedHashMap<>();
             System.out.printf(
                     "added by capturing: median %d us, p99 %d us (wanted under 100)%n",
-                    us(latencies.get("capturing"), 50) - us(through, 50),
-                    us(latencies.get("capturing"), 99) - us(through, 99));
-            for (String way : List.of("pass-through", "gateway", "capturing", "pass-through", "gateway", "capturing")) {
-                HttpCaller caller = new HttpCaller(group, ways.get(way));
-                closed(caller, 2);
-                highest.merge(way, closed(caller, seconds / 2.0), Math::max);
+                    us(latencies.get("capturing"), 50) - us(gatewayLatency, 50),
+                    us(latencies.get("capturing"), 99) - us(gatewayLatency, 99));
+            for (String target :
+                    List.of("pass-through", "gateway", "capturing", "pass-through", "gateway", "capturing")) {
+                HttpCaller caller = new HttpCaller(group, portByTarget.get(target));
+                runClosedLoop(caller, 2);
+                highestRates.merge(target, runClosedLoop(caller, seconds / 2.0), Math::max);
             }
-            highest.forEach(
-                    (way, most) -> System.out.printf("highest rate, 64 calls open: %-13s %8.0f calls/s%n", way, most));
+            highestRates.forEach((target, rate) ->
+                    System.out.printf("highest rate, 64 calls open: %-13s %8.0f calls/s%n", target, rate));
             System.out.printf(
                     "gateway over pass-through: %.2f (wanted 0.7)%n",
-                    highest.get("gateway") / highest.get("pass-through"));
-            Map<String, Long> captured = figures(capturingPort);
+                    highestRates.get("gateway") / highestRates.get("pass-through"));
+            Map<String, Long> captureMetrics = readMetrics(capturingPort);
             System.out.printf(
                     "capturing over gateway: %.2f (wanted over 0.95), %d bytes a call on disk, %d frames lost%n",
-                    highest.get("capturing") / highest.get("gateway"),
-                    captured.get("capture_bytes") / captured.get("taken"),
-                    captured.get("capture_lost"));
-            status(gatewayPort);
-            memory(gateway.process(), gatewayPort, group);
+                    highestRates.get("capturing") / highestRates.get("gateway"),
+                    captureMetrics.get("capture_bytes") / captureMetrics.get("taken"),
+                    captureMetrics.get("capture_lost"));
+            printEventMetrics(gatewayPort);
+            printMemory(gateway.process(), gatewayPort, group);
             return Program.OK;
         }
     }
 
+    /** A percentile of the latency, in microseconds. */
     private static long us(Histogram h, double percentile) {
         return h.getValueAtPercentile(percentile) / 1000;
     }
@@ -156,37 +162,37 @@
                 deadline);
     }
 
-    private static void send(HttpCaller caller, int number, String deadline, Runnable answered, Runnable broken) {
-        send(caller, number % FUNCTIONS, FUNCTIONS, deadline, answered, broken);
+    private static void send(HttpCaller caller, int number, String deadline, Runnable onServed, Runnable onFailure) {
+        send(caller, number % FUNCTIONS, FUNCTIONS, deadline, onServed, onFailure);
     }
 
-    /** One call; {@code answered} is told of 200 alone. */
+    /** Sends one call; {@code onServed} runs only for a response with status 200, {@code onFailure} in all other cases. */
     static void send(
-            HttpCaller caller, int number, int functions, String deadline, Runnable answered, Runnable broken) {
+            HttpCaller caller, int number, int functions, String deadline, Runnable onServed, Runnable onFailure) {
         caller.call(
                 HttpMethod.POST, "/v1/call/f" + number % functions, headers(deadline), BODY, new HttpCaller.Reply() {
                     @Override
                     public void answered(int status, HttpHeaders headers, byte[] body) {
-                        (status == 200 ? answered : broken).run();
+                        (status == 200 ? onServed : onFailure).run();
                     }
 
                     @Override
                     public void broken(boolean wasSent) {
-                        broken.run();
+                        onFailure.run();
                     }
                 });
     }
 
-    /** Calls at a fixed pace; each one's latency counts from when it was due. */
-    private Histogram paced(HttpCaller caller, int length, String what) {
+    /** Sends calls at a fixed rate; the latency of each counts from the time when it was due. */
+    private Histogram runAtFixedRate(HttpCaller caller, int durationSeconds, String label) {
         ConcurrentHistogram histogram = new ConcurrentHistogram(TimeUnit.SECONDS.toNanos(60), 3);
         LongAdder failed = new LongAdder();
-        long gap = 1_000_000_000L / rate;
-        int calls = rate * length;
+        long intervalNanos = 1_000_000_000L / rate;
+        int calls = rate * durationSeconds;
         long begin = System.nanoTime();
         LongAdder open = new LongAdder();
         for (int i = 0; i < calls; i++) {
-            long due = begin + i * gap;
+            long due = begin + i * intervalNanos;
             for (long left = due - System.nanoTime(); left > 0; left = due - System.nanoTime()) {
                 if (left > 60_000) {
                     LockSupport.parkNanos(left - 60_000);
@@ -212,51 +218,51 @@
             LockSupport.parkNanos(10_000_000);
         }
         if (failed.sum() > 0) {
-            System.out.println(what + ": not served " + failed.sum() + " of " + calls);
+            System.out.println(label + ": not served " + failed.sum() + " of " + calls);
         }
         return histogram;
     }
 
-    private static double closed(HttpCaller caller, double length) throws InterruptedException {
-        return closed(caller, length, FUNCTIONS);
+    private static double runClosedLoop(HttpCaller caller, double durationSeconds) throws InterruptedException {
+        return runClosedLoop(caller, durationSeconds, FUNCTIONS);
     }
 
-    /** As many calls as come through with 64 open. */
-    static double closed(HttpCaller caller, double length, int functions) throws InterruptedException {
-        Semaphore room = new Semaphore(64);
-        LongAdder done = new LongAdder();
+    /** Calls per second that are served with 64 calls in flight at all times. */
+    static double runClosedLoop(HttpCaller caller, double durationSeconds, int functions) throws InterruptedException {
+        Semaphore semaphore = new Semaphore(64);
+        LongAdder served = new LongAdder();
         long begin = System.nanoTime();
-        for (int i = 0; System.nanoTime() - begin < length * 1e9; i++) {
-            room.acquire();
+        for (int i = 0; System.nanoTime() - begin < durationSeconds * 1e9; i++) {
+            semaphore.acquire();
             send(
                     caller,
                     i,
                     functions,
                     "2000",
                     () -> {
-                        done.increment();
-                        room.release();
+                        served.increment();
+                        semaphore.release();
                     },
-                    room::release);
+                    semaphore::release);
         }
-        double rate = done.sum() / ((System.nanoTime() - begin) / 1e9);
-        room.acquire(64);
+        double rate = served.sum() / ((System.nanoTime() - begin) / 1e9);
+        semaphore.acquire(64);
         return rate;
     }
 
-    private static Map<String, Long> figures(int port) throws IOException {
-        Map<String, Long> figures = new LinkedHashMap<>();
+    private static Map<String, Long> readMetrics(int port) throws IOException {
+        Map<String, Long> metrics = new LinkedHashMap<>();
         try (var in =
                 URI.create("http://127.0.0.1:" + port + "/v1/status").toURL().openStream()) {
             new String(in.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
                     .map(l -> l.split(" "))
-                    .forEach(f -> figures.put(f[0], Long.parseLong(f[1])));
+                    .forEach(f -> metrics.put(f[0], Long.parseLong(f[1])));
         }
-        return figures;
+        return metrics;
     }
 
-    private static void status(int port) throws IOException {
+    private static void printEventMetrics(int port) throws IOException {
         try (var in =
                 URI.create("http://127.0.0.1:" + port + "/v1/status").toURL().openStream()) {
             String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -266,13 +272,13 @@
         }
     }
 
-    /** Live heap after a full collection, and resident memory, before and with idle connections and open calls. */
-    private static void memory(Process gateway, int port, EventLoopGroup group) throws Exception {
-        Thread.sleep(4000); // past the deadlines of the calls before, whose timers still stand until then
-        long heap = heap(gateway);
-        long resident = resident(gateway);
+    /** Prints what an idle connection and a call in flight take of the gateway's live heap (after a full GC) and resident memory. */
+    private static void printMemory(Process gateway, int port, EventLoopGroup group) throws Exception {
+        Thread.sleep(4000); // until the deadlines of earlier calls have passed: their timers occupy the heap
+        long heap = liveHeapBytes(gateway);
+        long resident = residentBytes(gateway);
         List<Socket> idle = new ArrayList<>();
-        for (int i = 0; i < HELD; i++) {
+        for (int i = 0; i < HELD_CONNECTIONS; i++) {
             Socket socket = new Socket();
             socket.connect(new InetSocketAddress("127.0.0.1", port));
             idle.add(socket);
@@ -280,25 +286,26 @@
         Thread.sleep(500);
         System.out.printf(
                 "an idle connection: %d bytes of heap, %d bytes resident%n",
-                (heap(gateway) - heap) / HELD, (resident(gateway) - resident) / HELD);
+                (liveHeapBytes(gateway) - heap) / HELD_CONNECTIONS,
+                (residentBytes(gateway) - resident) / HELD_CONNECTIONS);
         for (Socket socket : idle) {
             socket.close();
         }
         Thread.sleep(1000);
-        heap = heap(gateway);
-        resident = resident(gateway);
+        heap = liveHeapBytes(gateway);
+        resident = residentBytes(gateway);
         HttpCaller caller = new HttpCaller(group, port);
-        LongAdder over = new LongAdder();
-        for (int i = 0; i < HELD; i++) {
+        LongAdder ended = new LongAdder();
+        for (int i = 0; i < HELD_CONNECTIONS; i++) {
             caller.call(HttpMethod.POST, "/v1/call/silent", headers("20000"), BODY, new HttpCaller.Reply() {
                 @Override
                 public void answered(int status, HttpHeaders headers, byte[] body) {
-                    over.increment();
+                    ended.increment();
                 }
 
                 @Override
                 public void broken(boolean wasSent) {
-                    over.increment();
+                    ended.increment();
                 }
             });
             if (i % 100 == 0) {
@@ -306,13 +313,15 @@
             }
         }
         Thread.sleep(1000);
-        long open = HELD - over.sum();
+        long open = HELD_CONNECTIONS - ended.sum();
         System.out.printf(
                 "an open call with its connection: %d bytes of heap, %d bytes resident (%d open)%n",
-                (heap(gateway) - heap) / Math.max(1, open), (resident(gateway) - resident) / Math.max(1, open), open);
+                (liveHeapBytes(gateway) - heap) / Math.max(1, open),
+                (residentBytes(gateway) - resident) / Math.max(1, open),
+                open);
     }
 
-    private static long heap(Process process) throws IOException {
+    private static long liveHeapBytes(Process process) throws IOException {
         Process jcmd = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
                         Long.toString(process.pid()),
@@ -328,7 +337,7 @@
         }
     }
 
-    private static long resident(Process process) throws IOException {
+    private static long residentBytes(Process process) throws IOException {
         return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
                 .filter(l -> l.startsWith("VmRSS"))
                 .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")) * 1024)
--- a/app/src/main/java/wharfhinge/app/measure/ReplayBenchmark.java
+++ b/app/src/main/java/wharfhinge/app/measure/ReplayBenchmark.java
@@ -18,12 +18,12 @@
 import wharfhinge.capture.FrameJson;
 import wharfhinge.capture.Replayer;
 
-/** A whole capture decided again; what a frame costs is this over the number of frames. */
+/** Replays a whole capture; the cost per frame is the score divided by the number of frames. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class ReplayBenchmark {
-    /** The capture's path. */
+    /** Path of the capture. */
     @Param("")
     public String capture;
 
@@ -35,13 +35,13 @@
                 : CaptureReader.read(file).frames();
     }
 
-    /** Reads it once. */
+    /** Reads the capture once, outside of the measured time. */
     @Setup
     public void read() throws IOException {
         frames = read(Path.of(capture));
     }
 
-    /** Comparing what is decided is in it, as is taking it down. */
+    /** Includes recording the decisions and comparing them with the captured ones. */
     @Benchmark
     public Replayer.Result replay() {
         return new Replayer().replay(frames, Long.MAX_VALUE, null);
--- a/app/src/main/java/wharfhinge/app/measure/ReplayCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ReplayCostCommand.java
@@ -14,22 +14,25 @@
 import picocli.CommandLine.Parameters;
 import wharfhinge.app.Program;
 
-/** What a captured event costs to decide again. */
+/** Measures the processor time and allocation of replaying a captured event. */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Measures with JMH, in a process of its own, what deciding a capture's events again costs: time and bytes allocated "
-                        + "for each frame. Decisions are compared meanwhile, which is a part of it.")
+                "Measures with JMH, in a separate process, the replay of a capture: microseconds and allocated bytes per frame, "
+                        + "including the comparison of the decisions with the captured ones.")
 final class ReplayCostCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "CAPTURE", description = "A segment, a folder of one gateway's, or a fixture.")
+    @Parameters(
+            paramLabel = "CAPTURE",
+            description = "A capture segment, a folder with the segments of one gateway, or a fixture (.jsonl).")
     private Path capture;
 
     @Option(
             names = "--seconds",
             defaultValue = "3",
-            description = "Of each of five turns, after three of warm-up. Default ${DEFAULT-VALUE}.")
+            description =
+                    "Duration in seconds of each of five iterations, after three of warm-up. Default ${DEFAULT-VALUE}.")
     private int seconds;
 
     @Override
@@ -47,7 +50,7 @@
                         .build())
                 .run();
         for (RunResult result : results) {
-            double us = result.getPrimaryResult().getScore();
+            double micros = result.getPrimaryResult().getScore();
             double bytes = result.getSecondaryResults().entrySet().stream()
                     .filter(e -> e.getKey().endsWith("alloc.rate.norm"))
                     .mapToDouble(e -> e.getValue().getScore())
@@ -58,9 +61,9 @@
                     "%d processors; %d frames: %.2f us and %.0f bytes each (error of the mean %.0f%%)%n",
                     Runtime.getRuntime().availableProcessors(),
                     frames,
-                    us / frames,
+                    micros / frames,
                     bytes / frames,
-                    100 * result.getPrimaryResult().getScoreError() / us);
+                    100 * result.getPrimaryResult().getScoreError() / micros);
         }
         return Program.OK;
     }
--- a/app/src/main/java/wharfhinge/app/measure/WorkerCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/WorkerCostCommand.java
@@ -33,14 +33,15 @@
 import wharfhinge.worker.pack.PackageBuilder;
 import wharfhinge.worker.store.Store;
 
-/** Measures the project's own worker: loads by their parts, calls a second, memory of an empty one. */
+/** Measures this project's worker: load time by phase, calls per second and memory without copies. */
 @Command(
         name = "worker",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Measures a worker process on loopback: what loads take by their parts, calls a second through one warm copy "
-                        + "beside the same function called in-process, and at 1, 8 and 64 lanes, and what an empty worker holds.")
+                "Measures a worker process on loopback: load time by phase, calls per second through one warm copy with 1, 8 and 64 "
+                        + "lanes (concurrent calls of the copy) compared with the same function called in-process, and the resident "
+                        + "memory of a worker without copies.")
 public final class WorkerCostCommand implements Callable<Integer> {
     private static final int LOADS = 40;
     private static final int MEMORY_MB = 64;
@@ -48,16 +49,16 @@
     @Option(
             names = "--seconds",
             defaultValue = "4",
-            description = "Of each part, after as much warm-up. Default ${DEFAULT-VALUE}.")
+            description = "Duration of each part in seconds, after as much warm-up. Default ${DEFAULT-VALUE}.")
     private int seconds;
 
-    /** Answers what came, after a digest of it: some microseconds of work. */
+    /** Function that returns the SHA-256 digest of its input: a few microseconds of work. */
     public static final class Digest implements Function {
         private CopyContext context;
 
         @Override
-        public void start(CopyContext given) {
-            context = given;
+        public void start(CopyContext copyContext) {
+            context = copyContext;
         }
 
         @Override
@@ -90,21 +91,22 @@
             try {
                 Thread.sleep(1000);
                 System.out.printf(
-                        "memory of an empty worker: %d MB resident (wanted under 80)%n", rss(worker.pid()) / 1024);
+                        "memory of an empty worker: %d MB resident (wanted under 80)%n",
+                        residentKb(worker.pid()) / 1024);
                 H2Caller caller = new H2Caller(group, worker.port());
-                loads(caller);
-                double inProcess = inProcess();
-                System.out.printf("same function in-process, one thread: %8.0f calls/s%n", inProcess);
+                measureLoads(caller);
+                double inProcessRate = measureInProcess();
+                System.out.printf("same function in-process, one thread: %8.0f calls/s%n", inProcessRate);
                 for (int lanes : new int[] {1, 8, 64}) {
-                    closed(caller, "lanes-" + lanes, lanes);
-                    double rate = closed(caller, "lanes-" + lanes, lanes);
+                    runClosedLoop(caller, "lanes-" + lanes, lanes);
+                    double rate = runClosedLoop(caller, "lanes-" + lanes, lanes);
                     System.out.printf(
                             "through a worker, %2d lanes, %2d calls open: %8.0f calls/s, %.3f of in-process%n",
-                            lanes, lanes, rate, rate / inProcess);
+                            lanes, lanes, rate, rate / inProcessRate);
                 }
                 System.out.printf(
                         "memory of the worker beside its copies, after it all: %d MB resident%n",
-                        (rss(worker.pid()) - books(caller).get("resident_kb")) / 1024);
+                        (residentKb(worker.pid()) - memoryAccounting(caller).get("resident_kb")) / 1024);
             } finally {
                 worker.stop();
             }
@@ -160,8 +162,8 @@
         }
     }
 
-    private static Map<String, Long> books(H2Caller caller) throws Exception {
-        Map<String, Long> books = new HashMap<>();
+    private static Map<String, Long> memoryAccounting(H2Caller caller) throws Exception {
+        Map<String, Long> accounting = new HashMap<>();
         new String(
                         caller.send(HttpMethod.GET, "/memory", new byte[0])
                                 .get(5, TimeUnit.SECONDS)
@@ -169,42 +171,43 @@
                         StandardCharsets.US_ASCII)
                 .lines()
                 .map(l -> l.split(" "))
-                .forEach(f -> books.put(f[0], Long.parseLong(f[1])));
-        return books;
+                .forEach(f -> accounting.put(f[0], Long.parseLong(f[1])));
+        return accounting;
     }
 
-    /** One load after the other; the first half warms up. */
-    private static void loads(H2Caller caller) throws Exception {
+    /** Loads the packages one after the other; the first half is warm-up. */
+    private static void measureLoads(H2Caller caller) throws Exception {
         Map<String, Long> before = Map.of();
         for (int i = 0; i < LOADS; i++) {
             if (i == LOADS / 2) {
-                before = books(caller);
+                before = memoryAccounting(caller);
             }
             caller.send(HttpMethod.POST, "/call/load-" + i, new byte[8]).get(30, TimeUnit.SECONDS);
         }
-        Map<String, Long> after = books(caller);
+        Map<String, Long> after = memoryAccounting(caller);
         double loads = after.get("loads_done") - before.get("loads_done");
         System.out.printf(
                 "a load of a package of 4 MB and %d MB of memory (mean of %.0f): fetch %.1f ms, verify %.1f ms, start "
                         + "%.1f ms%n",
                 MEMORY_MB,
                 loads,
-                per(before, after, "fetch_us", loads),
-                per(before, after, "verify_us", loads),
-                per(before, after, "start_us", loads));
+                millisPerLoad(before, after, "fetch_us", loads),
+                millisPerLoad(before, after, "verify_us", loads),
+                millisPerLoad(before, after, "start_us", loads));
     }
 
-    private static double per(Map<String, Long> before, Map<String, Long> after, String part, double loads) {
-        return (after.get(part) - before.get(part)) / 1000.0 / loads;
+    private static double millisPerLoad(Map<String, Long> before, Map<String, Long> after, String phase, double loads) {
+        return (after.get(phase) - before.get(phase)) / 1000.0 / loads;
     }
 
-    private double inProcess() throws Exception {
+    /** Calls per second of the function called directly, on one thread. */
+    private double measureInProcess() throws Exception {
         Digest function = new Digest();
         function.start(new CopyContext("f", "1", ByteBuffer.allocateDirect(1 << 20)));
         byte[] input = new byte[256];
         long calls = 0;
         long begin = System.nanoTime();
-        for (int part = 0; part < 2; part++) { // the first warms up
+        for (int part = 0; part < 2; part++) { // part 0 is the warm-up
             calls = 0;
             begin = System.nanoTime();
             while (System.nanoTime() - begin < seconds * 1_000_000_000L) {
@@ -215,33 +218,34 @@
         return calls * 1e9 / (System.nanoTime() - begin);
     }
 
-    /** So many calls open at all times: each answer sends the next. */
-    private double closed(H2Caller caller, String function, int open) throws Exception {
+    /** Calls per second that are served with a fixed number in flight: each response sends the next call. */
+    private double runClosedLoop(H2Caller caller, String function, int inFlight) throws Exception {
         AtomicLong served = new AtomicLong();
         long begin = System.nanoTime();
         long end = begin + seconds * 1_000_000_000L;
-        CountDownLatch over = new CountDownLatch(open);
-        for (int i = 0; i < open; i++) {
-            next(caller, function, end, served, over);
+        CountDownLatch finished = new CountDownLatch(inFlight);
+        for (int i = 0; i < inFlight; i++) {
+            sendNext(caller, function, end, served, finished);
         }
-        over.await(seconds + 30, TimeUnit.SECONDS);
+        finished.await(seconds + 30, TimeUnit.SECONDS);
         return served.get() * 1e9 / (System.nanoTime() - begin);
     }
 
-    private static void next(H2Caller caller, String function, long end, AtomicLong served, CountDownLatch over) {
-        caller.send(HttpMethod.POST, "/call/" + function, new byte[256]).whenComplete((answer, failed) -> {
-            if (failed == null && answer.outcome().equals("served")) {
+    private static void sendNext(
+            H2Caller caller, String function, long end, AtomicLong served, CountDownLatch finished) {
+        caller.send(HttpMethod.POST, "/call/" + function, new byte[256]).whenComplete((response, failure) -> {
+            if (failure == null && response.outcome().equals("served")) {
                 served.incrementAndGet();
             }
             if (System.nanoTime() < end) {
-                next(caller, function, end, served, over);
+                sendNext(caller, function, end, served, finished);
             } else {
-                over.countDown();
+                finished.countDown();
             }
         });
     }
 
-    private static long rss(long pid) throws IOException {
+    private static long residentKb(long pid) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + pid + "/status"))) {
             if (line.startsWith("VmRSS:")) {
                 return Long.parseLong(line.replaceAll("[^0-9]", ""));
