--- a/app/src/test/java/wharfhinge/app/ArchitectureTest.java
+++ b/app/src/test/java/wharfhinge/app/ArchitectureTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Arrows point down only, and the decisions touch neither I/O nor clocks nor threads. */
+/** Dependencies point from upper to lower layers only, and the decision modules use neither I/O nor clocks nor threads. */
 class ArchitectureTest {
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
@@ -28,7 +28,7 @@
             "java.time.ZonedDateTime.now");
 
     @Test
-    void arrowsPointDownOnly() {
+    void layers_dependOnLowerLayersOnly() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("app")
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void theJudgeSharesNothingWithWhatItJudges() {
+    void traceVerifier_sharesNoCodeWithWhatItVerifies() {
         noClasses()
                 .that()
                 .resideInAPackage("wharfhinge.standin.judge..")
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void decisionsAreFreeOfClocksThreadsAndSockets() {
+    void decisions_useNoClocksThreadsOrSockets() {
         noClasses()
                 .that()
                 .resideInAnyPackage("wharfhinge.policy..", "wharfhinge.decisions..")
@@ -136,9 +136,9 @@
                 .check(ALL);
     }
 
-    /** Deadlines, pauses and budgets of clients go by a clock that never jumps. */
+    /** Deadlines, retry pauses and retry budgets of clients go by the monotonic clock, so that a step of the wall clock has no effect. */
     @Test
-    void theWallClockDoesNotMatterToClients() {
+    void clients_doNotReadTheWallClock() {
         noClasses()
                 .that()
                 .resideInAPackage("wharfhinge.client..")
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void theWorkersSideDoesNotKnowTheClientsSide() {
+    void upstreamSide_doesNotDependOnClientSide() {
         classes()
                 .that()
                 .resideInAPackage("wharfhinge.gateway.upstream..")
@@ -199,8 +199,8 @@
     }
 
     /**
-     * Spans are measured by the monotonic clock. Each class listed says what bounds the harm of a step of the wall clock: ages in
-     * {@code SteadyWallClock}, the order of files in {@code CaptureWriter} and {@code ImageCache}, the end of tokens in {@code Gateway}.
+     * Durations are measured by the monotonic clock. Each listed class documents what bounds the effect of a wall-clock step: ages in
+     * {@code SteadyWallClock}, the order of files in {@code CaptureWriter} and {@code ImageCache}, the expiry of tokens in {@code Gateway}.
      */
     @Test
     void wallClockIsReadInListedClassesAlone() {
--- a/app/src/test/java/wharfhinge/app/CommandLineTest.java
+++ b/app/src/test/java/wharfhinge/app/CommandLineTest.java
@@ -14,28 +14,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Commands, their exit codes and what they say. */
+/** Commands of the command line: exit codes and printed messages. */
 class CommandLineTest {
     private static final String SAMPLE = "../deploy/samples/loads-on-call.xml";
 
     @TempDir
     private Path folder;
 
-    private record Ran(int code, ByteArrayOutputStream printed) {
+    private record Execution(int exitCode, ByteArrayOutputStream output) {
         String text() {
-            return printed.toString(StandardCharsets.UTF_8);
+            return output.toString(StandardCharsets.UTF_8);
         }
     }
 
-    private static Ran run(String... arguments) {
+    private static Execution run(String... arguments) {
         PrintStream out = System.out;
         PrintStream err = System.err;
-        ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        PrintStream both = new PrintStream(printed, true, StandardCharsets.UTF_8);
-        System.setOut(both);
-        System.setErr(both);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        PrintStream capture = new PrintStream(output, true, StandardCharsets.UTF_8);
+        System.setOut(capture);
+        System.setErr(capture);
         try {
-            return new Ran(Main.commandLine().execute(arguments), printed);
+            return new Execution(Main.commandLine().execute(arguments), output);
         } finally {
             System.setOut(out);
             System.setErr(err);
@@ -64,57 +64,58 @@
                 "package key",
                 "replay"
             })
-    void helpAndVersionAreEverywhere(String command) {
+    void everyCommand_hasHelpAndVersion(String command) {
         List<String> words = command.isEmpty() ? List.of() : List.of(command.split(" "));
         for (String option : List.of("--help", "--version")) {
             String[] arguments = java.util.stream.Stream.concat(words.stream(), java.util.stream.Stream.of(option))
                     .toArray(String[]::new);
-            Ran ran = run(arguments);
-            assertEquals(Program.OK, ran.code, command + option);
-            assertTrue(ran.text().contains("wharfhinge"), ran.text());
+            Execution execution = run(arguments);
+            assertEquals(Program.OK, execution.exitCode, command + option);
+            assertTrue(execution.text().contains("wharfhinge"), execution.text());
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "nonsense", "serve", "serve --config", "drill --mutant none", "check", "stand-in"})
-    void wrongUseIsTwo(String command) {
-        assertEquals(Program.USAGE, run(command.isEmpty() ? new String[0] : command.split(" ")).code);
+    void wrongUsage_exitsWithTwo(String command) {
+        assertEquals(Program.USAGE, run(command.isEmpty() ? new String[0] : command.split(" ")).exitCode);
     }
 
     @Test
-    void checkTellsAllThatIsWrong() throws Exception {
-        assertEquals(Program.OK, run("check", SAMPLE).code);
+    void check_reportsEveryError() throws Exception {
+        assertEquals(Program.OK, run("check", SAMPLE).exitCode);
         Path wrong = folder.resolve("wrong.xml");
         Files.writeString(
                 wrong, Files.readString(Path.of(SAMPLE)).replace("8400", "x").replace("idempotent", "y"));
-        Ran ran = run("check", SAMPLE, wrong.toString());
-        assertEquals(Program.WANTING, ran.code);
-        assertTrue(ran.text().contains("found 'x'") && ran.text().contains("found 'y'"), ran.text());
-        assertEquals(Program.WANTING, run("serve", "--config", wrong.toString()).code);
+        Execution execution = run("check", SAMPLE, wrong.toString());
+        assertEquals(Program.WANTING, execution.exitCode);
+        assertTrue(execution.text().contains("found 'x'") && execution.text().contains("found 'y'"), execution.text());
+        assertEquals(Program.WANTING, run("serve", "--config", wrong.toString()).exitCode);
     }
 
     @Test
-    void anUnknownDrillIsNamed() {
-        Ran ran = run("drill", "no-such-day");
-        assertEquals(Program.WANTING, ran.code);
+    void unknownScenario_isReportedWithTheAllowedOnes() {
+        Execution execution = run("drill", "no-such-day");
+        assertEquals(Program.WANTING, execution.exitCode);
         assertTrue(
-                ran.text()
+                execution
+                        .text()
                         .contains(
                                 "found 'no-such-day', allowed: [bad-day, calm, loads-on-call, bad-day-chains, chains, workers, forty-workers]"),
-                ran.text());
+                execution.text());
     }
 
     @Test
-    void aPackageIsBuiltSignedShownAndChecked() throws Exception {
+    void package_isBuiltSignedInspectedAndVerified() throws Exception {
         String key = folder.resolve("key").toString();
         String other = folder.resolve("other").toString();
         String out = folder.resolve("f.pkg").toString();
         Path classes = Files.createDirectories(folder.resolve("classes/a"));
         Files.write(classes.resolve("B.class"), new byte[] {1, 2, 3});
-        assertEquals(Program.OK, run("package", "key", key).code);
-        assertEquals(Program.OK, run("package", "key", other).code);
-        assertEquals(Program.WANTING, run("package", "key", key).code, "a key is never written over");
-        Ran built = run(
+        assertEquals(Program.OK, run("package", "key", key).exitCode);
+        assertEquals(Program.OK, run("package", "key", other).exitCode);
+        assertEquals(Program.WANTING, run("package", "key", key).exitCode, "an existing key is not overwritten");
+        Execution built = run(
                 "package",
                 "build",
                 "--classes",
@@ -129,14 +130,14 @@
                 key,
                 "--out",
                 out);
-        assertEquals(Program.OK, built.code, built.text());
-        Ran shown = run("package", "inspect", out);
+        assertEquals(Program.OK, built.exitCode, built.text());
+        Execution shown = run("package", "inspect", out);
         assertTrue(shown.text().contains("entry=a.B") && shown.text().contains("# signed"), shown.text());
-        assertEquals(Program.OK, run("package", "verify", "--key", key + ".pub", out).code);
-        Ran refused = run("package", "verify", "--key", other + ".pub", out);
-        assertEquals(Program.WANTING, refused.code);
+        assertEquals(Program.OK, run("package", "verify", "--key", key + ".pub", out).exitCode);
+        Execution refused = run("package", "verify", "--key", other + ".pub", out);
+        assertEquals(Program.WANTING, refused.exitCode);
         assertTrue(refused.text().contains("none of the 1 trusted keys"), refused.text());
-        Ran wrong = run(
+        Execution wrong = run(
                 "package",
                 "build",
                 "--classes",
@@ -150,29 +151,32 @@
                 "--out",
                 out);
         assertTrue(
-                wrong.code == Program.WANTING && wrong.text().contains("entry a.C is not among the files"),
+                wrong.exitCode == Program.WANTING && wrong.text().contains("entry a.C is not among the files"),
                 wrong.text());
-        assertEquals(Program.OK, run("package", "verify", out).code, "what was there stands");
+        assertEquals(
+                Program.OK,
+                run("package", "verify", out).exitCode,
+                "a failed build leaves the existing package in place");
     }
 
     @Test
-    void whatIsNoCaptureIsNamed() throws Exception {
+    void fileThatIsNoCapture_isReported() throws Exception {
         Path file = Files.writeString(folder.resolve("x.whcap"), "something else\n");
-        Ran ran = run("replay", file.toString());
-        assertEquals(Program.WANTING, ran.code);
-        assertTrue(ran.text().contains("no capture, found 'something else'"), ran.text());
+        Execution execution = run("replay", file.toString());
+        assertEquals(Program.WANTING, execution.exitCode);
+        assertTrue(execution.text().contains("no capture, found 'something else'"), execution.text());
     }
 
     @Test
-    void aWorkersSettingsTellAllThatIsWrong() throws Exception {
+    void workerSettings_reportEveryError() throws Exception {
         Path file = Files.writeString(
                 folder.resolve("w.xml"),
                 "<worker xmlns='urn:wharfhinge:worker:1' name='w'>\n"
                         + "<listen port='99999'/>\n<memory copies-mb='0'/>\n<store url='ftp://x'/>\n<images folder='i'/>\n</worker>\n");
-        Ran ran = run("worker", "--config", file.toString());
-        assertEquals(Program.WANTING, ran.code);
+        Execution execution = run("worker", "--config", file.toString());
+        assertEquals(Program.WANTING, execution.exitCode);
         for (String place : List.of("99999", "'0'", "ftp://x")) {
-            assertTrue(ran.text().contains(place), ran.text());
+            assertTrue(execution.text().contains(place), execution.text());
         }
     }
 }
--- a/app/src/test/java/wharfhinge/app/FirstLogsTest.java
+++ b/app/src/test/java/wharfhinge/app/FirstLogsTest.java
@@ -13,13 +13,15 @@
 
 class FirstLogsTest {
     @Test
-    void warningsGoToStandardErrorWithoutAnyXml() {
+    void warnings_goToStandardErrorWithoutXml() {
         LoggerContext context = new LoggerContext();
         new FirstLogs().configure(context);
         var root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         assertEquals(Level.WARN, root.getLevel());
-        Iterator<Appender<ILoggingEvent>> all = root.iteratorForAppenders();
-        assertEquals("System.err", ((ConsoleAppender<ILoggingEvent>) all.next()).getTarget());
-        assertNull(FirstLogs.class.getResource("/logback.xml"), "is read before anything else where it is there");
+        Iterator<Appender<ILoggingEvent>> appenders = root.iteratorForAppenders();
+        assertEquals("System.err", ((ConsoleAppender<ILoggingEvent>) appenders.next()).getTarget());
+        assertNull(
+                FirstLogs.class.getResource("/logback.xml"),
+                "a logback.xml on the class path would take precedence over the configurator");
     }
 }
--- a/app/src/test/java/wharfhinge/app/OtherJdkTest.java
+++ b/app/src/test/java/wharfhinge/app/OtherJdkTest.java
@@ -13,19 +13,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Decisions depend on no version of Java: what one captured the other decides again. */
+/** Decisions don't depend on the Java version: a capture made on one JDK replays without a difference on another. */
 @Timeout(60)
 class OtherJdkTest {
     @Test
-    void aFixtureReplaysOnAnotherJdkThatIsInstalled() throws Exception {
+    void fixture_replaysOnOtherInstalledJdks() throws Exception {
         Path own = Path.of(System.getProperty("java.home")).toRealPath();
         List<Path> others;
-        try (Stream<Path> beside = Files.list(own.getParent())) {
-            others = beside.filter(p ->
+        try (Stream<Path> siblings = Files.list(own.getParent())) {
+            others = siblings.filter(p ->
                             !Files.isSymbolicLink(p) && !p.equals(own) && Files.isExecutable(p.resolve("bin/java")))
                     .toList();
         }
-        assumeTrue(!others.isEmpty(), "no other JDK beside " + own);
+        assumeTrue(!others.isEmpty(), "no other JDK is installed beside " + own);
         Path fixture = Path.of("../capture/src/test/resources/wharfhinge/capture/overload.jsonl");
         for (Path other : others) {
             Process replay = new ProcessBuilder(
@@ -37,10 +37,10 @@
                             fixture.toString())
                     .redirectErrorStream(true)
                     .start();
-            String said = new String(replay.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            String output = new String(replay.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertTrue(replay.waitFor(30, TimeUnit.SECONDS));
-            assertEquals(0, replay.exitValue(), other + ": " + said);
-            assertTrue(said.contains("all decisions are the same"), said);
+            assertEquals(0, replay.exitValue(), other + ": " + output);
+            assertTrue(output.contains("all decisions are the same"), output);
         }
     }
 }
--- a/app/src/test/java/wharfhinge/app/drill/DrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/DrillTest.java
@@ -16,13 +16,13 @@
 import wharfhinge.standin.Scenario.Trouble;
 import wharfhinge.standin.judge.Judge;
 
-/** Short days over gateways in processes of their own. */
+/** Short runs of a scenario against gateways in separate processes, checked by the trace verifier. */
 @Timeout(120)
 class DrillTest {
     @TempDir
     private Path folder;
 
-    private Judge.Verdict play(Mutant mutant, double seconds, Trouble... troubles) throws Exception {
+    private Judge.Verdict run(Mutant mutant, double seconds, Trouble... troubles) throws Exception {
         Scenario day = Scenarios.load(null, "bad-day");
         day.seconds(seconds);
         day.troubles().clear();
@@ -38,8 +38,8 @@
         }
     }
 
-    /** What each gateway captured, also one that was killed, is decided again as it was. */
-    private void replayed(int gateways) throws Exception {
+    /** Replays the capture of each gateway, a killed one included, and expects the captured decisions. */
+    private void assertCapturesReplay(int gateways) throws Exception {
         for (int i = 0; i < gateways; i++) {
             CaptureReader.Capture capture = CaptureReader.read(folder.resolve("gw" + i + ".capture"));
             Replayer.Result result = new Replayer().replay(capture.frames(), Long.MAX_VALUE, null);
@@ -51,8 +51,8 @@
     }
 
     @Test
-    void aShortBadDayKeepsAllRules() throws Exception {
-        Judge.Verdict verdict = play(
+    void shortBadDay_keepsAllRules() throws Exception {
+        Judge.Verdict verdict = run(
                 null,
                 9,
                 new Trouble("hang", 1, 3, 0.15, 0, 0),
@@ -67,26 +67,26 @@
         assertTrue(
                 Integer.parseInt(verdict.figures().get("calls")) > 800,
                 verdict.figures().toString());
-        replayed(3);
+        assertCapturesReplay(3);
     }
 
     @ParameterizedTest
     @EnumSource(value = Mutant.class, mode = EnumSource.Mode.EXCLUDE, names = "NO_EARLY_REFUSAL")
-    void eachMutantIsFound(Mutant mutant) throws Exception {
+    void mutant_isDetectedByTraceVerifier(Mutant mutant) throws Exception {
         Judge.Verdict verdict =
                 switch (mutant) {
-                    case FORGETS_ANSWERS -> play(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.9, 0));
-                    case REPEATS_UNSAFE -> play(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.5, 0));
-                    case DEAF_TO_DRAINS -> play(mutant, 6, new Trouble("drain", 0.5, 9, 0.5, 0, 1));
-                    case COLD_AS_WARM -> play(
+                    case FORGETS_ANSWERS -> run(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.9, 0));
+                    case REPEATS_UNSAFE -> run(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.5, 0));
+                    case DEAF_TO_DRAINS -> run(mutant, 6, new Trouble("drain", 0.5, 9, 0.5, 0, 1));
+                    case COLD_AS_WARM -> run(
                             mutant,
                             6,
                             new Trouble("restart", 1, 0.2, 0.5, 0, 0),
                             new Trouble("overload", 1, 9, 0, 2, 0));
-                    case CLOCK_FOR_EACH_STEP -> play(
+                    case CLOCK_FOR_EACH_STEP -> run(
                             mutant, 4, new Trouble("chains", 0, 9, 0, 0.6, 0), new Trouble("slow", 0, 9, 0.5, 4, 0));
                     case NO_EARLY_REFUSAL -> throw new AssertionError("breaks no rule");
-                    case UNRATIONED -> play(mutant, 5, new Trouble("scan", 0, 9, 0, 0.5, 0));
+                    case UNRATIONED -> run(mutant, 5, new Trouble("scan", 0, 9, 0, 0.5, 0));
                 };
         assertTrue(verdict.broken().containsKey(mutant.rule()), mutant + ": " + Judge.report(verdict));
     }
--- a/app/src/test/java/wharfhinge/app/drill/GatewayKilledTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/GatewayKilledTest.java
@@ -25,7 +25,7 @@
 import wharfhinge.standin.Trace;
 import wharfhinge.standin.WorkerStandIn;
 
-/** A gateway process killed between two steps of a chain, and what a client's retry then meets. */
+/** A gateway process is killed or stalled between two steps of a chain, and the client retries the chain. */
 @Timeout(60)
 class GatewayKilledTest {
     private static final String CHAIN =
@@ -54,11 +54,12 @@
         return new GatewayProcess("gw" + number, port, settings, null, trace);
     }
 
-    private interface Story {
-        void tell(Scenario day, int rosterPort) throws Exception;
+    private interface TestBody {
+        void run(Scenario day, int rosterPort) throws Exception;
     }
 
-    private void beforeOneWorker(Story story) throws Exception {
+    /** Runs the body with an endpoint service, a package store and one worker, all emulated. */
+    private void withOneWorker(TestBody body) throws Exception {
         Scenario day = Scenarios.load(null, "chains");
         EventLoopGroup group = Net.group(2);
         try (RosterStandIn roster = new RosterStandIn(group, 0, 0, trace);
@@ -74,15 +75,15 @@
                     2,
                     60_000,
                     worker.model().boot()));
-            story.tell(day, roster.port());
+            body.run(day, roster.port());
         } finally {
             group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS);
         }
     }
 
-    private CompletableFuture<HttpResponse<String>> chain(GatewayProcess at, int firstUs, int costUs) {
+    private CompletableFuture<HttpResponse<String>> sendChain(GatewayProcess gateway, int firstUs, int costUs) {
         return client.sendAsync(
-                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + at.port() + "/v1/chain"))
+                HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + gateway.port() + "/v1/chain"))
                         .timeout(Duration.ofSeconds(10))
                         .POST(HttpRequest.BodyPublishers.ofString(
                                 CHAIN.replace("FIRST", "" + firstUs).replace("COST", "" + costUs)))
@@ -90,12 +91,12 @@
                 HttpResponse.BodyHandlers.ofString());
     }
 
-    /** The answer of a retry; a gateway just started may not have its list yet, which is said as a refusal. */
-    private String retried(GatewayProcess at) throws Exception {
+    /** Retries the chain until it is served: a gateway that has just started rejects calls until it has an endpoint list. */
+    private String retryUntilServed(GatewayProcess gateway) throws Exception {
         long end = System.nanoTime() + 15_000_000_000L;
         String answer = "";
         while (!answer.equals("served") && System.nanoTime() < end) {
-            answer = chain(at, 20_000, 20_000)
+            answer = sendChain(gateway, 20_000, 20_000)
                     .get()
                     .headers()
                     .firstValue("wh-answer")
@@ -104,67 +105,74 @@
         return answer;
     }
 
-    private long ran(String step) {
+    /** How often the worker started to run a step. */
+    private long executions(String step) {
         return trace.lines().stream()
                 .filter(l -> l.contains("\trun\t") && l.contains("." + step + "\t"))
                 .count();
     }
 
-    /** Its clock leaps past the chain's deadline: one answer at once, and nothing is begun after it. */
+    /** A gateway that resumes after the chain's deadline gives one response at once and starts no further step. */
     @Test
-    void aChainAcrossAStallOfItsGatewayEndsOnceAndBeginsNothingMore() throws Exception {
-        beforeOneWorker((day, roster) -> {
+    void chainAcrossGatewayStall_isAnsweredOnceAndStartsNoFurtherStep() throws Exception {
+        withOneWorker((day, roster) -> {
             GatewayProcess gateway = gateway(day, 0, roster);
             try {
                 gateway.start();
-                CompletableFuture<HttpResponse<String>> call = running(gateway, "a", 500_000, 20_000);
+                CompletableFuture<HttpResponse<String>> call = sendUntilStepRuns(gateway, "a", 500_000, 20_000);
                 gateway.stall(true);
-                Thread.sleep(2600); // longer than the chain may take
+                Thread.sleep(2600); // longer than the chain's deadline
                 gateway.stall(false);
                 assertTrue(!call.get()
                         .headers()
                         .firstValue("wh-answer")
                         .orElse("none")
                         .equals("served"));
-                assertEquals(0, ran("b"), "a step began after the deadline");
+                assertEquals(0, executions("b"), "a step started after the deadline");
             } finally {
                 gateway.stop();
             }
         });
     }
 
-    /** A chain of which this step runs; one that a gateway refuses while its list is on the way is sent again. */
-    private CompletableFuture<HttpResponse<String>> running(GatewayProcess at, String step, int firstUs, int costUs)
-            throws Exception {
-        CompletableFuture<HttpResponse<String>> call = chain(at, firstUs, costUs);
+    /** Sends the chain and returns once the step runs; sends it again if the gateway rejects it for want of an endpoint list. */
+    private CompletableFuture<HttpResponse<String>> sendUntilStepRuns(
+            GatewayProcess gateway, String step, int firstUs, int costUs) throws Exception {
+        CompletableFuture<HttpResponse<String>> call = sendChain(gateway, firstUs, costUs);
         long end = System.nanoTime() + 15_000_000_000L;
-        while (ran(step) == 0 && System.nanoTime() < end) {
+        while (executions(step) == 0 && System.nanoTime() < end) {
             if (call.isDone() && !call.isCompletedExceptionally()) {
-                call = chain(at, firstUs, costUs);
+                call = sendChain(gateway, firstUs, costUs);
             }
             Thread.sleep(2);
         }
-        assertTrue(ran(step) > 0, "step " + step + " never ran");
+        assertTrue(executions(step) > 0, "step " + step + " never ran");
         return call;
     }
 
     @Test
-    void theSameOneGoesOnWhereItWasAndAnotherBeginsAnew() throws Exception {
-        beforeOneWorker((day, roster) -> {
+    void retryAfterKill_resumesAtSameGatewayAndRestartsAtAnother() throws Exception {
+        withOneWorker((day, roster) -> {
             GatewayProcess one = gateway(day, 0, roster);
             GatewayProcess two = gateway(day, 1, roster);
             try {
                 one.start();
                 two.start();
-                running(one, "b", 20_000, 1_500_000);
+                sendUntilStepRuns(one, "b", 20_000, 1_500_000);
                 one.kill();
-                assertEquals(1, ran("a"));
+                assertEquals(1, executions("a"));
                 one.start();
-                assertEquals("served", retried(one));
-                assertEquals(1, ran("a"), "the step that must not run twice ran again at the gateway that knew of it");
-                assertTrue(ran("b") >= 2, "the second step's answer was lost with the process");
-                assertEquals("served", retried(two));
-                assertEquals(2, ran("a"), "another gateway doesn't know the key; docs/protocol-client.md says so");
+                assertEquals("served", retryUntilServed(one));
+                assertEquals(
+                        1,
+                        executions("a"),
+                        "the restarted gateway ran a step again that its step journal holds as served");
+                assertTrue(executions("b") >= 2, "the step in flight at the kill was not run again");
+                assertEquals("served", retryUntilServed(two));
+                assertEquals(
+                        2,
+                        executions("a"),
+                        "another gateway has no record of the idempotency key and runs all steps (docs/protocol-client.md)");
             } finally {
                 one.stop();
                 two.stop();
--- a/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
@@ -11,14 +11,14 @@
 import wharfhinge.standin.Scenario;
 import wharfhinge.standin.judge.Judge;
 
-/** Days that take half a minute each; a class of their own, so that they run beside the short ones. */
+/** Scenario runs of half a minute each, in a separate class so that they run in parallel with the short ones. */
 @Timeout(120)
 class LongDrillTest {
     @TempDir
     private Path folder;
 
     @Test
-    void aDayOverRealWorkersKeepsAllRulesAndTheBooksAreHonest() throws Exception {
+    void realWorkers_keepAllRulesAndAccountTheirMemoryCorrectly() throws Exception {
         Scenario day = Scenarios.load(null, "workers");
         try (Day played = new Day(day, null, folder)) {
             Judge.Verdict verdict = played.play();
@@ -31,8 +31,10 @@
     }
 
     @Test
-    void gatewaysReplacedOneByOneFailNoCallOfEitherLibrary() throws Exception {
+    void gatewaysReplacedOneByOne_failAlmostNoCallOfEitherLibrary() throws Exception {
         double wanting = ClientDrills.rollingRestart(Scenarios.load(null, "calm"), folder, 8);
-        assertTrue(wanting < 0.02, "failed or late, on a machine that others may load: " + wanting);
+        assertTrue(
+                wanting < 0.02,
+                "share of calls failed or late (the bound allows for other load on the machine): " + wanting);
     }
 }
