--- a/app/src/main/java/wharfhinge/app/measure/ColdStartCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ColdStartCommand.java
@@ -8,7 +8,7 @@
 import wharfhinge.app.Program;
 import wharfhinge.standin.HttpCaller;
 
-/** Measures calls served late by a new gateway process under full load, with and without its warm-up. */
+/** Measures how many calls a new gateway process under load doesn't serve in time, with and without its warm-up. */
 @Command(
         name = "cold",
         mixinStandardHelpOptions = true,
--- a/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
@@ -190,7 +190,7 @@
         long intervalNanos = 1_000_000_000L / rate;
         int calls = rate * durationSeconds;
         long begin = System.nanoTime();
-        LongAdder open = new LongAdder();
+        LongAdder inFlight = new LongAdder();
         for (int i = 0; i < calls; i++) {
             long due = begin + i * intervalNanos;
             for (long left = due - System.nanoTime(); left > 0; left = due - System.nanoTime()) {
@@ -200,21 +200,21 @@
                     Thread.onSpinWait();
                 }
             }
-            open.increment();
+            inFlight.increment();
             send(
                     caller,
                     i,
                     "2000",
                     () -> {
                         histogram.recordValue(System.nanoTime() - due);
-                        open.decrement();
+                        inFlight.decrement();
                     },
                     () -> {
                         failed.increment();
-                        open.decrement();
+                        inFlight.decrement();
                     });
         }
-        for (int waits = 0; open.sum() > 0 && waits < 300; waits++) {
+        for (int waits = 0; inFlight.sum() > 0 && waits < 300; waits++) {
             LockSupport.parkNanos(10_000_000);
         }
         if (failed.sum() > 0) {
@@ -262,6 +262,7 @@
         return metrics;
     }
 
+    /** Prints the gateway's metrics of event age and of decision time. */
     private static void printEventMetrics(int port) throws IOException {
         try (var in =
                 URI.create("http://127.0.0.1:" + port + "/v1/status").toURL().openStream()) {
