--- a/gateway/src/test/java/wharfhinge/gateway/ClientListenerFuzzTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerFuzzTest.java
@@ -16,7 +16,7 @@
 import wharfhinge.protocol.ClientProtocol;
 import wharfhinge.protocol.ProtocolException;
 
-/** What clients send: whatever comes is taken or refused with a reason. Without JAZZER_FUZZ only seeds run. */
+/** Fuzzes what clients send: each input is accepted, or rejected with a reason. Without JAZZER_FUZZ only the seed inputs run. */
 class ClientListenerFuzzTest {
     private static final byte[] KEY = new byte[32];
     private static final BearerTokens TOKENS = tokens();
@@ -26,9 +26,9 @@
         try {
             Path file = Files.createTempFile("tokens", ".key");
             Files.write(file, KEY);
-            BearerTokens made = new BearerTokens(file, () -> 1_000_000_000_000L);
+            BearerTokens tokens = new BearerTokens(file, () -> 1_000_000_000_000L);
             Files.delete(file);
-            return made;
+            return tokens;
         } catch (java.io.IOException e) {
             throw new java.io.UncheckedIOException(e);
         }
@@ -36,12 +36,12 @@
 
     private static ChainJsonCodec chains() {
         try {
-            RequestClass type =
+            RequestClass requestClass =
                     new RequestClass("safe", Effect.IDEMPOTENT, DeduplicationScope.ALL, 0, 1, 2, 1, 0, false, 0);
             Path folder = Files.createTempDirectory("fuzz");
             return new ChainJsonCodec(
-                    Map.of("safe", type),
-                    type,
+                    Map.of("safe", requestClass),
+                    requestClass,
                     GatewayFixture.config(folder, "", "", 1).chains());
         } catch (Exception e) {
             throw new IllegalStateException(e);
@@ -50,12 +50,12 @@
 
     @FuzzTest(maxDuration = "10m")
     void headers(FuzzedDataProvider data) {
-        Map<String, String> seen = new LinkedHashMap<>();
+        Map<String, String> headerValues = new LinkedHashMap<>();
         try {
             CallHead head = CallHead.parse(
                     ClientProtocol.CALL_PATH + data.consumeString(140),
-                    name -> seen.computeIfAbsent(
-                            name.toString(), n -> data.consumeBoolean() ? data.consumeString(70) : null));
+                    name -> headerValues.computeIfAbsent(
+                            name.toString(), ignored -> data.consumeBoolean() ? data.consumeString(70) : null));
             if (head.deadlineMillis() < 0
                     || head.lanes() < 0
                     || head.costUs() < 0
@@ -71,30 +71,30 @@
     }
 
     @FuzzTest(maxDuration = "10m")
-    void token(FuzzedDataProvider data) {
+    void bearerToken(FuzzedDataProvider data) {
         String text = data.consumeRemainingAsString();
         try {
             String tenant = TOKENS.tenantOf(text);
             if (tenant != null && !text.startsWith("Bearer wh1." + tenant + '.')) {
-                throw new AssertionError("found another tenant than it names");
+                throw new AssertionError("accepted a token as that of another tenant than it names");
             }
         } catch (BearerTokens.InvalidTokenException e) {
             if (text.length() > 40 && e.getMessage().contains(text)) {
-                throw new AssertionError("a token in a message");
+                throw new AssertionError("the error message contains the token");
             }
         }
     }
 
     @FuzzTest(maxDuration = "10m")
-    void chain(byte[] bytes) {
+    void chainJson(byte[] bytes) {
         try {
             ChainCall call = CHAINS.read(bytes, "x1", 0, (end, answers) -> {});
             if (call.plan().steps().isEmpty() || call.deadlineNanos() <= 0) {
-                throw new AssertionError("taken: " + call);
+                throw new AssertionError("accepted without steps or deadline: " + call);
             }
         } catch (ChainJsonCodec.InvalidChainException e) {
             if (e.getMessage().isEmpty()) {
-                throw new AssertionError("refused without a reason");
+                throw new AssertionError("rejected without a reason");
             }
         }
     }
--- a/gateway/src/test/java/wharfhinge/gateway/FakePeer.java
+++ b/gateway/src/test/java/wharfhinge/gateway/FakePeer.java
@@ -37,9 +37,9 @@
 import wharfhinge.protocol.CopyNote;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** A worker, or another gateway, that does frame by frame what a test scripts. */
+/** A worker or another gateway that responds frame by frame as a test scripts it. */
 final class FakePeer implements AutoCloseable {
-    /** One request that was received. */
+    /** A received request, with the ways to respond to it. */
     final class ReceivedRequest {
         final Http2Headers headers;
         private final ChannelHandlerContext ctx;
@@ -75,13 +75,13 @@
                     new DefaultHttp2DataFrame(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8), end).stream(stream));
         }
 
-        /** Sends parts of 64 KB until the stream ends; the writes wait for the other side's windows. */
+        /** Sends parts of 64 KB until the stream ends; each is written when the receiver's flow-control windows allow it. */
         void flood(int parts) {
             if (parts > 0 && ctx.channel().isActive()) {
                 ctx.writeAndFlush(new DefaultHttp2DataFrame(Unpooled.wrappedBuffer(new byte[1 << 16]), false)
                                 .stream(stream))
                         .addListener(done -> {
-                            flooded++;
+                            floodedParts++;
                             if (done.isSuccess()) {
                                 flood(parts - 1);
                             }
@@ -93,15 +93,15 @@
             ctx.writeAndFlush(new DefaultHttp2ResetFrame(error).stream(stream));
         }
 
-        void schedule(long ms, Runnable what) {
-            ctx.executor().schedule(what, ms, TimeUnit.MILLISECONDS);
+        void schedule(long ms, Runnable task) {
+            ctx.executor().schedule(task, ms, TimeUnit.MILLISECONDS);
         }
 
-        void breakConnection() {
+        void closeConnection() {
             ctx.close();
         }
 
-        /** A GOAWAY as bytes, since the codec would only send one that covers all streams it saw. */
+        /** Sends a GOAWAY frame as raw bytes, since the codec only sends one that covers all streams it has seen. */
         void goAway(int lastStream) {
             ByteBuf frame = Unpooled.buffer()
                     .writeMedium(8)
@@ -115,7 +115,7 @@
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final Channel listening;
+    private final Channel serverChannel;
     private final BlockingQueue<ReceivedRequest> calls = new LinkedBlockingQueue<>();
     private final List<Channel> heldChannels = new CopyOnWriteArrayList<>();
     final BlockingQueue<Integer> resets = new LinkedBlockingQueue<>();
@@ -123,16 +123,16 @@
     private final Consumer<ReceivedRequest> script;
     volatile boolean holdHandshakes;
     volatile boolean ignoreNonCalls;
-    volatile int flooded;
+    volatile int floodedParts;
 
-    /** Answers every call with {@code script}; where it is null, calls wait for {@link #next}. */
+    /** Responds to each call with {@code script}; if it is null, the test takes the calls with {@link #next} and responds itself. */
     FakePeer(Consumer<ReceivedRequest> script) {
         this(0, script);
     }
 
     FakePeer(int port, Consumer<ReceivedRequest> script) {
         this.script = script;
-        listening = new ServerBootstrap()
+        serverChannel = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -142,7 +142,7 @@
                             channel.config().setAutoRead(false);
                             heldChannels.add(channel);
                         } else {
-                            pipeline(channel);
+                            addHttp2Handlers(channel);
                         }
                     }
                 })
@@ -151,13 +151,13 @@
                 .channel();
     }
 
-    private void pipeline(Channel channel) {
+    private void addHttp2Handlers(Channel channel) {
         channel.pipeline()
                 .addLast(
                         Http2FrameCodecBuilder.forServer()
                                 .initialSettings(Http2Settings.defaultSettings())
                                 .build(),
-                        new Frames());
+                        new FrameHandler());
     }
 
     String id() {
@@ -165,24 +165,24 @@
     }
 
     int port() {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+        return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
-    /** The next call that came. */
+    /** Returns the next call; fails if none arrives within 5 s. */
     ReceivedRequest next() throws InterruptedException {
-        ReceivedRequest in = calls.poll(5, TimeUnit.SECONDS);
-        if (in == null) {
-            throw new AssertionError("no call came to " + id());
+        ReceivedRequest request = calls.poll(5, TimeUnit.SECONDS);
+        if (request == null) {
+            throw new AssertionError("no call within 5 s at " + id());
         }
-        return in;
+        return request;
     }
 
-    /** The next call that comes within a time, or null. */
+    /** Returns the next call that arrives within a time, or null. */
     ReceivedRequest poll(long ms) throws InterruptedException {
         return calls.poll(ms, TimeUnit.MILLISECONDS);
     }
 
-    boolean gotNothingWithin(long ms) throws InterruptedException {
+    boolean receivesNoCallWithin(long ms) throws InterruptedException {
         return calls.poll(ms, TimeUnit.MILLISECONDS) == null;
     }
 
@@ -193,7 +193,7 @@
     void releaseHandshakes() {
         holdHandshakes = false;
         heldChannels.forEach(channel -> channel.eventLoop().execute(() -> {
-            pipeline(channel);
+            addHttp2Handlers(channel);
             channel.config().setAutoRead(true);
         }));
     }
@@ -203,41 +203,41 @@
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private final class Frames extends ChannelInboundHandlerAdapter {
-        private final java.util.Map<Http2FrameStream, Http2Headers> open = new java.util.HashMap<>();
+    private final class FrameHandler extends ChannelInboundHandlerAdapter {
+        private final java.util.Map<Http2FrameStream, Http2Headers> headersByStream = new java.util.HashMap<>();
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             if (message instanceof Http2HeadersFrame frame) {
-                open.put(frame.stream(), frame.headers());
+                headersByStream.put(frame.stream(), frame.headers());
                 if (frame.isEndStream()) {
-                    came(ctx, frame.stream());
+                    onRequestReceived(ctx, frame.stream());
                 }
             } else if (message instanceof Http2DataFrame frame && frame.isEndStream()) {
-                came(ctx, frame.stream());
+                onRequestReceived(ctx, frame.stream());
             } else if (message instanceof Http2ResetFrame frame) {
                 resets.add(frame.stream().id());
             }
             ReferenceCountUtil.release(message);
         }
 
-        private void came(ChannelHandlerContext ctx, Http2FrameStream stream) {
-            ReceivedRequest in = new ReceivedRequest(ctx, stream, open.remove(stream));
-            String path = in.headers.path().toString();
-            boolean call = path.startsWith(WorkerProtocol.CALL_PATH)
+        private void onRequestReceived(ChannelHandlerContext ctx, Http2FrameStream stream) {
+            ReceivedRequest request = new ReceivedRequest(ctx, stream, headersByStream.remove(stream));
+            String path = request.headers.path().toString();
+            boolean isCall = path.startsWith(WorkerProtocol.CALL_PATH)
                     || path.startsWith(ClientProtocol.CALL_PATH)
-                    || path.startsWith("/wharfhinge.v1."); // it may play a gateway too
-            if (!call) {
-                nonCalls.add(in);
+                    || path.startsWith("/wharfhinge.v1."); // a scripted gateway over gRPC
+            if (!isCall) {
+                nonCalls.add(request);
                 if (ignoreNonCalls) {
                     return;
                 }
-                in.sendHeaders(AnswerCode.SERVED, CopyNote.NONE, true);
+                request.sendHeaders(AnswerCode.SERVED, CopyNote.NONE, true);
             } else if (script == null) {
-                calls.add(in);
+                calls.add(request);
             } else {
-                calls.add(in);
-                script.accept(in);
+                calls.add(request);
+                script.accept(request);
             }
         }
 
--- a/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
@@ -25,7 +25,7 @@
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
 
-/** A gateway in this process, an endpoint list that the test announces, and clients. */
+/** A gateway in this process with an endpoint list that the test announces, and an HTTP client for it. */
 final class GatewayFixture implements AutoCloseable {
     static final String SETTINGS =
             """
@@ -52,30 +52,34 @@
     final Gateway gateway;
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private Consumer<EndpointUpdate> fleet;
+    private Consumer<EndpointUpdate> endpointUpdates;
     private long revision = 1;
 
-    GatewayFixture(Path folder, String workers, DispatcherFactory decisions) throws Exception {
-        this(folder, workers, "", decisions);
+    GatewayFixture(Path folder, String workers, DispatcherFactory dispatcherFactory) throws Exception {
+        this(folder, workers, "", dispatcherFactory);
     }
 
-    GatewayFixture(Path folder, String workers, String clients, DispatcherFactory decisions) throws Exception {
-        this(folder, workers, clients, "", decisions);
+    GatewayFixture(Path folder, String workers, String clients, DispatcherFactory dispatcherFactory) throws Exception {
+        this(folder, workers, clients, "", dispatcherFactory);
     }
 
-    GatewayFixture(Path folder, String workers, String clients, String more, DispatcherFactory decisions)
+    GatewayFixture(
+            Path folder, String workers, String clients, String extraElements, DispatcherFactory dispatcherFactory)
             throws Exception {
-        this(config(folder, workers, clients, more, 1), decisions);
+        this(config(folder, workers, clients, extraElements, 1), dispatcherFactory);
     }
 
-    /** Before settings changed as a test needs them. */
-    GatewayFixture(Path folder, String workers, UnaryOperator<String> change, DispatcherFactory decisions)
+    /** Starts a gateway whose settings {@code edit} has changed. */
+    GatewayFixture(Path folder, String workers, UnaryOperator<String> edit, DispatcherFactory dispatcherFactory)
             throws Exception {
-        this(load(folder, change.apply(text(workers, "", "", 1))), decisions);
+        this(load(folder, edit.apply(settingsText(workers, "", "", 1))), dispatcherFactory);
     }
 
-    private GatewayFixture(GatewayConfig config, DispatcherFactory decisions) throws Exception {
-        gateway = new Gateway(config, decisions, (group, type) -> EndpointSource.pushedBy(updates -> fleet = updates));
+    private GatewayFixture(GatewayConfig config, DispatcherFactory dispatcherFactory) throws Exception {
+        gateway = new Gateway(
+                config,
+                dispatcherFactory,
+                (group, eventLoopType) -> EndpointSource.pushedBy(updates -> endpointUpdates = updates));
         gateway.start();
     }
 
@@ -84,21 +88,22 @@
         return config(folder, workers, clients, "", roster);
     }
 
-    private static GatewayConfig config(Path folder, String workers, String clients, String more, int roster)
+    private static GatewayConfig config(Path folder, String workers, String clients, String extraElements, int roster)
             throws IOException, InvalidConfigurationException {
-        return load(folder, text(workers, clients, more, roster));
+        return load(folder, settingsText(workers, clients, extraElements, roster));
     }
 
-    private static String text(String workers, String clients, String more, int roster) {
+    private static String settingsText(String workers, String clients, String extraElements, int roster) {
         return SETTINGS.replace("WORKERS", workers)
                 .replace("CLIENTS", clients)
-                .replace("<!--MORE-->", more)
+                .replace("<!--MORE-->", extraElements)
                 .replace("ROSTER", Integer.toString(roster));
     }
 
-    private static GatewayConfig load(Path folder, String text) throws IOException, InvalidConfigurationException {
+    private static GatewayConfig load(Path folder, String settingsText)
+            throws IOException, InvalidConfigurationException {
         Path file = folder.resolve("gw.xml");
-        Files.writeString(file, text);
+        Files.writeString(file, settingsText);
         return GatewayConfig.load(file);
     }
 
@@ -111,17 +116,17 @@
         for (String worker : workers) {
             entries.add(entry(worker, State.UP, "b0"));
         }
-        fleet.accept(new EndpointUpdate(EndpointUpdateMode.FULL, revision++, entries));
+        endpointUpdates.accept(new EndpointUpdate(EndpointUpdateMode.FULL, revision++, entries));
     }
 
     void announceChange(RosterEntry entry) {
-        fleet.accept(new EndpointUpdate(EndpointUpdateMode.INCREMENTAL, revision++, List.of(entry)));
+        endpointUpdates.accept(new EndpointUpdate(EndpointUpdateMode.INCREMENTAL, revision++, List.of(entry)));
     }
 
-    CompletableFuture<HttpResponse<String>> call(String type, String function, int deadlineMillis) {
+    CompletableFuture<HttpResponse<String>> call(String requestClass, String function, int deadlineMillis) {
         HttpRequest request = HttpRequest.newBuilder(uri("/v1/call/" + function))
                 .timeout(Duration.ofSeconds(10))
-                .header("wh-class", type)
+                .header("wh-class", requestClass)
                 .header("wh-deadline-ms", Integer.toString(deadlineMillis))
                 .POST(HttpRequest.BodyPublishers.ofString("input"))
                 .build();
@@ -129,8 +134,8 @@
     }
 
     URI uri(String path) {
-        InetSocketAddress at = gateway.address();
-        return URI.create("http://127.0.0.1:" + at.getPort() + path);
+        InetSocketAddress address = gateway.address();
+        return URI.create("http://127.0.0.1:" + address.getPort() + path);
     }
 
     static HttpResponse<String> get(CompletableFuture<HttpResponse<String>> call) throws Exception {
@@ -145,11 +150,11 @@
         return gateway.metrics().get(name);
     }
 
-    static void await(String what, BooleanSupplier holds) throws InterruptedException {
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + 5_000_000_000L;
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("not within 5 s: " + what);
+                throw new AssertionError("condition not met within 5 s: " + description);
             }
             Thread.sleep(2);
         }
--- a/gateway/src/test/java/wharfhinge/gateway/GrpcListenerTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GrpcListenerTest.java
@@ -135,11 +135,13 @@
             in.sendHeaders(SERVED, FOUND, false);
             in.flood(400); // 25 MB
             long before = -1;
-            for (int same = 0; same < 20; same = worker.flooded == before ? same + 1 : 0) {
-                before = worker.flooded;
+            for (int same = 0; same < 20; same = worker.floodedParts == before ? same + 1 : 0) {
+                before = worker.floodedParts;
                 Thread.sleep(25); // until nothing has moved for half a second
             }
-            assertTrue(worker.flooded > 0 && worker.flooded < 200, "parts of 64 KB that went out: " + worker.flooded);
+            assertTrue(
+                    worker.floodedParts > 0 && worker.floodedParts < 200,
+                    "parts of 64 KB that went out: " + worker.floodedParts);
             call.get(5, TimeUnit.SECONDS).cancel("enough", null);
             assertTrue(worker.resets.poll(5, TimeUnit.SECONDS) != null, "the worker is told");
         }
--- a/gateway/src/test/java/wharfhinge/gateway/WarmUpTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/WarmUpTest.java
@@ -62,7 +62,7 @@
             assertFalse(rig.gateway.metrics().get("rehearsed_calls") == 0);
             assertEquals(0, rig.gateway.metrics().get("taken"));
             assertEquals(1, rig.gateway.metrics().get("ready"));
-            assertTrue(worker.gotNothingWithin(50));
+            assertTrue(worker.receivesNoCallWithin(50));
         }
     }
 
--- a/gateway/src/test/java/wharfhinge/gateway/WorkerFaultTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/WorkerFaultTest.java
@@ -44,7 +44,7 @@
 
     @Test
     void connectionLostAfterHeaders_retriesOnlyIdempotentCalls() throws Exception {
-        try (FakePeer dies = new FakePeer(FakePeer.ReceivedRequest::breakConnection);
+        try (FakePeer dies = new FakePeer(FakePeer.ReceivedRequest::closeConnection);
                 GatewayFixture rig = rig("")) {
             rig.announce(dies.id());
             HttpResponse<String> once = get(rig.call("once", "f", 2000));
@@ -52,9 +52,9 @@
             assertEquals(502, once.statusCode());
             assertTrue(once.headers().firstValue("wh-reason").orElse("").contains("connection-lost"));
             dies.next();
-            assertTrue(dies.gotNothingWithin(100), "an at-most-once call went out twice");
+            assertTrue(dies.receivesNoCallWithin(100), "an at-most-once call went out twice");
         }
-        try (FakePeer dies = new FakePeer(FakePeer.ReceivedRequest::breakConnection);
+        try (FakePeer dies = new FakePeer(FakePeer.ReceivedRequest::closeConnection);
                 FakePeer well = serving();
                 GatewayFixture rig = rig("")) {
             rig.announce(dies.id(), well.id());
@@ -160,7 +160,7 @@
             GatewayFixture.await("the drain is told", () -> rig.metric("lists") >= 3);
             drains.releaseHandshakes();
             assertEquals("well", get(call).body());
-            assertTrue(drains.gotNothingWithin(200), "a call reached a worker that drains");
+            assertTrue(drains.receivesNoCallWithin(200), "a call reached a worker that drains");
         }
     }
 
@@ -198,7 +198,7 @@
                 assertEquals(
                         "well", get(rig.call("once", "f" + i, 2000)).body(), "a refused connect proves it never ran");
             }
-            assertTrue(unlisted.gotNothingWithin(1));
+            assertTrue(unlisted.receivesNoCallWithin(1));
         }
     }
 
@@ -228,7 +228,7 @@
             assertEquals("failed", answer(response));
             assertTrue(response.headers().firstValue("wh-reason").orElse("").contains("too-large"));
             assertTrue(floods.resets.poll(2, TimeUnit.SECONDS) != null, "the stream was not reset");
-            assertTrue(floods.flooded < 64, floods.flooded + " parts of 64 KB were taken of a limit of 1 MB");
+            assertTrue(floods.floodedParts < 64, floods.floodedParts + " parts of 64 KB were taken of a limit of 1 MB");
         }
     }
 
@@ -296,7 +296,7 @@
                 if (whole) {
                     in.sendData("last", true);
                 } else {
-                    in.breakConnection();
+                    in.closeConnection();
                 }
                 client.setSoTimeout(3000);
                 int c = client.getInputStream().read();
