--- a/gateway/src/test/java/wharfhinge/gateway/ClientListenerTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientListenerTest.java
@@ -40,30 +40,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import wharfhinge.engine.DispatcherFactory;
 
-/** Requests of clients, valid and malformed. */
+/** Tests how the gateway answers valid and malformed requests of clients over HTTP/1.1 and HTTP/2. */
 @Timeout(60)
 class ClientListenerTest {
     @TempDir
     private Path folder;
 
     private FakePeer worker;
-    private GatewayFixture rig;
+    private GatewayFixture fixture;
 
     @BeforeEach
-    void begin() throws Exception {
+    void startGateway() throws Exception {
         worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
-        rig = new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
-        rig.announce(worker.id());
+        fixture = new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
+        fixture.announce(worker.id());
     }
 
     @AfterEach
-    void end() throws Exception {
-        rig.close();
+    void stopGateway() throws Exception {
+        fixture.close();
         worker.close();
     }
 
-    private String raw(String request) throws IOException {
-        try (Socket client = new Socket("127.0.0.1", rig.gateway.address().getPort())) {
+    private String sendRaw(String request) throws IOException {
+        try (Socket client = new Socket("127.0.0.1", fixture.gateway.address().getPort())) {
             client.setSoTimeout(1500);
             client.getOutputStream().write(request.replace("\n", "\r\n").getBytes(StandardCharsets.US_ASCII));
             StringBuilder read = new StringBuilder();
@@ -96,38 +96,39 @@
                 "GET /v1/call/f|wh-class: safe|405|method: found 'GET', allowed: POST",
                 "POST /v2/other|wh-class: safe|404|path: found nothing there, allowed: /v1/call/{function}"
             })
-    void malformedRequest_isRejectedWithItsFaultAndOthersAreServed(
-            String line, String header, int status, String expected) throws Exception {
-        String answer = raw(line + " HTTP/1.1\nhost: x\n" + header + "\ncontent-length: 0\n\n");
+    void malformedRequest_isRejectedWithReasonAndNextCallIsServed(
+            String requestLine, String header, int status, String expected) throws Exception {
+        String answer = sendRaw(requestLine + " HTTP/1.1\nhost: x\n" + header + "\ncontent-length: 0\n\n");
         assertTrue(answer.startsWith("HTTP/1.1 " + status), answer);
         assertTrue(answer.contains(expected), answer);
-        assertEquals("well", GatewayFixture.get(rig.call("safe", "f", 2000)).body());
+        assertEquals("well", GatewayFixture.get(fixture.call("safe", "f", 2000)).body());
     }
 
     @Test
     void oversizedOrBrokenRequest_isRejected() throws Exception {
-        String body = raw("POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\ncontent-length: 900000\n\nxx");
+        String body = sendRaw("POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\ncontent-length: 900000\n\nxx");
         assertTrue(body.startsWith("HTTP/1.1 413") && body.contains("allowed: at most 65536"), body);
-        String headers = raw("POST /v1/call/f HTTP/1.1\nhost: x\nlong: " + "y".repeat(5000) + "\n\n");
+        String headers = sendRaw("POST /v1/call/f HTTP/1.1\nhost: x\nlong: " + "y".repeat(5000) + "\n\n");
         assertTrue(headers.startsWith("HTTP/1.1 431"), headers);
-        String chunks = raw("POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\ntransfer-encoding: chunked\n\nzz\n");
-        assertTrue(chunks.startsWith("HTTP/1.1 400"), chunks);
-        String nonsense = raw("\u0001\u0002 nonsense\n\n");
-        assertTrue(nonsense.startsWith("HTTP/1.1 400"), nonsense);
-        assertEquals("well", GatewayFixture.get(rig.call("safe", "f", 2000)).body());
+        String invalidChunk =
+                sendRaw("POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\ntransfer-encoding: chunked\n\nzz\n");
+        assertTrue(invalidChunk.startsWith("HTTP/1.1 400"), invalidChunk);
+        String notHttp = sendRaw("\u0001\u0002 nonsense\n\n");
+        assertTrue(notHttp.startsWith("HTTP/1.1 400"), notHttp);
+        assertEquals("well", GatewayFixture.get(fixture.call("safe", "f", 2000)).body());
     }
 
     @Test
     void pipelinedCalls_areAnsweredInOrder() throws Exception {
         String one = "POST /v1/call/f HTTP/1.1\nhost: x\nwh-class: safe\nwh-id: a\ncontent-length: 0\n\n";
-        String all = raw(one + one + "GET /v1/nowhere HTTP/1.1\nhost: x\n\n");
+        String all = sendRaw(one + one + "GET /v1/nowhere HTTP/1.1\nhost: x\n\n");
         assertEquals(2, all.split("wh-answer: served", -1).length - 1, all);
         assertTrue(all.indexOf("404") > all.lastIndexOf("served"), all);
     }
 
     @Test
     void response_hasWorkerReasonAndAttempts() throws Exception {
-        HttpResponse<String> response = GatewayFixture.get(rig.call("safe", "f", 2000));
+        HttpResponse<String> response = GatewayFixture.get(fixture.call("safe", "f", 2000));
         assertEquals(worker.id(), response.headers().firstValue("wh-worker").orElse(""));
         assertEquals(
                 worker.id() + ":served/found",
@@ -138,15 +139,15 @@
     @Test
     void http2Calls_areServedAndReceiveGoAwayOnShutdown() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        BlockingQueue<String> got = new LinkedBlockingQueue<>();
+        BlockingQueue<String> events = new LinkedBlockingQueue<>();
         try {
             Channel connection = new Bootstrap()
                     .group(group)
                     .channel(NioSocketChannel.class)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel c) {
-                            c.pipeline()
+                        protected void initChannel(Channel channel) {
+                            channel.pipeline()
                                     .addLast(
                                             Http2FrameCodecBuilder.forClient().build(),
                                             new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
@@ -157,19 +158,19 @@
                                                 @Override
                                                 protected void channelRead0(
                                                         ChannelHandlerContext ctx, Http2GoAwayFrame frame) {
-                                                    got.add("goaway");
+                                                    events.add("goaway");
                                                 }
                                             });
                         }
                     })
-                    .connect("127.0.0.1", rig.gateway.address().getPort())
+                    .connect("127.0.0.1", fixture.gateway.address().getPort())
                     .sync()
                     .channel();
             Http2StreamChannel stream = new Http2StreamChannelBootstrap(connection)
                     .handler(new SimpleChannelInboundHandler<Http2HeadersFrame>() {
                         @Override
                         protected void channelRead0(ChannelHandlerContext ctx, Http2HeadersFrame frame) {
-                            got.add(frame.headers().status() + " "
+                            events.add(frame.headers().status() + " "
                                     + frame.headers().get("wh-answer"));
                         }
                     })
@@ -184,15 +185,15 @@
                             .authority("x")
                             .set("wh-class", "safe"),
                     true));
-            assertEquals("200 served", got.poll(5, TimeUnit.SECONDS));
+            assertEquals("200 served", events.poll(5, TimeUnit.SECONDS));
             CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
                 try {
-                    rig.gateway.stop();
+                    fixture.gateway.stop();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
             });
-            assertEquals("goaway", got.poll(5, TimeUnit.SECONDS));
+            assertEquals("goaway", events.poll(5, TimeUnit.SECONDS));
             stopped.get(5, TimeUnit.SECONDS);
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
--- a/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
@@ -25,7 +25,7 @@
 import wharfhinge.standin.RosterStandIn;
 import wharfhinge.standin.Trace;
 
-/** The endpoint list over a real stream. */
+/** Tests the endpoint list over a real stream that falls silent, skips a revision or is lost. */
 @Timeout(60)
 class EndpointStreamTest {
     @TempDir
@@ -33,23 +33,23 @@
 
     private final EventLoopGroup group = Net.group(2);
     private FakePeer worker;
-    private RosterStandIn roster;
+    private RosterStandIn endpointService;
     private Gateway gateway;
 
     @BeforeEach
-    void begin() throws Exception {
+    void startGateway() throws Exception {
         worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
-        roster = new RosterStandIn(group, 0, 0, new Trace(System::nanoTime));
-        roster.report(GatewayFixture.entry(worker.id(), State.UP, "b0"));
-        gateway =
-                new Gateway(GatewayFixture.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
+        endpointService = new RosterStandIn(group, 0, 0, new Trace(System::nanoTime));
+        endpointService.report(GatewayFixture.entry(worker.id(), State.UP, "b0"));
+        gateway = new Gateway(
+                GatewayFixture.config(folder, "", "", endpointService.port()), DispatcherFactory.CACHE_AWARE, null);
         gateway.start();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopGateway() throws Exception {
         gateway.stop();
-        roster.close();
+        endpointService.close();
         worker.close();
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
@@ -70,50 +70,50 @@
         }
     }
 
-    private long lists() {
+    private long endpointUpdates() {
         return gateway.metrics().get("lists");
     }
 
     @Test
     void silentStream_isClosedAndListStaysValidUntilNextUpdate() throws Exception {
-        GatewayFixture.await("served", () -> call().equals("well"));
-        roster.mute(true);
-        long before = lists();
+        GatewayFixture.await("the first call is served", () -> call().equals("well"));
+        endpointService.mute(true);
+        long before = endpointUpdates();
         Thread.sleep(2500); // longer than silent-after-ms
-        assertEquals("well", call(), "the list held goes on to hold");
-        assertEquals(before, lists());
-        roster.mute(false);
-        roster.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
-        GatewayFixture.await("news after the silence", () -> lists() > before);
+        assertEquals("well", call(), "the held list stays in use");
+        assertEquals(before, endpointUpdates());
+        endpointService.mute(false);
+        endpointService.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
+        GatewayFixture.await("the first update after the silence is applied", () -> endpointUpdates() > before);
     }
 
     @Test
     void gapOrLostStream_requestsFullList() throws Exception {
-        GatewayFixture.await("served", () -> call().equals("well"));
-        long before = lists();
-        roster.push(new RosterFrame(
+        GatewayFixture.await("the first call is served", () -> call().equals("well"));
+        long before = endpointUpdates();
+        endpointService.push(new RosterFrame(
                 RosterFrame.Kind.CHANGES, 900, 901, List.of(GatewayFixture.entry(worker.id(), State.GONE, "b0"))));
         Thread.sleep(400);
-        assertEquals("well", call(), "changes with a gap are not taken");
-        assertEquals(before, lists(), "and the whole list was the one already held");
-        roster.lost(true);
+        assertEquals("well", call(), "changes after a gap are not applied");
+        assertEquals(before, endpointUpdates(), "the full list that was requested equals the held one");
+        endpointService.lost(true);
         Thread.sleep(300);
         assertEquals("well", call());
-        roster.lost(false);
-        roster.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
-        GatewayFixture.await("news after the loss", () -> lists() > before);
+        endpointService.lost(false);
+        endpointService.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
+        GatewayFixture.await("the first update after the loss is applied", () -> endpointUpdates() > before);
     }
 
     @Test
     void restartedGateway_servesFromSnapshotWhileEndpointServiceIsDown() throws Exception {
-        GatewayFixture.await("served", () -> call().equals("well"));
+        GatewayFixture.await("the first call is served", () -> call().equals("well"));
         gateway.stop();
-        roster.lost(true);
-        gateway =
-                new Gateway(GatewayFixture.config(folder, "", "", roster.port()), DispatcherFactory.CACHE_AWARE, null);
+        endpointService.lost(true);
+        gateway = new Gateway(
+                GatewayFixture.config(folder, "", "", endpointService.port()), DispatcherFactory.CACHE_AWARE, null);
         gateway.start();
         assertEquals("well", call());
         assertTrue(gateway.metrics().get("lists") >= 1);
-        roster.lost(false);
+        endpointService.lost(false);
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/EngineOverSocketsTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/EngineOverSocketsTest.java
@@ -27,90 +27,91 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.Request;
 
-/** The engine with real transports: its actions, its limits, and a dispatcher that throws. */
+/** Tests the engine over real transports: dispatcher actions, queue limits, and a dispatcher that throws. */
 @Timeout(60)
 class EngineOverSocketsTest {
     @TempDir
     private Path folder;
 
-    /** Decisions that note what they are told and do as a test says. */
-    private static class Noting implements Dispatcher {
+    /** Records the events that it receives; a test overrides what it does about them. */
+    private static class RecordingDispatcher implements Dispatcher {
         final DispatcherActions actions;
-        final List<String> told = Collections.synchronizedList(new ArrayList<>());
-        long last;
-        boolean within;
+        final List<String> events = Collections.synchronizedList(new ArrayList<>());
+        long lastNanos;
+        boolean insideCallback;
 
-        Noting(DispatcherActions actions) {
+        RecordingDispatcher(DispatcherActions actions) {
             this.actions = actions;
         }
 
-        void note(long now, String what) {
-            assertTrue(now >= last, "time ran backwards");
-            assertTrue(!within, "told of an event while another was handled");
-            last = now;
-            told.add(what);
+        void recordEvent(long now, String event) {
+            assertTrue(now >= lastNanos, "time went backwards");
+            assertTrue(!insideCallback, "event delivered while another was being handled");
+            lastNanos = now;
+            events.add(event);
         }
 
         @Override
         public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {
-            note(now, "members " + mode + ' ' + entries.size());
+            recordEvent(now, "members " + mode + ' ' + entries.size());
         }
 
         @Override
         public void onRequest(long now, Request request) {
-            note(now, "query " + request.function());
+            recordEvent(now, "query " + request.function());
         }
 
         @Override
         public void onClientCancelled(long now, String request) {
-            note(now, "left");
+            recordEvent(now, "left");
         }
 
         @Override
         public void onStreamStarted(long now, String request, int attempt, String worker) {
-            note(now, "established");
+            recordEvent(now, "established");
         }
 
         @Override
         public void onProbeCompleted(
                 long now, String worker, Outcome outcome, long tookNanos, Map<String, Double> report) {
-            note(now, "probed " + outcome + ' ' + report.get("rif"));
+            recordEvent(now, "probed " + outcome + ' ' + report.get("rif"));
         }
 
         @Override
         public void onPeerMessage(long now, int peer, byte[] payload) {
-            note(now, "inbox " + peer);
+            recordEvent(now, "inbox " + peer);
         }
 
         @Override
         public void onTimer(long now, String token) {
-            note(now, "due " + token);
+            recordEvent(now, "due " + token);
         }
 
         @Override
         public void onAttemptCompleted(long now, AttemptCompletion c) {
-            note(now, "completed " + c.attempt() + ' ' + c.outcome() + ' ' + c.cacheStatus() + ' ' + c.answered());
+            recordEvent(
+                    now, "completed " + c.attempt() + ' ' + c.outcome() + ' ' + c.cacheStatus() + ' ' + c.answered());
         }
 
         @Override
         public void onLoadCompleted(
                 long now, String worker, String function, int count, Outcome outcome, long tookNanos) {
-            note(now, "resident " + outcome + ' ' + count);
+            recordEvent(now, "resident " + outcome + ' ' + count);
         }
     }
 
     @Test
-    void eachAction_takesEffectWithoutReentrance() throws Exception {
-        CompletableFuture<Noting> made = new CompletableFuture<>();
+    void eachAction_takesEffectWithoutReentrantCallback() throws Exception {
+        CompletableFuture<RecordingDispatcher> created = new CompletableFuture<>();
         try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
                 FakePeer silent = new FakePeer(null);
-                GatewayFixture rig =
+                GatewayFixture fixture =
                         new GatewayFixture(folder, "max-attempts=\"3\"", (now, seed, settings, actions) -> {
-                            Noting noting = new Noting(actions) {
+                            RecordingDispatcher recording = new RecordingDispatcher(actions) {
                                 @Override
                                 public void onRequest(long at, Request r) {
                                     super.onRequest(at, r);
-                                    within = true;
+                                    insideCallback = true;
                                     actions.ensureLoaded(worker.id(), r.function(), 1);
                                     actions.unload(worker.id(), r.function());
                                     actions.probe(worker.id());
@@ -119,17 +120,18 @@
                                     actions.sendAttempt(r.id(), silent.id(), 30_000_000);
                                     actions.cancelAttempt(r.id(), 0);
                                     actions.sendAttempt(r.id(), worker.id(), 0);
-                                    actions.sendAttempt(r.id(), worker.id(), 0); // one more than there may be
+                                    actions.sendAttempt(
+                                            r.id(), worker.id(), 0); // exceeds max-attempts, so it is superseded
                                     actions.sendAttempt("unheard-of", worker.id(), 0);
-                                    within = false;
+                                    insideCallback = false;
                                 }
                             };
-                            made.complete(noting);
-                            return noting;
+                            created.complete(recording);
+                            return recording;
                         })) {
-            rig.announce(worker.id(), silent.id());
-            assertEquals("well", get(rig.call("safe", "f", 1000)).body());
-            List<String> told = made.get().told;
+            fixture.announce(worker.id(), silent.id());
+            assertEquals("well", get(fixture.call("safe", "f", 1000)).body());
+            List<String> events = created.get().events;
             for (String expected : List.of(
                     "members SNAPSHOT 0",
                     "members FULL 2",
@@ -141,19 +143,19 @@
                     "completed 1 TIMEOUT UNKNOWN ",
                     "completed 2 SERVED HIT true",
                     "completed 3 SUPERSEDED UNKNOWN ")) {
-                GatewayFixture.await(expected + " in " + told, () -> List.copyOf(told).stream()
+                GatewayFixture.await(expected + " in " + events, () -> List.copyOf(events).stream()
                         .anyMatch(t -> t.startsWith(expected)));
             }
-            assertEquals(2, worker.nonCalls.size() - 1, "a hold, an unload and a probe went out");
+            assertEquals(2, worker.nonCalls.size() - 1, "a load, an unload and a probe were sent");
         }
     }
 
     @Test
     void throwingDispatcher_answersEachCallOnceAndIsReplaced() throws Exception {
-        List<Noting> lives = Collections.synchronizedList(new ArrayList<>());
+        List<RecordingDispatcher> dispatchers = Collections.synchronizedList(new ArrayList<>());
         try (FakePeer silent = new FakePeer(null);
-                GatewayFixture rig = new GatewayFixture(folder, "", (now, seed, settings, actions) -> {
-                    lives.add(new Noting(actions) {
+                GatewayFixture fixture = new GatewayFixture(folder, "", (now, seed, settings, actions) -> {
+                    dispatchers.add(new RecordingDispatcher(actions) {
                         @Override
                         public void onRequest(long at, Request r) {
                             super.onRequest(at, r);
@@ -161,42 +163,45 @@
                                 throw new IllegalStateException("on purpose");
                             } else if (r.function().equals("sent")) {
                                 actions.sendAttempt(r.id(), silent.id(), 0);
-                            } else if (lives.size() > 1) {
+                            } else if (dispatchers.size() > 1) {
                                 actions.reject(r.id(), 0);
                             }
                         }
                     });
-                    return lives.get(lives.size() - 1);
+                    return dispatchers.get(dispatchers.size() - 1);
                 })) {
-            rig.announce(silent.id());
-            CompletableFuture<HttpResponse<String>> sent = rig.call("once", "sent", 2000);
+            fixture.announce(silent.id());
+            CompletableFuture<HttpResponse<String>> sentCall = fixture.call("once", "sent", 2000);
             silent.next();
-            CompletableFuture<HttpResponse<String>> held = rig.call("once", "held", 2000);
-            GatewayFixture.await("both are open", () -> rig.metric("open_calls") == 2);
-            CompletableFuture<HttpResponse<String>> bad = rig.call("safe", "bad", 2000);
-            assertEquals("failed", answer(get(sent)), "it may have run");
-            assertEquals("refused", answer(get(held)), "it was never sent");
-            assertEquals("refused", answer(get(bad)));
-            assertEquals(1, rig.metric("restarts"));
+            CompletableFuture<HttpResponse<String>> unsentCall = fixture.call("once", "held", 2000);
+            GatewayFixture.await("both calls are in flight", () -> fixture.metric("open_calls") == 2);
+            CompletableFuture<HttpResponse<String>> failingCall = fixture.call("safe", "bad", 2000);
+            assertEquals("failed", answer(get(sentCall)), "a sent call is possibly executed");
+            assertEquals("refused", answer(get(unsentCall)), "an unsent call is not executed");
+            assertEquals("refused", answer(get(failingCall)));
+            assertEquals(1, fixture.metric("restarts"));
             GatewayFixture.await(
-                    "the new life is told",
-                    () -> lives.size() == 2 && !lives.get(1).told.isEmpty());
-            assertEquals("members SNAPSHOT 1", lives.get(1).told.get(0), "the list held is told anew");
-            assertEquals("refused", answer(get(rig.call("safe", "next", 2000))));
-            assertEquals(0, rig.metric("open_calls"));
+                    "the new dispatcher receives events",
+                    () -> dispatchers.size() == 2 && !dispatchers.get(1).events.isEmpty());
+            assertEquals(
+                    "members SNAPSHOT 1",
+                    dispatchers.get(1).events.get(0),
+                    "the new dispatcher receives the held list first");
+            assertEquals("refused", answer(get(fixture.call("safe", "next", 2000))));
+            assertEquals(0, fixture.metric("open_calls"));
         }
     }
 
     @Test
     void fullSubmissionQueue_rejectsCallsBeforeAcceptingThem() throws Exception {
-        CountDownLatch stuck = new CountDownLatch(1);
-        try (GatewayFixture rig = new GatewayFixture(
-                folder, "", "hand-over=\"2\"", (now, seed, settings, actions) -> new Noting(actions) {
+        CountDownLatch release = new CountDownLatch(1);
+        try (GatewayFixture fixture = new GatewayFixture(
+                folder, "", "hand-over=\"2\"", (now, seed, settings, actions) -> new RecordingDispatcher(actions) {
                     @Override
                     public void onRequest(long at, Request r) {
                         super.onRequest(at, r);
                         try {
-                            stuck.await();
+                            release.await();
                         } catch (InterruptedException e) {
                             Thread.currentThread().interrupt();
                         }
@@ -205,23 +210,24 @@
                 })) {
             List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
             for (int i = 0; i < 8; i++) {
-                calls.add(rig.call("safe", "f", 2000));
+                calls.add(fixture.call("safe", "f", 2000));
             }
-            GatewayFixture.await("some are turned away", () -> rig.metric("turned_away_hand_over") >= 5);
-            assertEquals(0, rig.metric("refused"));
-            stuck.countDown();
+            GatewayFixture.await(
+                    "excess calls are rejected at the queue", () -> fixture.metric("turned_away_hand_over") >= 5);
+            assertEquals(0, fixture.metric("refused"));
+            release.countDown();
             for (CompletableFuture<HttpResponse<String>> call : calls) {
                 assertEquals("refused", answer(get(call)));
             }
-            assertEquals(8, rig.metric("taken") + rig.metric("turned_away_hand_over"));
-            assertTrue(rig.metric("event_age_us_max") > 0);
+            assertEquals(8, fixture.metric("taken") + fixture.metric("turned_away_hand_over"));
+            assertTrue(fixture.metric("event_age_us_max") > 0);
         }
     }
 
     @Test
     void peers_exchangeMessages() throws Exception {
-        CompletableFuture<Noting> one = new CompletableFuture<>();
-        CompletableFuture<Noting> two = new CompletableFuture<>();
+        CompletableFuture<RecordingDispatcher> one = new CompletableFuture<>();
+        CompletableFuture<RecordingDispatcher> two = new CompletableFuture<>();
         int first;
         int second;
         try (java.net.DatagramSocket a = new java.net.DatagramSocket();
@@ -243,18 +249,19 @@
                             .replace("zone=\"z\"", "zone=\"z\" group=\"2\" number=\"" + i + "\"")
                             .replace("</wharfhinge>", peers + "</wharfhinge>")
                             .replace("remembered=\"list\"", "remembered=\"l" + i + "\""));
-            CompletableFuture<Noting> made = i == 0 ? one : two;
+            CompletableFuture<RecordingDispatcher> created = i == 0 ? one : two;
             gateways[i] = new Gateway(
                     wharfhinge.config.GatewayConfig.load(file),
                     (now, seed, settings, actions) -> {
-                        made.complete(new Noting(actions));
-                        return made.join();
+                        created.complete(new RecordingDispatcher(actions));
+                        return created.join();
                     },
                     null);
             gateways[i].start();
         }
         one.get().actions.sendToPeers(-1, new byte[] {1, 2});
-        GatewayFixture.await("it arrives", () -> two.join().told.contains("inbox 0"));
+        GatewayFixture.await(
+                "the message arrives at the peer", () -> two.join().events.contains("inbox 0"));
         gateways[0].stop();
         gateways[1].stop();
     }
@@ -262,9 +269,9 @@
     @Test
     void cacheAwareDispatcher_servesFirstCall() throws Exception {
         try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
-                GatewayFixture rig = new GatewayFixture(folder, "", CacheAwareDispatcher::new)) {
-            rig.announce(worker.id());
-            assertEquals("well", get(rig.call("once", "f", 2000)).body());
+                GatewayFixture fixture = new GatewayFixture(folder, "", CacheAwareDispatcher::new)) {
+            fixture.announce(worker.id());
+            assertEquals("well", get(fixture.call("once", "f", 2000)).body());
         }
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
@@ -27,6 +27,7 @@
 
 /** A gateway in this process with an endpoint list that the test announces, and an HTTP client for it. */
 final class GatewayFixture implements AutoCloseable {
+    /** Settings with the placeholders CLIENTS, WORKERS, ROSTER and MORE. */
     static final String SETTINGS =
             """
         <wharfhinge xmlns="urn:wharfhinge:settings:1">
@@ -55,24 +56,31 @@
     private Consumer<EndpointUpdate> endpointUpdates;
     private long revision = 1;
 
-    GatewayFixture(Path folder, String workers, DispatcherFactory dispatcherFactory) throws Exception {
-        this(folder, workers, "", dispatcherFactory);
+    /** Starts a gateway; {@code workerAttributes} are added to its {@code workers} element. */
+    GatewayFixture(Path folder, String workerAttributes, DispatcherFactory dispatcherFactory) throws Exception {
+        this(folder, workerAttributes, "", dispatcherFactory);
     }
 
-    GatewayFixture(Path folder, String workers, String clients, DispatcherFactory dispatcherFactory) throws Exception {
-        this(folder, workers, clients, "", dispatcherFactory);
+    GatewayFixture(Path folder, String workerAttributes, String clientAttributes, DispatcherFactory dispatcherFactory)
+            throws Exception {
+        this(folder, workerAttributes, clientAttributes, "", dispatcherFactory);
     }
 
     GatewayFixture(
-            Path folder, String workers, String clients, String extraElements, DispatcherFactory dispatcherFactory)
+            Path folder,
+            String workerAttributes,
+            String clientAttributes,
+            String extraElements,
+            DispatcherFactory dispatcherFactory)
             throws Exception {
-        this(config(folder, workers, clients, extraElements, 1), dispatcherFactory);
+        this(config(folder, workerAttributes, clientAttributes, extraElements, 1), dispatcherFactory);
     }
 
     /** Starts a gateway whose settings {@code edit} has changed. */
-    GatewayFixture(Path folder, String workers, UnaryOperator<String> edit, DispatcherFactory dispatcherFactory)
+    GatewayFixture(
+            Path folder, String workerAttributes, UnaryOperator<String> edit, DispatcherFactory dispatcherFactory)
             throws Exception {
-        this(load(folder, edit.apply(settingsText(workers, "", "", 1))), dispatcherFactory);
+        this(load(folder, edit.apply(settingsText(workerAttributes, "", "", 1))), dispatcherFactory);
     }
 
     private GatewayFixture(GatewayConfig config, DispatcherFactory dispatcherFactory) throws Exception {
@@ -83,21 +91,23 @@
         gateway.start();
     }
 
-    static GatewayConfig config(Path folder, String workers, String clients, int roster)
+    static GatewayConfig config(Path folder, String workerAttributes, String clientAttributes, int rosterPort)
             throws IOException, InvalidConfigurationException {
-        return config(folder, workers, clients, "", roster);
+        return config(folder, workerAttributes, clientAttributes, "", rosterPort);
     }
 
-    private static GatewayConfig config(Path folder, String workers, String clients, String extraElements, int roster)
+    private static GatewayConfig config(
+            Path folder, String workerAttributes, String clientAttributes, String extraElements, int rosterPort)
             throws IOException, InvalidConfigurationException {
-        return load(folder, settingsText(workers, clients, extraElements, roster));
+        return load(folder, settingsText(workerAttributes, clientAttributes, extraElements, rosterPort));
     }
 
-    private static String settingsText(String workers, String clients, String extraElements, int roster) {
-        return SETTINGS.replace("WORKERS", workers)
-                .replace("CLIENTS", clients)
+    private static String settingsText(
+            String workerAttributes, String clientAttributes, String extraElements, int rosterPort) {
+        return SETTINGS.replace("WORKERS", workerAttributes)
+                .replace("CLIENTS", clientAttributes)
                 .replace("<!--MORE-->", extraElements)
-                .replace("ROSTER", Integer.toString(roster));
+                .replace("ROSTER", Integer.toString(rosterPort));
     }
 
     private static GatewayConfig load(Path folder, String settingsText)
@@ -111,9 +121,9 @@
         return new RosterEntry(id, "z", "k", 0, state, 1, 1_000_000, boot);
     }
 
-    void announce(String... workers) {
+    void announce(String... workerIds) {
         List<RosterEntry> entries = new ArrayList<>();
-        for (String worker : workers) {
+        for (String worker : workerIds) {
             entries.add(entry(worker, State.UP, "b0"));
         }
         endpointUpdates.accept(new EndpointUpdate(EndpointUpdateMode.FULL, revision++, entries));
--- a/gateway/src/test/java/wharfhinge/gateway/GrpcListenerTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GrpcListenerTest.java
@@ -36,49 +36,55 @@
 import wharfhinge.protocol.grpc.GatewayGrpc;
 import wharfhinge.protocol.grpc.GrpcProtocol;
 
-/** What the libraries do not use of the gRPC port: streams, chains, health, reflection. */
+/** Tests the gRPC port with a plain gRPC client: streams, chains, health checks and reflection. */
 @Timeout(30)
 class GrpcListenerTest {
     @TempDir
     private Path folder;
 
-    private GatewayFixture rig;
+    private GatewayFixture fixture;
     private ManagedChannel channel;
 
     @BeforeEach
-    void begin() throws Exception {
-        rig = new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
+    void startGateway() throws Exception {
+        fixture = new GatewayFixture(folder, "", DispatcherFactory.CACHE_AWARE);
         channel = NettyChannelBuilder.forAddress(
-                        "127.0.0.1", rig.gateway.grpcAddress().getPort())
+                        "127.0.0.1", fixture.gateway.grpcAddress().getPort())
                 .usePlaintext()
                 .build();
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stopGateway() throws Exception {
         channel.shutdownNow();
-        rig.close();
+        fixture.close();
     }
 
-    private static CallRequest request(String type) {
-        return CallRequest.newBuilder().setFunction("f").setRequestClass(type).build();
+    private static CallRequest request(String requestClass) {
+        return CallRequest.newBuilder()
+                .setFunction("f")
+                .setRequestClass(requestClass)
+                .build();
     }
 
-    private Iterator<CallReply> flow() {
+    private Iterator<CallReply> streamedCall() {
         return GatewayGrpc.newBlockingStub(channel).withDeadlineAfter(10, TimeUnit.SECONDS).stream(request("flow"));
     }
 
     @Test
     void stream_isPassedOnAsItComes() throws Exception {
         try (FakePeer worker = new FakePeer(null)) {
-            rig.announce(worker.id());
-            Iterator<CallReply> parts = flow();
+            fixture.announce(worker.id());
+            Iterator<CallReply> parts = streamedCall();
             FakePeer.ReceivedRequest in = worker.next();
             in.sendHeaders(SERVED, FOUND, false);
             CallReply head = parts.next();
             assertEquals(worker.id(), head.getWorker());
             in.sendData("one", false);
-            assertEquals("one", parts.next().getBody().toStringUtf8(), "before the worker has ended");
+            assertEquals(
+                    "one",
+                    parts.next().getBody().toStringUtf8(),
+                    "the first part arrives before the worker ends the stream");
             in.sendData("two", true);
             assertEquals("two", parts.next().getBody().toStringUtf8());
             assertTrue(!parts.hasNext() || parts.next().getBody().isEmpty() && !parts.hasNext());
@@ -88,8 +94,8 @@
     @Test
     void brokenStream_doesNotLookComplete() throws Exception {
         try (FakePeer worker = new FakePeer(null)) {
-            rig.announce(worker.id());
-            Iterator<CallReply> parts = flow();
+            fixture.announce(worker.id());
+            Iterator<CallReply> parts = streamedCall();
             FakePeer.ReceivedRequest in = worker.next();
             in.sendHeaders(SERVED, FOUND, false);
             parts.next();
@@ -107,15 +113,15 @@
     @Test
     void slowClient_slowsWorkerDownAndCancelEndsStream() throws Exception {
         try (FakePeer worker = new FakePeer(null)) {
-            rig.announce(worker.id());
-            CompletableFuture<Throwable> over = new CompletableFuture<>();
+            fixture.announce(worker.id());
+            CompletableFuture<Throwable> completion = new CompletableFuture<>();
             CompletableFuture<io.grpc.stub.ClientCallStreamObserver<CallRequest>> call = new CompletableFuture<>();
             GatewayGrpc.newStub(channel).stream(
                     request("flow"), new io.grpc.stub.ClientResponseObserver<CallRequest, CallReply>() {
                         @Override
-                        public void beforeStart(io.grpc.stub.ClientCallStreamObserver<CallRequest> to) {
-                            to.disableAutoRequestWithInitial(1); // reads one part and no more
-                            call.complete(to);
+                        public void beforeStart(io.grpc.stub.ClientCallStreamObserver<CallRequest> requestStream) {
+                            requestStream.disableAutoRequestWithInitial(1); // requests one part only
+                            call.complete(requestStream);
                         }
 
                         @Override
@@ -123,82 +129,82 @@
 
                         @Override
                         public void onError(Throwable t) {
-                            over.complete(t);
+                            completion.complete(t);
                         }
 
                         @Override
                         public void onCompleted() {
-                            over.complete(null);
+                            completion.complete(null);
                         }
                     });
             FakePeer.ReceivedRequest in = worker.next();
             in.sendHeaders(SERVED, FOUND, false);
-            in.flood(400); // 25 MB
+            in.flood(400); // 400 parts of 64 KB: 25 MB
             long before = -1;
             for (int same = 0; same < 20; same = worker.floodedParts == before ? same + 1 : 0) {
                 before = worker.floodedParts;
-                Thread.sleep(25); // until nothing has moved for half a second
+                Thread.sleep(25); // until no part has been written for 500 ms
             }
             assertTrue(
                     worker.floodedParts > 0 && worker.floodedParts < 200,
-                    "parts of 64 KB that went out: " + worker.floodedParts);
-            call.get(5, TimeUnit.SECONDS).cancel("enough", null);
-            assertTrue(worker.resets.poll(5, TimeUnit.SECONDS) != null, "the worker is told");
+                    "parts of 64 KB that the worker wrote: " + worker.floodedParts);
+            call.get(5, TimeUnit.SECONDS).cancel("client cancelled", null);
+            assertTrue(worker.resets.poll(5, TimeUnit.SECONDS) != null, "the gateway resets the stream to the worker");
         }
     }
 
     @Test
-    void requestClass_hasItsOwnRpc() {
-        for (String type : new String[] {"flow", "safe"}) {
-            StatusRuntimeException wrong = assertThrows(StatusRuntimeException.class, () -> {
-                if (type.equals("flow")) {
+    void requestClassOfOtherRpc_isInvalidArgument() {
+        for (String requestClass : new String[] {"flow", "safe"}) {
+            StatusRuntimeException invalid = assertThrows(StatusRuntimeException.class, () -> {
+                if (requestClass.equals("flow")) {
                     GatewayGrpc.newBlockingStub(channel).call(request("flow"));
                 } else {
                     GatewayGrpc.newBlockingStub(channel).stream(request("safe")).hasNext();
                 }
             });
-            assertEquals(Status.Code.INVALID_ARGUMENT, wrong.getStatus().getCode());
+            assertEquals(Status.Code.INVALID_ARGUMENT, invalid.getStatus().getCode());
             assertTrue(
-                    wrong.getStatus().getDescription().contains("Stream for those"),
-                    wrong.getStatus().getDescription());
+                    invalid.getStatus().getDescription().contains("Stream for those"),
+                    invalid.getStatus().getDescription());
         }
     }
 
-    private ChainRequest chain(String text) {
-        return ChainRequest.newBuilder().setJson(ByteString.copyFromUtf8(text)).build();
+    private ChainRequest chain(String json) {
+        return ChainRequest.newBuilder().setJson(ByteString.copyFromUtf8(json)).build();
     }
 
     @Test
     void chain_isServedRejectedOrInvalidAsOverHttp() throws Exception {
-        String text = "{\"deadline_ms\":1500,\"steps\":[{\"id\":\"a\",\"function\":\"f\",\"class\":\"safe\"}]}";
+        String json = "{\"deadline_ms\":1500,\"steps\":[{\"id\":\"a\",\"function\":\"f\",\"class\":\"safe\"}]}";
         GatewayGrpc.GatewayBlockingStub stub =
                 GatewayGrpc.newBlockingStub(channel).withDeadlineAfter(10, TimeUnit.SECONDS);
-        StatusRuntimeException refused =
-                assertThrows(StatusRuntimeException.class, () -> stub.chain(chain(text))); // no workers
-        assertEquals("refused", refused.getTrailers().get(GrpcProtocol.ANSWER));
-        assertEquals(Status.Code.UNAVAILABLE, refused.getStatus().getCode());
-        String told = new String(refused.getTrailers().get(GrpcProtocol.CHAIN), StandardCharsets.UTF_8);
-        assertTrue(told.contains("\"refused\"") && told.contains("\"a\""), told);
-        StatusRuntimeException wrong =
+        StatusRuntimeException rejected =
+                assertThrows(StatusRuntimeException.class, () -> stub.chain(chain(json))); // no workers are announced
+        assertEquals("refused", rejected.getTrailers().get(GrpcProtocol.ANSWER));
+        assertEquals(Status.Code.UNAVAILABLE, rejected.getStatus().getCode());
+        String reportedChain = new String(rejected.getTrailers().get(GrpcProtocol.CHAIN), StandardCharsets.UTF_8);
+        assertTrue(reportedChain.contains("\"refused\"") && reportedChain.contains("\"a\""), reportedChain);
+        StatusRuntimeException invalid =
                 assertThrows(StatusRuntimeException.class, () -> stub.chain(chain("{\"steps\":7}")));
-        assertEquals(Status.Code.INVALID_ARGUMENT, wrong.getStatus().getCode());
+        assertEquals(Status.Code.INVALID_ARGUMENT, invalid.getStatus().getCode());
         assertTrue(
-                wrong.getStatus().getDescription().contains("$.steps"),
-                wrong.getStatus().getDescription());
+                invalid.getStatus().getDescription().contains("$.steps"),
+                invalid.getStatus().getDescription());
         try (FakePeer worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"))) {
-            rig.announce(worker.id());
-            assertTrue(stub.chain(chain(text)).getJson().toStringUtf8().contains("\"served\""));
+            fixture.announce(worker.id());
+            assertTrue(stub.chain(chain(json)).getJson().toStringUtf8().contains("\"served\""));
         }
     }
 
     @Test
-    void shutdown_turnsHealthAndReflectionNamesService() throws Exception {
+    void reflection_listsServiceAndShutdownReportsNotServing() throws Exception {
         var health = HealthGrpc.newBlockingStub(channel).withDeadlineAfter(10, TimeUnit.SECONDS);
         assertEquals(
                 ServingStatus.SERVING,
                 health.check(HealthCheckRequest.getDefaultInstance()).getStatus());
         CompletableFuture<String> services = new CompletableFuture<>();
-        StreamObserver<ServerReflectionRequest> ask = ServerReflectionGrpc.newStub(channel)
+        StreamObserver<ServerReflectionRequest> reflectionRequests = ServerReflectionGrpc.newStub(channel)
                 .serverReflectionInfo(new StreamObserver<ServerReflectionResponse>() {
                     @Override
                     public void onNext(ServerReflectionResponse answer) {
@@ -213,35 +219,36 @@
                     @Override
                     public void onCompleted() {}
                 });
-        ask.onNext(ServerReflectionRequest.newBuilder().setListServices("").build());
+        reflectionRequests.onNext(
+                ServerReflectionRequest.newBuilder().setListServices("").build());
         assertTrue(services.get(5, TimeUnit.SECONDS).contains("wharfhinge.v1.Gateway"));
-        ask.onCompleted();
-        CompletableFuture<ServingStatus> last = new CompletableFuture<>();
+        reflectionRequests.onCompleted();
+        CompletableFuture<ServingStatus> statusAfterStop = new CompletableFuture<>();
         HealthGrpc.newStub(channel).watch(HealthCheckRequest.getDefaultInstance(), new StreamObserver<>() {
             @Override
             public void onNext(io.grpc.health.v1.HealthCheckResponse answer) {
                 if (answer.getStatus() != ServingStatus.SERVING) {
-                    last.complete(answer.getStatus());
+                    statusAfterStop.complete(answer.getStatus());
                 }
             }
 
             @Override
             public void onError(Throwable t) {
-                last.completeExceptionally(t);
+                statusAfterStop.completeExceptionally(t);
             }
 
             @Override
             public void onCompleted() {}
         });
-        health.check(HealthCheckRequest.getDefaultInstance()); // the watch stands
+        health.check(HealthCheckRequest.getDefaultInstance()); // the answer arrives after the watch is registered
         new Thread(() -> {
                     try {
-                        rig.gateway.stop();
+                        fixture.gateway.stop();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 })
                 .start();
-        assertEquals(ServingStatus.NOT_SERVING, last.get(5, TimeUnit.SECONDS));
+        assertEquals(ServingStatus.NOT_SERVING, statusAfterStop.get(5, TimeUnit.SECONDS));
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/MvStoreStepJournalTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/MvStoreStepJournalTest.java
@@ -19,19 +19,19 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharfhinge.decisions.chain.StepAnswerCache.Answer;
 
-/** The journal of finished steps over a crash. */
+/** Tests that finished steps survive a crash, a wall clock that is set, and a damaged file. */
 @Timeout(30)
 class MvStoreStepJournalTest {
-    private static final long WINDOW = 30_000_000_000L;
+    private static final long RETENTION_NANOS = 30_000_000_000L;
 
     @TempDir
     private Path folder;
 
-    private final AtomicLong wall = new AtomicLong(1_000_000);
+    private final AtomicLong wallMillis = new AtomicLong(1_000_000);
 
     private List<String> restored(Path file) {
         List<String> steps = new ArrayList<>();
-        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get)) {
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, RETENTION_NANOS, wallMillis::get)) {
             journal.restore((age, tenant, key, digest, count, step, answer) -> steps.add(tenant
                     + key
                     + digest
@@ -47,35 +47,34 @@
     @Test
     void acknowledgedStep_survivesCrash() throws Exception {
         Path file = folder.resolve("deep/steps");
-        List<Path> crashed = new CopyOnWriteArrayList<>();
-        CountDownLatch kept = new CountDownLatch(100);
-        MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get);
+        List<Path> copiesAtCrash = new CopyOnWriteArrayList<>();
+        CountDownLatch recorded = new CountDownLatch(100);
+        MvStoreStepJournal journal = new MvStoreStepJournal(file, RETENTION_NANOS, wallMillis::get);
         try (journal) {
             for (int i = 0; i < 100; i++) {
                 int step = i;
                 assertTrue(
                         journal.recordStep("t", "k" + i, "d", 2, 0, new Answer(new byte[] {'x'}, "text/plain"), () -> {
+                            // copies the file as a crash right after the acknowledgement would leave it
                             if (step % 20 == 0) {
-                                crashed.add(copied(
-                                        file,
-                                        folder.resolve("crashed" + step))); // the process dies as soon as it was said
+                                copiesAtCrash.add(copy(file, folder.resolve("crashed" + step)));
                             }
-                            kept.countDown();
+                            recorded.countDown();
                         }));
             }
-            assertTrue(kept.await(10, TimeUnit.SECONDS));
+            assertTrue(recorded.await(10, TimeUnit.SECONDS));
         }
         assertFalse(
                 journal.recordStep("t", "late", "d", 2, 0, new Answer(new byte[0], null), () -> {}),
-                "nobody writes any more");
-        wall.addAndGet(500);
-        for (int i = 0; i < crashed.size(); i++) {
-            assertTrue(restored(crashed.get(i)).contains("tk" + 20 * i + "d20xtext/plain500"), "step " + 20 * i);
+                "a closed journal refuses steps");
+        wallMillis.addAndGet(500);
+        for (int i = 0; i < copiesAtCrash.size(); i++) {
+            assertTrue(restored(copiesAtCrash.get(i)).contains("tk" + 20 * i + "d20xtext/plain500"), "step " + 20 * i);
         }
-        assertEquals(5, crashed.size());
+        assertEquals(5, copiesAtCrash.size());
     }
 
-    private static Path copied(Path from, Path to) {
+    private static Path copy(Path from, Path to) {
         try {
             return Files.copy(from, to);
         } catch (java.io.IOException e) {
@@ -83,25 +82,25 @@
         }
     }
 
-    /** A step of the wall clock between two processes is not taken for time that has passed; the second start reads what the first left. */
+    /** A jump of the wall clock between two processes does not count as elapsed time; the second start reads what the first one wrote. */
     @Test
-    void wallClockSteppedByAnHourBetweenProcesses_stepIsRestoredWithinItsWindow() throws Exception {
+    void wallClockSetByAnHourBetweenProcesses_stepIsRestored() throws Exception {
         Path file = folder.resolve("stepped");
-        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get)) {
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, RETENTION_NANOS, wallMillis::get)) {
             assertTrue(journal.recordStep("t", "k", "d", 2, 0, new Answer(new byte[] {'x'}, "a/b"), () -> {}));
         }
-        wall.addAndGet(3_600_000);
+        wallMillis.addAndGet(3_600_000);
         assertEquals(List.of("tkd20xa/b15000"), restored(file));
         assertEquals(List.of("tkd20xa/b15000"), restored(file));
-        wall.addAndGet(-7_200_000);
+        wallMillis.addAndGet(-7_200_000);
         assertEquals(List.of("tkd20xa/b0"), restored(file));
     }
 
-    /** The form on disk outlives versions: a gateway restores what the one before it recorded. */
+    /** The format on disk is stable: a gateway restores what a previous version recorded. */
     @Test
-    void recordedStep_keepsItsFormOnDisk() throws Exception {
+    void recordedStep_keepsItsFormatOnDisk() throws Exception {
         Path file = folder.resolve("golden");
-        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW, wall::get)) {
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, RETENTION_NANOS, wallMillis::get)) {
             assertTrue(journal.recordStep("t", "k", "d", 2, 1, new Answer(new byte[] {7, 8}, "a/b"), () -> {}));
         }
         try (MVStore store = new MVStore.Builder().fileName(file.toString()).open()) {
@@ -114,7 +113,7 @@
     }
 
     @Test
-    void damagedFile_isSetAsideAndReplaced() throws Exception {
+    void damagedFile_isMovedAsideAndReplaced() throws Exception {
         Path file = folder.resolve("steps");
         Files.write(file, "this is no store, whatever it was before".repeat(400).getBytes());
         assertEquals(List.of(), restored(file));
