--- a/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/BothClientsTest.java
@@ -218,9 +218,8 @@
                 Result unsafe = client.call(atMostOnceCall(2000).build()).get(5, TimeUnit.SECONDS);
                 client.gateways(List.of(failing.id(), protocol.addressOf(fixture.gateway)));
                 List<Object> safe = List.of();
-                for (int i = 0;
-                        i < 30 && !safe.equals(List.of("served", "well", 2));
-                        i++) { // until the client tries the failing gateway first
+                // repeated until the client tries the failing gateway first
+                for (int i = 0; i < 30 && !safe.equals(List.of("served", "well", 2)); i++) {
                     safe = outcomeOf(client.call(idempotentCall(2000).build()));
                 }
                 return List.of(unsafe instanceof Result.Failed ? "failed" : unsafe.toString(), unsafe.attempts(), safe);
@@ -380,8 +379,8 @@
                 CompletableFuture<Result> connecting =
                         client.call(atMostOnceCall(4000).build());
                 boolean first = connecting.cancel(true);
-                client.gateways(List.of(protocol.addressOf(
-                        fixture.gateway))); // it has no workers and rejects each call, so the client keeps retrying
+                // the gateway has no workers and rejects each call, so the client keeps retrying
+                client.gateways(List.of(protocol.addressOf(fixture.gateway)));
                 CompletableFuture<Result> waiting =
                         client.call(idempotentCall(4000).build());
                 GatewayFixture.await("the gateway has accepted the call", () -> fixture.metric("taken") > 0);
--- a/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/ClientGoneTest.java
@@ -55,9 +55,8 @@
                 if (!closesBeforeSettings) {
                     connection.getOutputStream().write(SETTINGS_FRAME);
                     int sent = 0;
-                    for (int pings = 0;
-                            sent == 0 && pings < 1000;
-                            pings++) { // the attempt is counted before the connection pool receives it
+                    // the attempt is counted before the connection pool receives it
+                    for (int pings = 0; sent == 0 && pings < 1000; pings++) {
                         sent = callsUntilPing(connection, in);
                     }
                     assertEquals(1, sent, "calls sent before the client closed");
--- a/gateway/src/test/java/wharfhinge/gateway/RemainingDeadlineTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/RemainingDeadlineTest.java
@@ -19,61 +19,64 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** A worker receives the time that is left of the deadline as the request is sent. */
+/** Tests that a worker receives the time that is left of the deadline when the request is sent, not when it was queued. */
 @Timeout(60)
 class RemainingDeadlineTest {
-    private static final int PREFACE = 24;
-    private static final int FRAME_HEAD = 9;
-    private static final int HEADERS = 1;
-    private static final byte[] SETTINGS = {0, 0, 0, 4, 0, 0, 0, 0, 0};
-    private static final long GIVE_UP_MS = 9500;
-    private static final long HELD_MS = 500;
+    private static final int PREFACE_BYTES = 24;
+    private static final int FRAME_HEADER_BYTES = 9;
+    private static final int HEADERS_FRAME = 1;
+    private static final byte[] SETTINGS_FRAME = {0, 0, 0, 4, 0, 0, 0, 0, 0};
+    private static final long CALL_DEADLINE_MS = 9500;
+    private static final long SETTINGS_DELAY_MS = 500;
 
     @TempDir
     private Path folder;
 
-    /** The connection comes up, and the worker's settings, without which nothing may go out, come late. */
+    /** The connection is established, but the worker's SETTINGS frame, before which no request may be sent, arrives late. */
     @Test
     void callQueuedForConnection_sendsRemainingDeadline() throws Exception {
         try (ServerSocket worker = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-                GatewayFixture rig = new GatewayFixture(
+                GatewayFixture fixture = new GatewayFixture(
                         folder,
                         "dial-timeout-ms=\"8000\"",
-                        text -> text.replace("aim-ms=\"600\"", "aim-ms=\"9000\"")
-                                .replace("give-up-ms=\"2500\"", "give-up-ms=\"" + GIVE_UP_MS + "\""),
+                        settings -> settings.replace("aim-ms=\"600\"", "aim-ms=\"9000\"")
+                                .replace("give-up-ms=\"2500\"", "give-up-ms=\"" + CALL_DEADLINE_MS + "\""),
                         DispatcherFactory.CACHE_AWARE);
                 Socket client = new Socket()) {
-            rig.announce("127.0.0.1:" + worker.getLocalPort());
+            fixture.announce("127.0.0.1:" + worker.getLocalPort());
             client.connect(
-                    new InetSocketAddress("127.0.0.1", rig.gateway.address().getPort()));
+                    new InetSocketAddress("127.0.0.1", fixture.gateway.address().getPort()));
             client.getOutputStream()
                     .write("POST /v1/call/f HTTP/1.1\r\nhost: g\r\nwh-class: safe\r\ncontent-length: 2\r\n\r\nhi"
                             .getBytes(StandardCharsets.ISO_8859_1));
-            try (Socket s = worker.accept()) {
-                s.setSoTimeout(8000);
-                DataInputStream in = new DataInputStream(s.getInputStream());
-                in.readNBytes(PREFACE);
-                GatewayFixture.await("it is out", () -> rig.metric("attempts") == 1);
-                long began = System.nanoTime();
+            try (Socket connection = worker.accept()) {
+                connection.setSoTimeout(8000);
+                DataInputStream in = new DataInputStream(connection.getInputStream());
+                in.readNBytes(PREFACE_BYTES);
+                GatewayFixture.await("the attempt is counted", () -> fixture.metric("attempts") == 1);
+                long startNanos = System.nanoTime();
                 GatewayFixture.await(
-                        "time passed", () -> System.nanoTime() - began >= TimeUnit.MILLISECONDS.toNanos(HELD_MS));
-                s.getOutputStream().write(SETTINGS);
-                long toldMillis = deadlineOfTheFirstCall(in);
+                        "the SETTINGS delay has passed",
+                        () -> System.nanoTime() - startNanos >= TimeUnit.MILLISECONDS.toNanos(SETTINGS_DELAY_MS));
+                connection.getOutputStream().write(SETTINGS_FRAME);
+                long sentMillis = deadlineOfFirstCall(in);
                 assertTrue(
-                        toldMillis <= GIVE_UP_MS - HELD_MS,
-                        "told " + toldMillis + " ms, left " + (GIVE_UP_MS - HELD_MS) + " at most");
-                assertTrue(toldMillis > 0);
+                        sentMillis <= CALL_DEADLINE_MS - SETTINGS_DELAY_MS,
+                        "sent a deadline of " + sentMillis + " ms with " + (CALL_DEADLINE_MS - SETTINGS_DELAY_MS)
+                                + " ms left at most");
+                assertTrue(sentMillis > 0);
             }
-            assertEquals(1, rig.metric("attempts"));
+            assertEquals(1, fixture.metric("attempts"));
         }
     }
 
-    private static long deadlineOfTheFirstCall(DataInputStream in) throws Exception {
+    private static long deadlineOfFirstCall(DataInputStream in) throws Exception {
         DefaultHttp2HeadersDecoder decoder = new DefaultHttp2HeadersDecoder(false);
         while (true) {
-            byte[] head = in.readNBytes(FRAME_HEAD);
-            byte[] payload = in.readNBytes((head[0] & 255) << 16 | (head[1] & 255) << 8 | head[2] & 255);
-            if (head[3] != HEADERS) {
+            byte[] frameHeader = in.readNBytes(FRAME_HEADER_BYTES);
+            byte[] payload =
+                    in.readNBytes((frameHeader[0] & 255) << 16 | (frameHeader[1] & 255) << 8 | frameHeader[2] & 255);
+            if (frameHeader[3] != HEADERS_FRAME) {
                 continue;
             }
             var headers = decoder.decodeHeaders(1, Unpooled.wrappedBuffer(payload));
--- a/gateway/src/test/java/wharfhinge/gateway/StepJournalDiskFailureTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/StepJournalDiskFailureTest.java
@@ -20,24 +20,28 @@
 import wharfhinge.standin.fault.FaultInjection.ErrorNumber;
 import wharfhinge.standin.fault.FaultInjection.SystemCall;
 
-/** Writes to the step journal of a real process fail for a while; the process is killed afterwards. */
+/**
+ * Tests that the step journal of a real process loses no recorded step when its writes fail temporarily and the
+ * process is killed afterwards.
+ */
 @Timeout(60)
 class StepJournalDiskFailureTest {
-    private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final long STEP_INTERVAL_MILLIS = 2;
     private static final String RECORDED = "recorded ";
     private static final String REFUSED = "refused ";
-    private static final int STEPS_OF_EACH_PHASE = 50;
-    /** Then the process is killed, which ends a test that waits for its output. */
-    private static final long PROCESS_SECONDS = 30;
+    private static final int STEPS_PER_PHASE = 50;
+    /** The process is killed after this time, which also ends a test that waits for its output. */
+    private static final long PROCESS_TIMEOUT_SECONDS = 30;
 
-    /** A process that records a step at a time, and says of each what became of it. */
+    /** A process that records one step after another and prints whether each was recorded. */
     static final class Main {
         private Main() {}
 
-        /** Records in the file named until it is killed. */
+        /** Records steps in the file given as argument until the process is killed. */
         public static void main(String[] args) {
-            MvStoreStepJournal journal = new MvStoreStepJournal(Path.of(args[0]), WINDOW_NANOS, new SteadyWallClock());
+            MvStoreStepJournal journal =
+                    new MvStoreStepJournal(Path.of(args[0]), RETENTION_NANOS, new SteadyWallClock());
             Answer answer = new Answer(new byte[] {'x'}, "text/plain");
             for (int i = 0; ; i++) {
                 String key = "k" + i;
@@ -53,12 +57,12 @@
     private Path folder;
 
     @Test
-    void diskFullForAWhile_stepsAreRecordedAgainAndWhatWasRecordedIsOnDisk() throws Exception {
+    void diskTemporarilyFull_recordingResumesAndRecordedStepsAreOnDisk() throws Exception {
         failAndRecover(SystemCall.FILE_WRITE, ErrorNumber.ENOSPC);
     }
 
     @Test
-    void ioErrorForAWhile_stepsAreRecordedAgainAndWhatWasRecordedIsOnDisk() throws Exception {
+    void temporaryIoError_recordingResumesAndRecordedStepsAreOnDisk() throws Exception {
         failAndRecover(SystemCall.FILE_WRITE, ErrorNumber.EIO);
     }
 
@@ -73,7 +77,9 @@
                 file.toString());
         faults.addTo(builder.environment());
         Process process = builder.redirectErrorStream(true).start();
-        process.onExit().orTimeout(PROCESS_SECONDS, TimeUnit.SECONDS).exceptionally(late -> process.destroyForcibly());
+        process.onExit()
+                .orTimeout(PROCESS_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                .exceptionally(timeout -> process.destroyForcibly());
         try (BufferedReader output = process.inputReader()) {
             Set<String> before = readSteps(output, RECORDED);
             faults.fail(call, error, 1);
@@ -91,14 +97,14 @@
         }
     }
 
-    /** Reads until so many steps in a row ended in this way, and returns them. */
-    private static Set<String> readSteps(BufferedReader output, String end) throws IOException {
+    /** Reads until {@link #STEPS_PER_PHASE} steps in a row had this result, and returns their keys. */
+    private static Set<String> readSteps(BufferedReader output, String resultPrefix) throws IOException {
         Set<String> steps = new HashSet<>();
-        while (steps.size() < STEPS_OF_EACH_PHASE) {
+        while (steps.size() < STEPS_PER_PHASE) {
             String line = output.readLine();
             assertTrue(line != null, "the process has ended");
-            if (line.startsWith(end)) {
-                steps.add(line.substring(end.length()));
+            if (line.startsWith(resultPrefix)) {
+                steps.add(line.substring(resultPrefix.length()));
             } else if (line.startsWith(RECORDED) || line.startsWith(REFUSED)) {
                 steps.clear();
             }
@@ -108,7 +114,7 @@
 
     private static Set<String> restored(Path file) {
         Set<String> keys = new HashSet<>();
-        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, WINDOW_NANOS, new SteadyWallClock())) {
+        try (MvStoreStepJournal journal = new MvStoreStepJournal(file, RETENTION_NANOS, new SteadyWallClock())) {
             journal.restore((age, tenant, key, digest, count, step, answer) -> keys.add(key));
         }
         return keys;
--- a/gateway/src/test/java/wharfhinge/gateway/TestCertificates.java
+++ b/gateway/src/test/java/wharfhinge/gateway/TestCertificates.java
@@ -27,12 +27,12 @@
 import org.bouncycastle.operator.ContentSigner;
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
-/** A certificate authority of the test's own, generated each time. */
+/** A certificate authority that is generated for one test. */
 final class TestCertificates {
-    static final long DAY = 86_400_000L;
+    static final long DAY_MILLIS = 86_400_000L;
 
-    /** A certificate with its key, as PEM files. */
-    record Pair(X509Certificate certificate, Path chain, Path key) {}
+    /** A certificate and the PEM files of its chain and its private key. */
+    record KeyAndCertificate(X509Certificate certificate, Path chain, Path key) {}
 
     final Path authority;
     private final KeyPair keys;
@@ -42,15 +42,15 @@
 
     TestCertificates(Path folder, String name) throws Exception {
         this.folder = Files.createDirectories(folder);
-        this.keys = pair();
+        this.keys = generateKeys();
         this.name = new X500Name("CN=" + name);
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
-                this.name, BigInteger.ZERO, date(-DAY), date(DAY), this.name, keys.getPublic());
+                this.name, BigInteger.ZERO, date(-DAY_MILLIS), date(DAY_MILLIS), this.name, keys.getPublic());
         builder.addExtension(Extension.basicConstraints, true, new BasicConstraints(true));
         authority = write("authority.pem", new JcaX509CertificateConverter().getCertificate(builder.build(signer())));
     }
 
-    private static KeyPair pair() throws Exception {
+    private static KeyPair generateKeys() throws Exception {
         KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
         generator.initialize(new ECGenParameterSpec("secp256r1"));
         return generator.generateKeyPair();
@@ -64,16 +64,17 @@
         return new Date(System.currentTimeMillis() + fromNowMillis);
     }
 
-    /** Signed by the authority, for an address or (with null) a client. */
-    Pair issue(String file, String commonName, String address, long fromMillis, long untilMillis) throws Exception {
-        KeyPair own = pair();
+    /** Issues a certificate for a server at an address or, if the address is null, for a client. */
+    KeyAndCertificate issue(String file, String commonName, String address, long fromMillis, long untilMillis)
+            throws Exception {
+        KeyPair leafKeys = generateKeys();
         JcaX509v3CertificateBuilder builder = new JcaX509v3CertificateBuilder(
                 name,
                 BigInteger.valueOf(++serial),
                 date(fromMillis),
                 date(untilMillis),
                 new X500Name("CN=" + commonName),
-                own.getPublic());
+                leafKeys.getPublic());
         if (address != null) {
             builder.addExtension(
                     Extension.subjectAlternativeName,
@@ -81,34 +82,34 @@
                     new GeneralNames(new GeneralName(GeneralName.iPAddress, address)));
         }
         X509Certificate certificate = new JcaX509CertificateConverter().getCertificate(builder.build(signer()));
-        return new Pair(
+        return new KeyAndCertificate(
                 certificate,
                 write(file + ".pem", certificate),
-                write(file + ".key", new JcaPKCS8Generator(own.getPrivate(), null)));
+                write(file + ".key", new JcaPKCS8Generator(leafKeys.getPrivate(), null)));
     }
 
-    Pair client(String tenant) throws Exception {
-        return issue("client-" + tenant, tenant, null, -DAY, DAY);
+    KeyAndCertificate issueClient(String tenant) throws Exception {
+        return issue("client-" + tenant, tenant, null, -DAY_MILLIS, DAY_MILLIS);
     }
 
-    /** A list that revokes these. */
-    Path revoked(X509Certificate... certificates) throws Exception {
+    /** Writes a certificate revocation list that names these certificates. */
+    Path revocationList(X509Certificate... certificates) throws Exception {
         X509v2CRLBuilder builder = new X509v2CRLBuilder(name, new Date());
-        for (X509Certificate c : certificates) {
-            builder.addCRLEntry(c.getSerialNumber(), new Date(), CRLReason.keyCompromise);
+        for (X509Certificate certificate : certificates) {
+            builder.addCRLEntry(certificate.getSerialNumber(), new Date(), CRLReason.keyCompromise);
         }
         return write("revoked.pem", new JcaX509CRLConverter().getCRL(builder.build(signer())));
     }
 
-    private Path write(String file, Object what) throws IOException {
+    private Path write(String file, Object content) throws IOException {
         StringWriter text = new StringWriter();
         try (JcaPEMWriter pem = new JcaPEMWriter(text)) {
-            pem.writeObject(what);
+            pem.writeObject(content);
         }
-        Path fresh = folder.resolve(file + ".new");
-        Files.writeString(fresh, text.toString());
+        Path temporary = folder.resolve(file + ".new");
+        Files.writeString(temporary, text.toString());
         return Files.move(
-                fresh, folder.resolve(file), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+                temporary, folder.resolve(file), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
     static byte[] secret() {
--- a/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/TlsAndTokenTest.java
@@ -39,31 +39,44 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.gateway.tls.BearerTokens;
 
-/** Certificates and tokens, valid and invalid, over both protocols. */
+/** Tests authentication by client certificates and bearer tokens, valid and invalid, over HTTP and gRPC. */
 @Timeout(60)
 class TlsAndTokenTest {
-    private static final long MS = 1_000_000L;
-    private static final ClientPolicy ONE_TRY =
-            new ClientPolicy(100, 0, 0, 5 * MS, 50 * MS, 5000 * MS, 3, 500 * MS, 150 * MS);
+    private static final long NANOS_PER_MILLI = 1_000_000L;
+    private static final ClientPolicy NO_RETRIES = new ClientPolicy(
+            100,
+            0,
+            0,
+            5 * NANOS_PER_MILLI,
+            50 * NANOS_PER_MILLI,
+            5000 * NANOS_PER_MILLI,
+            3,
+            500 * NANOS_PER_MILLI,
+            150 * NANOS_PER_MILLI);
 
     @TempDir
     private Path folder;
 
-    private enum Way {
+    private enum Protocol {
         HTTP,
         GRPC
     }
 
     private static WharfhingeClient client(
-            Way way, GatewayFixture rig, Path authority, TestCertificates.Pair own, Supplier<String> token)
+            Protocol protocol,
+            GatewayFixture fixture,
+            Path authority,
+            TestCertificates.KeyAndCertificate clientCertificate,
+            Supplier<String> token)
             throws Exception {
         SslContextBuilder builder =
                 SslContextBuilder.forClient().trustManager(authority.toFile()).sslProvider(SslProvider.JDK);
-        if (own != null) {
-            builder.keyManager(own.chain().toFile(), own.key().toFile());
+        if (clientCertificate != null) {
+            builder.keyManager(
+                    clientCertificate.chain().toFile(), clientCertificate.key().toFile());
         }
         Transport transport;
-        if (way == Way.HTTP) {
+        if (protocol == Protocol.HTTP) {
             SslContext tls = builder.applicationProtocolConfig(new ApplicationProtocolConfig(
                             ApplicationProtocolConfig.Protocol.ALPN,
                             ApplicationProtocolConfig.SelectorFailureBehavior.NO_ADVERTISE,
@@ -78,13 +91,13 @@
                     GrpcSslContexts.configure(builder, SslProvider.JDK).build(),
                     token);
         }
-        int port = (way == Way.HTTP ? rig.gateway.address() : rig.gateway.grpcAddress()).getPort();
-        return new WharfhingeClient(transport, ONE_TRY, List.of("127.0.0.1:" + port));
+        int port = (protocol == Protocol.HTTP ? fixture.gateway.address() : fixture.gateway.grpcAddress()).getPort();
+        return new WharfhingeClient(transport, NO_RETRIES, List.of("127.0.0.1:" + port));
     }
 
-    private static Result call(WharfhingeClient client, String claims) throws Exception {
+    private static Result call(WharfhingeClient client, String claimedTenant) throws Exception {
         return client.call(Call.once("f", "once", Duration.ofSeconds(3))
-                        .tenant(claims)
+                        .tenant(claimedTenant)
                         .build())
                 .get(10, TimeUnit.SECONDS);
     }
@@ -93,137 +106,149 @@
         return new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
     }
 
-    private static String tls(TestCertificates.Pair server, Path clients, Path revoked, String more) {
+    private static String tls(
+            TestCertificates.KeyAndCertificate server, Path clients, Path revoked, String extraElements) {
         return "<tls certificates='" + server.chain() + "' key='" + server.key() + "'"
                 + (clients == null ? "" : " clients='" + clients + "'")
-                + (revoked == null ? "" : " revoked='" + revoked + "'") + "/>" + more;
+                + (revoked == null ? "" : " revoked='" + revoked + "'") + "/>" + extraElements;
     }
 
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void tenant_isThatOfCertificateOnly(Way way) throws Exception {
+    @EnumSource(Protocol.class)
+    void tenant_isThatOfCertificateOnly(Protocol protocol) throws Exception {
         TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
-        TestCertificates.Pair server =
-                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
-        TestCertificates.Pair revoked = keys.client("gone");
+        TestCertificates.KeyAndCertificate server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS);
+        TestCertificates.KeyAndCertificate revoked = keys.issueClient("gone");
         TestCertificates others = new TestCertificates(folder.resolve("others"), "theirs");
         try (FakePeer worker = worker();
-                GatewayFixture rig = new GatewayFixture(
+                GatewayFixture fixture = new GatewayFixture(
                         folder,
                         "",
                         "",
-                        tls(server, keys.authority, keys.revoked(revoked.certificate()), "<proof/>"),
+                        tls(server, keys.authority, keys.revocationList(revoked.certificate()), "<proof/>"),
                         DispatcherFactory.CACHE_AWARE)) {
-            rig.announce(worker.id());
-            try (WharfhingeClient client = client(way, rig, keys.authority, keys.client("t1"), null)) {
+            fixture.announce(worker.id());
+            try (WharfhingeClient client = client(protocol, fixture, keys.authority, keys.issueClient("t1"), null)) {
                 assertTrue(call(client, null) instanceof Result.Served);
                 assertEquals("t1", worker.next().headers.get("wh-tenant").toString());
                 assertTrue(call(client, "t1") instanceof Result.Served);
                 assertEquals("wh-tenant: found 't2', allowed: 't1'", ((Result.Invalid) call(client, "t2")).reason());
             }
-            try (WharfhingeClient client = client(way, rig, keys.authority, null, null)) {
+            try (WharfhingeClient client = client(protocol, fixture, keys.authority, null, null)) {
                 assertEquals(
                         "tenant: found no proof, allowed: a client certificate or a token",
                         ((Result.Invalid) call(client, "t1")).reason());
             }
-            for (TestCertificates.Pair bad : List.of(
+            for (TestCertificates.KeyAndCertificate invalid : List.of(
                     revoked,
-                    keys.issue("old", "t1", null, -2 * TestCertificates.DAY, -TestCertificates.DAY),
-                    keys.issue("early", "t1", null, TestCertificates.DAY, 2 * TestCertificates.DAY))) {
-                try (WharfhingeClient client = client(way, rig, keys.authority, bad, null)) {
+                    keys.issue("old", "t1", null, -2 * TestCertificates.DAY_MILLIS, -TestCertificates.DAY_MILLIS),
+                    keys.issue("early", "t1", null, TestCertificates.DAY_MILLIS, 2 * TestCertificates.DAY_MILLIS))) {
+                try (WharfhingeClient client = client(protocol, fixture, keys.authority, invalid, null)) {
                     Result r = call(client, null);
-                    assertTrue(r instanceof Result.Refused, bad.certificate().getSubjectX500Principal() + ": " + r);
+                    assertTrue(
+                            r instanceof Result.Refused, invalid.certificate().getSubjectX500Principal() + ": " + r);
                 }
             }
-            try (WharfhingeClient client =
-                    client(way, rig, keys.authority, others.client("t1"), null)) { // which Java does not even show
+            // the TLS client does not send this certificate, since the server does not list its issuer
+            try (WharfhingeClient client = client(protocol, fixture, keys.authority, others.issueClient("t1"), null)) {
                 assertTrue(((Result.Invalid) call(client, null)).reason().contains("no proof"));
             }
-            assertEquals(2, rig.metric("taken"), "nothing of the others was taken");
+            assertEquals(2, fixture.metric("taken"), "no other call is accepted");
         }
     }
 
     @Test
     void revocationListOfAnotherAuthority_isIgnored() throws Exception {
         TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
-        TestCertificates forger = new TestCertificates(folder.resolve("forger"), "ours"); // the same name, another key
-        TestCertificates.Pair server =
-                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
-        TestCertificates.Pair t1 = keys.client("t1");
-        TestCertificates.Pair gone = keys.client("gone");
-        Path forged = forger.revoked(t1.certificate());
+        TestCertificates impostor = new TestCertificates(folder.resolve("forger"), "ours"); // same name, another key
+        TestCertificates.KeyAndCertificate server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS);
+        TestCertificates.KeyAndCertificate t1 = keys.issueClient("t1");
+        TestCertificates.KeyAndCertificate gone = keys.issueClient("gone");
+        Path forgedList = impostor.revocationList(t1.certificate());
         Exception refused = assertThrows(java.io.UncheckedIOException.class, () -> new GatewayFixture(
-                        folder, "", "", tls(server, keys.authority, forged, "<proof/>"), DispatcherFactory.CACHE_AWARE)
+                        folder,
+                        "",
+                        "",
+                        tls(server, keys.authority, forgedList, "<proof/>"),
+                        DispatcherFactory.CACHE_AWARE)
                 .close());
         assertTrue(refused.getMessage().contains("signed by none of"), refused.getMessage());
-        Path list = keys.revoked(gone.certificate());
+        Path revocationList = keys.revocationList(gone.certificate());
         try (FakePeer worker = worker();
-                GatewayFixture rig = new GatewayFixture(
-                        folder, "", "", tls(server, keys.authority, list, "<proof/>"), DispatcherFactory.CACHE_AWARE)) {
-            rig.announce(worker.id());
-            Files.copy(forged, list, StandardCopyOption.REPLACE_EXISTING);
+                GatewayFixture fixture = new GatewayFixture(
+                        folder,
+                        "",
+                        "",
+                        tls(server, keys.authority, revocationList, "<proof/>"),
+                        DispatcherFactory.CACHE_AWARE)) {
+            fixture.announce(worker.id());
+            Files.copy(forgedList, revocationList, StandardCopyOption.REPLACE_EXISTING);
             Files.setLastModifiedTime(
-                    list, java.nio.file.attribute.FileTime.fromMillis(System.currentTimeMillis() + 5000));
-            try (WharfhingeClient client = client(Way.HTTP, rig, keys.authority, t1, null)) {
-                assertTrue(call(client, null) instanceof Result.Served, "a forged list shuts nobody out");
+                    revocationList, java.nio.file.attribute.FileTime.fromMillis(System.currentTimeMillis() + 5000));
+            try (WharfhingeClient client = client(Protocol.HTTP, fixture, keys.authority, t1, null)) {
+                assertTrue(call(client, null) instanceof Result.Served, "a forged revocation list rejects nobody");
             }
-            try (WharfhingeClient client = client(Way.HTTP, rig, keys.authority, gone, null)) {
-                assertTrue(call(client, null) instanceof Result.Refused, "and the former goes on to hold");
+            try (WharfhingeClient client = client(Protocol.HTTP, fixture, keys.authority, gone, null)) {
+                assertTrue(call(client, null) instanceof Result.Refused, "the previous revocation list stays in force");
             }
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void wrongServerIdentity_getsNoRequest(Way way) throws Exception {
+    @EnumSource(Protocol.class)
+    void invalidServerCertificate_getsNoRequest(Protocol protocol) throws Exception {
         TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
-        for (TestCertificates.Pair server : List.of(
-                keys.issue("old", "gw", "127.0.0.1", -2 * TestCertificates.DAY, -TestCertificates.DAY),
-                keys.issue("early", "gw", "127.0.0.1", TestCertificates.DAY, 2 * TestCertificates.DAY),
-                keys.issue("host", "gw", "127.0.0.9", -TestCertificates.DAY, TestCertificates.DAY))) {
-            try (GatewayFixture rig = new GatewayFixture(
+        for (TestCertificates.KeyAndCertificate server : List.of(
+                keys.issue("old", "gw", "127.0.0.1", -2 * TestCertificates.DAY_MILLIS, -TestCertificates.DAY_MILLIS),
+                keys.issue("early", "gw", "127.0.0.1", TestCertificates.DAY_MILLIS, 2 * TestCertificates.DAY_MILLIS),
+                keys.issue("host", "gw", "127.0.0.9", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS))) {
+            try (GatewayFixture fixture = new GatewayFixture(
                             folder, "", "", tls(server, null, null, ""), DispatcherFactory.CACHE_AWARE);
-                    WharfhingeClient client = client(way, rig, keys.authority, null, null)) {
+                    WharfhingeClient client = client(protocol, fixture, keys.authority, null, null)) {
                 Result r = call(client, null);
                 assertTrue(r instanceof Result.Refused, r.toString());
-                assertEquals(0, rig.metric("taken"));
+                assertEquals(0, fixture.metric("taken"));
             }
         }
     }
 
     @ParameterizedTest
-    @EnumSource(Way.class)
-    void tokens_areCheckedAndNeverShown(Way way) throws Exception {
+    @EnumSource(Protocol.class)
+    void tokens_areVerifiedAndNeverInErrorMessages(Protocol protocol) throws Exception {
         TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
-        TestCertificates.Pair server =
-                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+        TestCertificates.KeyAndCertificate server =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS);
         Path secret = Files.write(folder.resolve("tokens.key"), TestCertificates.secret());
         BearerTokens tokens = new BearerTokens(secret, System::currentTimeMillis);
-        long later = System.currentTimeMillis() / 1000 + 3600;
+        long expiryEpochSeconds = System.currentTimeMillis() / 1000 + 3600;
         String[] token = {null};
         try (FakePeer worker = worker();
-                GatewayFixture rig = new GatewayFixture(
+                GatewayFixture fixture = new GatewayFixture(
                         folder,
                         "",
                         "",
                         tls(server, null, null, "<proof token-key-file='" + secret + "'/>"),
                         DispatcherFactory.CACHE_AWARE);
-                WharfhingeClient client = client(way, rig, keys.authority, null, () -> token[0])) {
-            rig.announce(worker.id());
-            token[0] = tokens.issue("a.tenant", later);
+                WharfhingeClient client = client(protocol, fixture, keys.authority, null, () -> token[0])) {
+            fixture.announce(worker.id());
+            token[0] = tokens.issue("a.tenant", expiryEpochSeconds);
             assertTrue(call(client, null) instanceof Result.Served);
             assertEquals("a.tenant", worker.next().headers.get("wh-tenant").toString());
             assertTrue(((Result.Invalid) call(client, "b")).reason().contains("found 'b', allowed: 'a.tenant'"));
-            token[0] = tokens.issue("a", later - 7200);
+            token[0] = tokens.issue("a", expiryEpochSeconds - 7200);
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("expired at"));
-            token[0] = tokens.issue("a", later).replace("wh1.a.", "wh1.b.");
-            String forged = ((Result.Invalid) call(client, null)).reason();
-            assertTrue(forged.contains("MAC is wrong") && !forged.contains(token[0]), forged);
+            token[0] = tokens.issue("a", expiryEpochSeconds).replace("wh1.a.", "wh1.b.");
+            String forgedTokenReason = ((Result.Invalid) call(client, null)).reason();
+            assertTrue(
+                    forgedTokenReason.contains("MAC is wrong") && !forgedTokenReason.contains(token[0]),
+                    forgedTokenReason);
             token[0] = "nothing";
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("another form"));
             token[0] = null;
             assertTrue(((Result.Invalid) call(client, null)).reason().contains("no proof"));
-            assertEquals(1, rig.metric("taken"));
+            assertEquals(1, fixture.metric("taken"));
         }
         Files.write(secret, new byte[3]);
         assertTrue(assertThrows(java.io.IOException.class, () -> new BearerTokens(secret, () -> 0))
@@ -231,9 +256,9 @@
                 .contains("3 bytes"));
     }
 
-    /** The serial number of what a gateway shows to a new connection. */
-    private static java.math.BigInteger shown(int port) throws Exception {
-        X509Certificate[] seen = new X509Certificate[1];
+    /** Returns the serial number of the certificate that a gateway presents on a new connection. */
+    private static java.math.BigInteger presentedSerialNumber(int port) throws Exception {
+        X509Certificate[] presented = new X509Certificate[1];
         SSLContext context = SSLContext.getInstance("TLS");
         context.init(
                 null,
@@ -244,7 +269,7 @@
 
                         @Override
                         public void checkServerTrusted(X509Certificate[] chain, String type) {
-                            seen[0] = chain[0];
+                            presented[0] = chain[0];
                         }
 
                         @Override
@@ -258,35 +283,36 @@
                 (SSLSocket) context.getSocketFactory().createSocket(InetAddress.getLoopbackAddress(), port)) {
             socket.startHandshake();
         }
-        return seen[0].getSerialNumber();
+        return presented[0].getSerialNumber();
     }
 
     @Test
     void certificateWithoutItsKey_isNotUsed() throws Exception {
         TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
-        TestCertificates.Pair first =
-                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
-        try (GatewayFixture rig =
+        TestCertificates.KeyAndCertificate first =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS);
+        try (GatewayFixture fixture =
                 new GatewayFixture(folder, "", "", tls(first, null, null, ""), DispatcherFactory.CACHE_AWARE)) {
-            int port = rig.gateway.address().getPort();
-            TestCertificates.Pair next =
-                    keys.issue("next", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+            int port = fixture.gateway.address().getPort();
+            TestCertificates.KeyAndCertificate next =
+                    keys.issue("next", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS);
             Files.copy(next.chain(), first.chain(), StandardCopyOption.REPLACE_EXISTING);
-            long until = System.nanoTime() + 2500 * MS; // two looks of a second each
+            // two intervals of 1 s at which the gateway checks its files
+            long until = System.nanoTime() + 2500 * NANOS_PER_MILLI;
             while (System.nanoTime() < until) {
-                assertEquals(first.certificate().getSerialNumber(), shown(port));
+                assertEquals(first.certificate().getSerialNumber(), presentedSerialNumber(port));
             }
             Files.copy(next.key(), first.key(), StandardCopyOption.REPLACE_EXISTING);
-            GatewayFixture.await("both are there", () -> {
+            GatewayFixture.await("the certificate with its key is presented", () -> {
                 try {
-                    return shown(port).equals(next.certificate().getSerialNumber());
+                    return presentedSerialNumber(port).equals(next.certificate().getSerialNumber());
                 } catch (Exception e) {
                     return false;
                 }
             });
         }
         Files.copy(
-                keys.issue("other", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY)
+                keys.issue("other", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS)
                         .key(),
                 first.key(),
                 StandardCopyOption.REPLACE_EXISTING);
@@ -299,35 +325,42 @@
     @Test
     void newCertificate_isUsedForNewConnectionsOnly() throws Exception {
         TestCertificates keys = new TestCertificates(folder.resolve("keys"), "ours");
-        TestCertificates.Pair soonOver = keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, 9000);
+        TestCertificates.KeyAndCertificate expiring =
+                keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, 9000);
         try (FakePeer worker = worker();
-                GatewayFixture rig = new GatewayFixture(
-                        folder, "", "", tls(soonOver, null, null, ""), DispatcherFactory.CACHE_AWARE);
-                WharfhingeClient http = client(Way.HTTP, rig, keys.authority, null, null);
-                WharfhingeClient grpc = client(Way.GRPC, rig, keys.authority, null, null)) {
-            rig.announce(worker.id());
+                GatewayFixture fixture = new GatewayFixture(
+                        folder, "", "", tls(expiring, null, null, ""), DispatcherFactory.CACHE_AWARE);
+                WharfhingeClient http = client(Protocol.HTTP, fixture, keys.authority, null, null);
+                WharfhingeClient grpc = client(Protocol.GRPC, fixture, keys.authority, null, null)) {
+            fixture.announce(worker.id());
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
-            long connections = rig.metric("connections");
-            TestCertificates.Pair next =
-                    keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY, TestCertificates.DAY);
+            long connections = fixture.metric("connections");
+            TestCertificates.KeyAndCertificate next =
+                    keys.issue("server", "gw", "127.0.0.1", -TestCertificates.DAY_MILLIS, TestCertificates.DAY_MILLIS);
             for (int port : new int[] {
-                rig.gateway.address().getPort(), rig.gateway.grpcAddress().getPort()
+                fixture.gateway.address().getPort(),
+                fixture.gateway.grpcAddress().getPort()
             }) {
-                GatewayFixture.await("the new certificate is shown", () -> {
+                GatewayFixture.await("the new certificate is presented", () -> {
                     try {
-                        return shown(port).equals(next.certificate().getSerialNumber());
+                        return presentedSerialNumber(port)
+                                .equals(next.certificate().getSerialNumber());
                     } catch (Exception e) {
                         return false;
                     }
                 });
             }
-            long expiresAt = soonOver.certificate().getNotAfter().getTime();
-            GatewayFixture.await("half of its life is over", () -> System.currentTimeMillis() > expiresAt - 4500);
-            GatewayFixture.await("the first has expired", () -> System.currentTimeMillis() > expiresAt);
+            // two waits, since each is limited to 5 s
+            long expiresAt = expiring.certificate().getNotAfter().getTime();
+            GatewayFixture.await(
+                    "half of the lifetime of the first certificate has passed",
+                    () -> System.currentTimeMillis() > expiresAt - 4500);
+            GatewayFixture.await("the first certificate has expired", () -> System.currentTimeMillis() > expiresAt);
             assertTrue(call(http, null) instanceof Result.Served);
             assertTrue(call(grpc, null) instanceof Result.Served);
-            assertEquals(connections, rig.metric("connections"), "on the connection that stood");
+            assertEquals(
+                    connections, fixture.metric("connections"), "calls use the connection that was established before");
         }
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/WarmUpTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/WarmUpTest.java
@@ -13,7 +13,7 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.engine.EndpointSource;
 
-/** The warm-up before the port opens. */
+/** Tests the warm-up that runs before the gateway opens its port. */
 @Timeout(30)
 class WarmUpTest {
     @TempDir
@@ -26,17 +26,17 @@
     }
 
     private WarmUp.Result warmUp(String clients) throws Exception {
-        try (GatewayFixture rig = new GatewayFixture(folder, "", clients, DispatcherFactory.CACHE_AWARE)) {
-            rig.gateway.warmUp();
+        try (GatewayFixture fixture = new GatewayFixture(folder, "", clients, DispatcherFactory.CACHE_AWARE)) {
+            fixture.gateway.warmUp();
             assertEquals(0, warmUpThreads());
-            return rig.gateway.warmUpResult();
+            return fixture.gateway.warmUpResult();
         }
     }
 
     @Test
     void warmUp_endsInTimeAndLeavesNoThreads() throws Exception {
         WarmUp.Result result = warmUp("rehearse-ms=\"1000\"");
-        // eight clients begin a call each whatever happens, and each goes on only once it is answered
+        // each of the eight warm-up clients sends a first call in any case, and the next one only after a response
         assertTrue(result.calls() >= 16 && result.durationMillis() < 10_000, result.toString());
     }
 
@@ -45,35 +45,35 @@
         assertEquals(0, warmUp("rehearse-ms=\"0\"").calls());
     }
 
-    /** A limit of one call in flight rejects most; excess connections are closed: each client ends, and so does the warm-up. */
+    /** With a limit of one call in flight, most calls are rejected and excess connections closed; the warm-up ends all the same. */
     @Test
     void lowLimits_doNotProlongWarmUp() throws Exception {
         assertTrue(warmUp("rehearse-ms=\"100\" max-open=\"1\"").durationMillis() < 10_000);
     }
 
-    /** No call, load, probe or connect: the worker receives nothing, and the gateway counts nothing. */
+    /** The worker receives no call, load, probe or connection, and the gateway counts no call. */
     @Test
     void warmUp_sendsNothingToWorkers() throws Exception {
         try (FakePeer worker = new FakePeer(in -> {});
-                GatewayFixture rig =
+                GatewayFixture fixture =
                         new GatewayFixture(folder, "", "rehearse-ms=\"200\"", DispatcherFactory.CACHE_AWARE)) {
-            rig.announce(worker.id());
-            rig.gateway.warmUp();
-            assertFalse(rig.gateway.metrics().get("rehearsed_calls") == 0);
-            assertEquals(0, rig.gateway.metrics().get("taken"));
-            assertEquals(1, rig.gateway.metrics().get("ready"));
+            fixture.announce(worker.id());
+            fixture.gateway.warmUp();
+            assertFalse(fixture.gateway.metrics().get("rehearsed_calls") == 0);
+            assertEquals(0, fixture.gateway.metrics().get("taken"));
+            assertEquals(1, fixture.gateway.metrics().get("ready"));
             assertTrue(worker.receivesNoCallWithin(50));
         }
     }
 
-    /** Told to stop while warming up, as by TERM in its first seconds: it ends soon, and its port never opens. */
+    /** A stop during the warm-up, for instance by SIGTERM right after the start, ends it soon, and the port never opens. */
     @Test
     void stop_endsWarmUpAndPreventsStart() throws Exception {
         Gateway gateway = new Gateway(
                 GatewayFixture.config(folder, "", "rehearse-ms=\"20000\"", 1),
                 DispatcherFactory.CACHE_AWARE,
                 (group, type) -> EndpointSource.pushedBy(updates -> {}));
-        CompletableFuture<Object> life = CompletableFuture.supplyAsync(() -> {
+        CompletableFuture<Object> run = CompletableFuture.supplyAsync(() -> {
             try {
                 gateway.warmUp();
                 return String.valueOf(gateway.start());
@@ -81,14 +81,14 @@
                 throw new IllegalStateException(e);
             }
         });
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-                warmUpThreads() == 0 && System.nanoTime() < end; ) {
+        for (long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+                warmUpThreads() == 0 && System.nanoTime() < deadlineNanos; ) {
             Thread.onSpinWait();
         }
-        long told = System.nanoTime();
+        long stopNanos = System.nanoTime();
         assertEquals(0, gateway.stop());
-        assertTrue(System.nanoTime() - told < TimeUnit.SECONDS.toNanos(5));
-        assertEquals("null", life.get(5, TimeUnit.SECONDS));
+        assertTrue(System.nanoTime() - stopNanos < TimeUnit.SECONDS.toNanos(5));
+        assertEquals("null", run.get(5, TimeUnit.SECONDS));
         assertEquals(0, warmUpThreads());
     }
 }
--- a/gateway/src/test/java/wharfhinge/gateway/WorkerFaultTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/WorkerFaultTest.java
@@ -28,73 +28,76 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.RosterEntry.State;
 
-/** Faults of workers, connections and clients on real sockets. */
+/** Tests how the gateway handles faults of workers, connections and clients on real sockets. */
 @Timeout(60)
 class WorkerFaultTest {
     @TempDir
     private Path folder;
 
-    private GatewayFixture rig(String workers) throws Exception {
+    private GatewayFixture fixture(String workers) throws Exception {
         return new GatewayFixture(folder, workers, DispatcherFactory.CACHE_AWARE);
     }
 
-    private static FakePeer serving() {
+    private static FakePeer healthyWorker() {
         return new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
     }
 
     @Test
     void connectionLostAfterHeaders_retriesOnlyIdempotentCalls() throws Exception {
-        try (FakePeer dies = new FakePeer(FakePeer.ReceivedRequest::closeConnection);
-                GatewayFixture rig = rig("")) {
-            rig.announce(dies.id());
-            HttpResponse<String> once = get(rig.call("once", "f", 2000));
-            assertEquals("failed", answer(once), "may have run: no word that a retry is harmless");
-            assertEquals(502, once.statusCode());
-            assertTrue(once.headers().firstValue("wh-reason").orElse("").contains("connection-lost"));
-            dies.next();
-            assertTrue(dies.receivesNoCallWithin(100), "an at-most-once call went out twice");
+        try (FakePeer failing = new FakePeer(FakePeer.ReceivedRequest::closeConnection);
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(failing.id());
+            HttpResponse<String> atMostOnce = get(fixture.call("once", "f", 2000));
+            assertEquals("failed", answer(atMostOnce), "a possibly executed call is not reported as safe to retry");
+            assertEquals(502, atMostOnce.statusCode());
+            assertTrue(atMostOnce.headers().firstValue("wh-reason").orElse("").contains("connection-lost"));
+            failing.next();
+            assertTrue(failing.receivesNoCallWithin(100), "an at-most-once call was sent twice");
         }
-        try (FakePeer dies = new FakePeer(FakePeer.ReceivedRequest::closeConnection);
-                FakePeer well = serving();
-                GatewayFixture rig = rig("")) {
-            rig.announce(dies.id(), well.id());
+        try (FakePeer failing = new FakePeer(FakePeer.ReceivedRequest::closeConnection);
+                FakePeer healthy = healthyWorker();
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(failing.id(), healthy.id());
             for (int i = 0; i < 6; i++) {
-                assertEquals("served", answer(get(rig.call("safe", "f" + i, 2000))));
+                assertEquals("served", answer(get(fixture.call("safe", "f" + i, 2000))));
             }
         }
     }
 
     @Test
     void goAway_provesOnlyStreamsAboveLastNotExecuted() throws Exception {
-        try (FakePeer leaves = new FakePeer(null);
-                FakePeer well = serving();
-                GatewayFixture rig = rig("max-connections=\"1\"")) {
-            rig.announce(leaves.id());
-            CompletableFuture<HttpResponse<String>> below = rig.call("once", "f", 2400);
-            FakePeer.ReceivedRequest first = leaves.next();
-            CompletableFuture<HttpResponse<String>> above = rig.call("once", "f", 2400);
-            FakePeer.ReceivedRequest second = leaves.next();
+        try (FakePeer shuttingDown = new FakePeer(null);
+                FakePeer healthy = healthyWorker();
+                GatewayFixture fixture = fixture("max-connections=\"1\"")) {
+            fixture.announce(shuttingDown.id());
+            CompletableFuture<HttpResponse<String>> processed = fixture.call("once", "f", 2400);
+            FakePeer.ReceivedRequest first = shuttingDown.next();
+            CompletableFuture<HttpResponse<String>> unprocessed = fixture.call("once", "f", 2400);
+            FakePeer.ReceivedRequest second = shuttingDown.next();
             assertTrue(second.streamId() > first.streamId());
-            rig.announceChange(GatewayFixture.entry(well.id(), State.UP, "b0"));
-            GatewayFixture.await("the list is told", () -> rig.metric("lists") >= 2);
+            fixture.announceChange(GatewayFixture.entry(healthy.id(), State.UP, "b0"));
+            GatewayFixture.await("the endpoint update is delivered", () -> fixture.metric("lists") >= 2);
             second.goAway(first.streamId());
-            assertEquals("well", get(above).body(), "refused by the GOAWAY, so harmless to send elsewhere");
+            assertEquals(
+                    "well",
+                    get(unprocessed).body(),
+                    "the GOAWAY proves that the stream was not processed, so the call is sent elsewhere");
             first.respond(SERVED, FOUND, "from the one that leaves");
-            assertEquals("from the one that leaves", get(below).body());
+            assertEquals("from the one that leaves", get(processed).body());
         }
     }
 
     @Test
     void refusedStream_isRetriedElsewhereAndResetStreamIsNot() throws Exception {
         try (FakePeer refuses = new FakePeer(in -> in.reset(Http2Error.REFUSED_STREAM));
-                GatewayFixture rig = rig("")) {
-            rig.announce(refuses.id());
-            assertEquals("refused", answer(get(rig.call("once", "f", 2000))));
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(refuses.id());
+            assertEquals("refused", answer(get(fixture.call("once", "f", 2000))));
         }
         try (FakePeer resets = new FakePeer(in -> in.reset(Http2Error.INTERNAL_ERROR));
-                GatewayFixture rig = rig("")) {
-            rig.announce(resets.id());
-            assertEquals("failed", answer(get(rig.call("once", "f", 2000))));
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(resets.id());
+            assertEquals("failed", answer(get(fixture.call("once", "f", 2000))));
         }
     }
 
@@ -105,19 +108,19 @@
                         () -> in.respond(SERVED, FOUND, "well"),
                         60_000 - 4000 + in.streamId() % 64 * 100,
                         TimeUnit.MICROSECONDS));
-                GatewayFixture rig = rig("second-copies=\"false\"")) {
-            rig.announce(slow.id());
-            get(rig.call("safe", "f", 2000));
+                GatewayFixture fixture = fixture("second-copies=\"false\"")) {
+            fixture.announce(slow.id());
+            get(fixture.call("safe", "f", 2000));
             List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
             for (int i = 0; i < 200; i++) {
-                calls.add(rig.call("safe", "f", 60));
+                calls.add(fixture.call("safe", "f", 60));
             }
             for (CompletableFuture<HttpResponse<String>> call : calls) {
                 assertTrue(List.of("served", "refused", "failed").contains(answer(get(call))));
             }
-            GatewayFixture.await("nothing is open", () -> rig.metric("open_calls") == 0);
-            assertEquals(201, rig.metric("taken"));
-            assertEquals(201, rig.metric("served") + rig.metric("refused") + rig.metric("failed"));
+            GatewayFixture.await("no call is in flight", () -> fixture.metric("open_calls") == 0);
+            assertEquals(201, fixture.metric("taken"));
+            assertEquals(201, fixture.metric("served") + fixture.metric("refused") + fixture.metric("failed"));
         } finally {
             timer.shutdownNow();
         }
@@ -127,9 +130,9 @@
     void clientCancelDuringHedge_leavesNothingInFlight() throws Exception {
         try (FakePeer one = new FakePeer(null);
                 FakePeer two = new FakePeer(null);
-                GatewayFixture rig = rig("second-copies=\"true\"")) {
-            rig.announce(one.id(), two.id());
-            Socket client = new Socket("127.0.0.1", rig.gateway.address().getPort());
+                GatewayFixture fixture = fixture("second-copies=\"true\"")) {
+            fixture.announce(one.id(), two.id());
+            Socket client = new Socket("127.0.0.1", fixture.gateway.address().getPort());
             client.getOutputStream()
                     .write(("POST /v1/call/f HTTP/1.1\r\nhost: x\r\nwh-class: safe\r\nwh-load-ms: 50\r\n"
                                     + "content-length: 0\r\n\r\n")
@@ -137,46 +140,46 @@
             FakePeer.ReceivedRequest first = one.next();
             FakePeer.ReceivedRequest second = two.next();
             client.close();
-            GatewayFixture.await("the client's leaving is told", () -> rig.metric("left") == 1);
+            GatewayFixture.await("the cancellation is counted", () -> fixture.metric("left") == 1);
             first.respond(SERVED, FOUND, "late");
             second.respond(SERVED, FOUND, "late");
-            GatewayFixture.await("late answers are counted", () -> rig.metric("late_answers") == 2);
-            assertEquals(0, rig.metric("open_calls"));
-            assertEquals(0, rig.metric("restarts"));
+            GatewayFixture.await("late responses are counted", () -> fixture.metric("late_answers") == 2);
+            assertEquals(0, fixture.metric("open_calls"));
+            assertEquals(0, fixture.metric("restarts"));
         }
     }
 
     @Test
     void drainBetweenDecisionAndSend_sendsNothing() throws Exception {
-        try (FakePeer drains = new FakePeer(null);
-                FakePeer well = serving();
-                GatewayFixture rig = rig("dial-timeout-ms=\"590\"")) {
-            drains.holdHandshakes = true;
-            rig.announce(drains.id());
-            CompletableFuture<HttpResponse<String>> call = rig.call("once", "f", 2400);
-            GatewayFixture.await("the call waits for the connection", () -> drains.heldHandshakes() > 0);
-            rig.announceChange(GatewayFixture.entry(well.id(), State.UP, "b0"));
-            rig.announceChange(GatewayFixture.entry(drains.id(), State.DRAINING, "b0"));
-            GatewayFixture.await("the drain is told", () -> rig.metric("lists") >= 3);
-            drains.releaseHandshakes();
+        try (FakePeer draining = new FakePeer(null);
+                FakePeer healthy = healthyWorker();
+                GatewayFixture fixture = fixture("dial-timeout-ms=\"590\"")) {
+            draining.holdHandshakes = true;
+            fixture.announce(draining.id());
+            CompletableFuture<HttpResponse<String>> call = fixture.call("once", "f", 2400);
+            GatewayFixture.await("the call waits for the connection", () -> draining.heldHandshakes() > 0);
+            fixture.announceChange(GatewayFixture.entry(healthy.id(), State.UP, "b0"));
+            fixture.announceChange(GatewayFixture.entry(draining.id(), State.DRAINING, "b0"));
+            GatewayFixture.await("the endpoint updates are delivered", () -> fixture.metric("lists") >= 3);
+            draining.releaseHandshakes();
             assertEquals("well", get(call).body());
-            assertTrue(drains.receivesNoCallWithin(200), "a call reached a worker that drains");
+            assertTrue(draining.receivesNoCallWithin(200), "a call reached a draining worker");
         }
     }
 
     @Test
     void restartedWorker_servesUnderItsOldAddress() throws Exception {
-        FakePeer old = serving();
+        FakePeer old = healthyWorker();
         int port = old.port();
-        try (GatewayFixture rig = rig("")) {
-            rig.announce(old.id());
-            assertEquals("well", get(rig.call("safe", "f", 2000)).body());
+        try (GatewayFixture fixture = fixture("")) {
+            fixture.announce(old.id());
+            assertEquals("well", get(fixture.call("safe", "f", 2000)).body());
             old.close();
-            try (FakePeer again = new FakePeer(port, in -> in.respond(SERVED, FOUND, "new"))) {
-                rig.announceChange(GatewayFixture.entry(again.id(), State.UP, "b1"));
-                GatewayFixture.await("served anew", () -> {
+            try (FakePeer restarted = new FakePeer(port, in -> in.respond(SERVED, FOUND, "new"))) {
+                fixture.announceChange(GatewayFixture.entry(restarted.id(), State.UP, "b1"));
+                GatewayFixture.await("the restarted worker serves", () -> {
                     try {
-                        return get(rig.call("safe", "f", 2000)).body().equals("new");
+                        return get(fixture.call("safe", "f", 2000)).body().equals("new");
                     } catch (Exception e) {
                         throw new AssertionError(e);
                     }
@@ -187,16 +190,18 @@
 
     @Test
     void deadWorker_costsOneAttemptAndUnlistedWorkerGetsNothing() throws Exception {
-        FakePeer dead = serving();
-        String gone = dead.id();
+        FakePeer dead = healthyWorker();
+        String deadId = dead.id();
         dead.close();
-        try (FakePeer well = serving();
-                FakePeer unlisted = serving();
-                GatewayFixture rig = rig("")) {
-            rig.announce(gone, well.id());
+        try (FakePeer healthy = healthyWorker();
+                FakePeer unlisted = healthyWorker();
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(deadId, healthy.id());
             for (int i = 0; i < 8; i++) {
                 assertEquals(
-                        "well", get(rig.call("once", "f" + i, 2000)).body(), "a refused connect proves it never ran");
+                        "well",
+                        get(fixture.call("once", "f" + i, 2000)).body(),
+                        "a refused connection proves that the call was not executed");
             }
             assertTrue(unlisted.receivesNoCallWithin(1));
         }
@@ -206,63 +211,68 @@
     void request_namesTheIntendedIncarnation() throws Exception {
         try (FakePeer worker =
                         new FakePeer(in -> in.respond(SERVED, FOUND, String.valueOf(in.headers.get("wh-boot"))));
-                GatewayFixture rig = rig("")) {
-            rig.announce(worker.id());
-            assertEquals("b0", get(rig.call("once", "f", 2000)).body());
-            rig.announceChange(GatewayFixture.entry(worker.id(), wharfhinge.protocol.RosterEntry.State.UP, "b1"));
-            assertEquals("b1", get(rig.call("once", "f", 2000)).body());
-            rig.announceChange(GatewayFixture.entry(worker.id(), wharfhinge.protocol.RosterEntry.State.UP, "-"));
-            assertEquals("null", get(rig.call("once", "f", 2000)).body(), "the roster names none");
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(worker.id());
+            assertEquals("b0", get(fixture.call("once", "f", 2000)).body());
+            fixture.announceChange(GatewayFixture.entry(worker.id(), wharfhinge.protocol.RosterEntry.State.UP, "b1"));
+            assertEquals("b1", get(fixture.call("once", "f", 2000)).body());
+            fixture.announceChange(GatewayFixture.entry(worker.id(), wharfhinge.protocol.RosterEntry.State.UP, "-"));
+            assertEquals("null", get(fixture.call("once", "f", 2000)).body(), "the endpoint list gives no incarnation");
         }
     }
 
     @Test
     void endlessResponse_isCutOffAtLimit() throws Exception {
-        try (FakePeer floods = new FakePeer(in -> {
+        try (FakePeer flooding = new FakePeer(in -> {
                     in.sendHeaders(SERVED, FOUND, false);
                     in.flood(16_384);
                 });
-                GatewayFixture rig = rig("")) {
-            rig.announce(floods.id());
-            HttpResponse<String> response = get(rig.call("once", "f", 2000));
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(flooding.id());
+            HttpResponse<String> response = get(fixture.call("once", "f", 2000));
             assertEquals("failed", answer(response));
             assertTrue(response.headers().firstValue("wh-reason").orElse("").contains("too-large"));
-            assertTrue(floods.resets.poll(2, TimeUnit.SECONDS) != null, "the stream was not reset");
-            assertTrue(floods.floodedParts < 64, floods.floodedParts + " parts of 64 KB were taken of a limit of 1 MB");
+            assertTrue(flooding.resets.poll(2, TimeUnit.SECONDS) != null, "the stream was not reset");
+            assertTrue(
+                    flooding.floodedParts < 64,
+                    flooding.floodedParts + " parts of 64 KB were read with a limit of 1 MB");
         }
     }
 
     @Test
     void saturatedWorker_isNotPenalizedAndAnotherServes() throws Exception {
-        try (FakePeer full = new FakePeer(in -> in.respond(FULL, NONE, ""));
-                FakePeer well = serving();
-                GatewayFixture rig = rig("")) {
-            rig.announce(full.id(), well.id());
+        try (FakePeer saturated = new FakePeer(in -> in.respond(FULL, NONE, ""));
+                FakePeer healthy = healthyWorker();
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(saturated.id(), healthy.id());
             List<String> answers = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                answers.add(answer(get(rig.call("once", "f" + i, 2000))));
+                answers.add(answer(get(fixture.call("once", "f" + i, 2000))));
             }
             assertTrue(answers.contains("served"), answers.toString());
-            assertTrue(!answers.contains("failed"), "full proves that it never ran: " + answers);
+            assertTrue(
+                    !answers.contains("failed"),
+                    "a saturated response proves that the call was not executed: " + answers);
         }
     }
 
     @Test
     void idleConnections_doNotBlockCalls() throws Exception {
-        try (FakePeer well = serving();
-                GatewayFixture rig = rig("")) {
-            rig.announce(well.id());
+        try (FakePeer healthy = healthyWorker();
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(healthy.id());
             List<Socket> idle = new ArrayList<>();
             try {
                 for (int i = 0; i < 5000; i++) {
-                    idle.add(new Socket("127.0.0.1", rig.gateway.address().getPort()));
+                    idle.add(new Socket("127.0.0.1", fixture.gateway.address().getPort()));
                 }
-                GatewayFixture.await("all stand", () -> rig.metric("connections") >= 5000);
-                assertEquals("well", get(rig.call("safe", "f", 2000)).body());
+                GatewayFixture.await("all connections are established", () -> fixture.metric("connections") >= 5000);
+                assertEquals("well", get(fixture.call("safe", "f", 2000)).body());
                 for (int i = 0; i < 1100; i++) {
-                    idle.add(new Socket("127.0.0.1", rig.gateway.address().getPort()));
+                    idle.add(new Socket("127.0.0.1", fixture.gateway.address().getPort()));
                 }
-                GatewayFixture.await("those over the cap are closed", () -> rig.metric("connections_turned_away") > 0);
+                GatewayFixture.await(
+                        "excess connections are closed", () -> fixture.metric("connections_turned_away") > 0);
             } finally {
                 for (Socket socket : idle) {
                     socket.close();
@@ -273,16 +283,17 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void stream_isPassedOnAsItComesAndBrokenStreamDoesNotLookComplete(boolean whole) throws Exception {
-        try (FakePeer flows = new FakePeer(null);
-                GatewayFixture rig = rig("")) {
-            rig.announce(flows.id());
-            try (Socket client = new Socket("127.0.0.1", rig.gateway.address().getPort())) {
+    void stream_isPassedOnAsItComesAndBrokenStreamDoesNotLookComplete(boolean complete) throws Exception {
+        try (FakePeer streaming = new FakePeer(null);
+                GatewayFixture fixture = fixture("")) {
+            fixture.announce(streaming.id());
+            try (Socket client =
+                    new Socket("127.0.0.1", fixture.gateway.address().getPort())) {
                 client.getOutputStream()
                         .write(("POST /v1/call/f HTTP/1.1\r\nhost: x\r\nwh-class: flow\r\n"
                                         + "wh-deadline-ms: 300\r\ncontent-length: 0\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                FakePeer.ReceivedRequest in = flows.next();
+                FakePeer.ReceivedRequest in = streaming.next();
                 in.sendHeaders(SERVED, FOUND, false);
                 in.sendData("first", false);
                 StringBuilder read = new StringBuilder();
@@ -291,9 +302,9 @@
                     assertTrue(next >= 0, () -> "closed before the first part: " + read);
                     read.append((char) next);
                 }
-                GatewayFixture.await("told as established", () -> rig.metric("streams") == 1);
-                Thread.sleep(400); // past the deadline, which no longer runs
-                if (whole) {
+                GatewayFixture.await("the start of the stream is counted", () -> fixture.metric("streams") == 1);
+                Thread.sleep(400); // past the deadline, which no longer applies once the stream has started
+                if (complete) {
                     in.sendData("last", true);
                 } else {
                     in.closeConnection();
@@ -302,27 +313,27 @@
                 int c = client.getInputStream().read();
                 while (c >= 0 && !read.toString().endsWith("0\r\n\r\n")) {
                     read.append((char) c);
-                    c = whole && read.toString().endsWith("0\r\n\r\n")
+                    c = complete && read.toString().endsWith("0\r\n\r\n")
                             ? -1
                             : client.getInputStream().read();
                 }
-                assertEquals(whole, read.toString().endsWith("0\r\n\r\n"), read.toString());
+                assertEquals(complete, read.toString().endsWith("0\r\n\r\n"), read.toString());
             }
         }
     }
 
     @Test
     void shutdown_answersCallsInFlightAndAbortsTheRest() throws Exception {
-        try (FakePeer waits = new FakePeer(null)) {
-            GatewayFixture rig = rig("");
-            rig.announce(waits.id());
-            CompletableFuture<HttpResponse<String>> served = rig.call("safe", "f", 2400);
-            FakePeer.ReceivedRequest first = waits.next();
-            CompletableFuture<HttpResponse<String>> never = rig.call("once", "f", 2400);
-            waits.next();
+        try (FakePeer worker = new FakePeer(null)) {
+            GatewayFixture fixture = fixture("");
+            fixture.announce(worker.id());
+            CompletableFuture<HttpResponse<String>> served = fixture.call("safe", "f", 2400);
+            FakePeer.ReceivedRequest first = worker.next();
+            CompletableFuture<HttpResponse<String>> unanswered = fixture.call("once", "f", 2400);
+            worker.next();
             CompletableFuture<Integer> stopped = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return rig.gateway.stop();
+                    return fixture.gateway.stop();
                 } catch (InterruptedException e) {
                     throw new AssertionError(e);
                 }
@@ -330,7 +341,7 @@
             Thread.sleep(100);
             first.respond(SERVED, FOUND, "in time");
             assertEquals("in time", get(served).body());
-            assertEquals("failed", answer(get(never)));
+            assertEquals("failed", answer(get(unanswered)));
             assertEquals(1, stopped.get(5, TimeUnit.SECONDS));
         }
     }
--- a/gateway/src/test/java/wharfhinge/gateway/upstream/AttemptOutcomeMappingTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/upstream/AttemptOutcomeMappingTest.java
@@ -10,7 +10,7 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.protocol.AnswerCode;
 
-/** The table of what the wire shows and what it proves. */
+/** Tests the outcome that each end of an exchange with a worker is mapped to, and whether it proves that nothing was executed. */
 class AttemptOutcomeMappingTest {
     private static final Set<Outcome> PROVE_NOT_EXECUTED =
             EnumSet.of(Outcome.SATURATED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED, Outcome.NOT_LOADED);
@@ -28,10 +28,12 @@
         "CANCELLED_UNSENT,CANCELLED",
         "DEADLINE_EXCEEDED_UNSENT,SUPERSEDED"
     })
-    void exchangeEnd_mapsToOneOutcome(AttemptOutcomeMapping end, Outcome outcome) {
+    void exchangeEnd_isMappedToItsOutcome(AttemptOutcomeMapping end, Outcome outcome) {
         assertEquals(outcome, end.outcome(0, null));
         assertEquals(
-                PROVE_NOT_EXECUTED.contains(outcome), end.provesNotExecuted(), "an outcome that proves must be proven");
+                PROVE_NOT_EXECUTED.contains(outcome),
+                end.provesNotExecuted(),
+                "an outcome that proves non-execution needs an exchange end that proves it");
     }
 
     @ParameterizedTest
@@ -52,7 +54,7 @@
         assertEquals(outcome, AttemptOutcomeMapping.RESPONSE_RECEIVED.outcome(status, code));
     }
 
-    /** The words go into the access log and {@code wh-reason}. */
+    /** The reasons are part of the access log and of {@code wh-reason}. */
     @ParameterizedTest
     @CsvSource({
         "RESPONSE_RECEIVED,answered",
@@ -67,12 +69,12 @@
         "RESPONSE_TOO_LARGE,too-large",
         "TIMED_OUT,timed-out"
     })
-    void word_isThatOfTheProtocol(AttemptOutcomeMapping end, String word) {
-        assertEquals(word, end.reason());
+    void reason_isThatOfTheProtocol(AttemptOutcomeMapping end, String reason) {
+        assertEquals(reason, end.reason());
     }
 
     @Test
-    void allExchangeEnds_areInTheTable() {
+    void tables_coverAllExchangeEnds() {
         assertEquals(11, AttemptOutcomeMapping.values().length);
     }
 }
