--- a/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
+++ b/gateway/src/test/java/wharfhinge/gateway/GatewayFixture.java
@@ -25,8 +25,9 @@
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
 
-/** A gateway in this process, an endpoint list that the test announces, and clients. */
+/** A gateway in this process with an endpoint list that the test announces, and an HTTP client for it. */
 final class GatewayFixture implements AutoCloseable {
+    /** Settings with the placeholders CLIENTS, WORKERS, ROSTER and MORE. */
     static final String SETTINGS =
             """
         <wharfhinge xmlns="urn:wharfhinge:settings:1">
@@ -52,53 +53,67 @@
     final Gateway gateway;
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private Consumer<EndpointUpdate> fleet;
+    private Consumer<EndpointUpdate> endpointUpdates;
     private long revision = 1;
 
-    GatewayFixture(Path folder, String workers, DispatcherFactory decisions) throws Exception {
-        this(folder, workers, "", decisions);
+    /** Starts a gateway; {@code workerAttributes} are added to its {@code workers} element. */
+    GatewayFixture(Path folder, String workerAttributes, DispatcherFactory dispatcherFactory) throws Exception {
+        this(folder, workerAttributes, "", dispatcherFactory);
     }
 
-    GatewayFixture(Path folder, String workers, String clients, DispatcherFactory decisions) throws Exception {
-        this(folder, workers, clients, "", decisions);
+    GatewayFixture(Path folder, String workerAttributes, String clientAttributes, DispatcherFactory dispatcherFactory)
+            throws Exception {
+        this(folder, workerAttributes, clientAttributes, "", dispatcherFactory);
     }
 
-    GatewayFixture(Path folder, String workers, String clients, String more, DispatcherFactory decisions)
+    GatewayFixture(
+            Path folder,
+            String workerAttributes,
+            String clientAttributes,
+            String extraElements,
+            DispatcherFactory dispatcherFactory)
             throws Exception {
-        this(config(folder, workers, clients, more, 1), decisions);
+        this(config(folder, workerAttributes, clientAttributes, extraElements, 1), dispatcherFactory);
     }
 
-    /** Before settings changed as a test needs them. */
-    GatewayFixture(Path folder, String workers, UnaryOperator<String> change, DispatcherFactory decisions)
+    /** Starts a gateway whose settings {@code edit} has changed. */
+    GatewayFixture(
+            Path folder, String workerAttributes, UnaryOperator<String> edit, DispatcherFactory dispatcherFactory)
             throws Exception {
-        this(load(folder, change.apply(text(workers, "", "", 1))), decisions);
+        this(load(folder, edit.apply(settingsText(workerAttributes, "", "", 1))), dispatcherFactory);
     }
 
-    private GatewayFixture(GatewayConfig config, DispatcherFactory decisions) throws Exception {
-        gateway = new Gateway(config, decisions, (group, type) -> EndpointSource.pushedBy(updates -> fleet = updates));
+    private GatewayFixture(GatewayConfig config, DispatcherFactory dispatcherFactory) throws Exception {
+        gateway = new Gateway(
+                config,
+                dispatcherFactory,
+                (group, eventLoopType) -> EndpointSource.pushedBy(updates -> endpointUpdates = updates));
         gateway.start();
     }
 
-    static GatewayConfig config(Path folder, String workers, String clients, int roster)
+    static GatewayConfig config(Path folder, String workerAttributes, String clientAttributes, int rosterPort)
             throws IOException, InvalidConfigurationException {
-        return config(folder, workers, clients, "", roster);
+        return config(folder, workerAttributes, clientAttributes, "", rosterPort);
     }
 
-    private static GatewayConfig config(Path folder, String workers, String clients, String more, int roster)
+    private static GatewayConfig config(
+            Path folder, String workerAttributes, String clientAttributes, String extraElements, int rosterPort)
             throws IOException, InvalidConfigurationException {
-        return load(folder, text(workers, clients, more, roster));
+        return load(folder, settingsText(workerAttributes, clientAttributes, extraElements, rosterPort));
     }
 
-    private static String text(String workers, String clients, String more, int roster) {
-        return SETTINGS.replace("WORKERS", workers)
-                .replace("CLIENTS", clients)
-                .replace("<!--MORE-->", more)
-                .replace("ROSTER", Integer.toString(roster));
+    private static String settingsText(
+            String workerAttributes, String clientAttributes, String extraElements, int rosterPort) {
+        return SETTINGS.replace("WORKERS", workerAttributes)
+                .replace("CLIENTS", clientAttributes)
+                .replace("<!--MORE-->", extraElements)
+                .replace("ROSTER", Integer.toString(rosterPort));
     }
 
-    private static GatewayConfig load(Path folder, String text) throws IOException, InvalidConfigurationException {
+    private static GatewayConfig load(Path folder, String settingsText)
+            throws IOException, InvalidConfigurationException {
         Path file = folder.resolve("gw.xml");
-        Files.writeString(file, text);
+        Files.writeString(file, settingsText);
         return GatewayConfig.load(file);
     }
 
@@ -106,22 +121,22 @@
         return new RosterEntry(id, "z", "k", 0, state, 1, 1_000_000, boot);
     }
 
-    void announce(String... workers) {
+    void announce(String... workerIds) {
         List<RosterEntry> entries = new ArrayList<>();
-        for (String worker : workers) {
+        for (String worker : workerIds) {
             entries.add(entry(worker, State.UP, "b0"));
         }
-        fleet.accept(new EndpointUpdate(EndpointUpdateMode.FULL, revision++, entries));
+        endpointUpdates.accept(new EndpointUpdate(EndpointUpdateMode.FULL, revision++, entries));
     }
 
     void announceChange(RosterEntry entry) {
-        fleet.accept(new EndpointUpdate(EndpointUpdateMode.INCREMENTAL, revision++, List.of(entry)));
+        endpointUpdates.accept(new EndpointUpdate(EndpointUpdateMode.INCREMENTAL, revision++, List.of(entry)));
     }
 
-    CompletableFuture<HttpResponse<String>> call(String type, String function, int deadlineMillis) {
+    CompletableFuture<HttpResponse<String>> call(String requestClass, String function, int deadlineMillis) {
         HttpRequest request = HttpRequest.newBuilder(uri("/v1/call/" + function))
                 .timeout(Duration.ofSeconds(10))
-                .header("wh-class", type)
+                .header("wh-class", requestClass)
                 .header("wh-deadline-ms", Integer.toString(deadlineMillis))
                 .POST(HttpRequest.BodyPublishers.ofString("input"))
                 .build();
@@ -129,8 +144,8 @@
     }
 
     URI uri(String path) {
-        InetSocketAddress at = gateway.address();
-        return URI.create("http://127.0.0.1:" + at.getPort() + path);
+        InetSocketAddress address = gateway.address();
+        return URI.create("http://127.0.0.1:" + address.getPort() + path);
     }
 
     static HttpResponse<String> get(CompletableFuture<HttpResponse<String>> call) throws Exception {
@@ -145,11 +160,11 @@
         return gateway.metrics().get(name);
     }
 
-    static void await(String what, BooleanSupplier holds) throws InterruptedException {
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + 5_000_000_000L;
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("not within 5 s: " + what);
+                throw new AssertionError("condition not met within 5 s: " + description);
             }
             Thread.sleep(2);
         }
