--- a/app/src/main/java/wharfhinge/app/ReplayCommand.java
+++ b/app/src/main/java/wharfhinge/app/ReplayCommand.java
@@ -309,7 +309,7 @@
         }
         return CaptureReader.index(at).stream()
                 .filter(b -> b.names().mightContain(call))
-                .mapToLong(CaptureReader.BlockHead::lastNanos)
+                .mapToLong(CaptureReader.BlockHeader::lastNanos)
                 .max()
                 .orElse(Long.MAX_VALUE);
     }
@@ -317,7 +317,7 @@
     private Integer found() throws IOException {
         int blocks = 0;
         for (Path file : files) {
-            for (CaptureReader.BlockHead b : CaptureReader.index(file)) {
+            for (CaptureReader.BlockHeader b : CaptureReader.index(file)) {
                 if (b.names().mightContain(find)) {
                     blocks++;
                     System.out.printf(
--- a/capture/src/main/java/wharfhinge/capture/ActionRecorder.java
+++ b/capture/src/main/java/wharfhinge/capture/ActionRecorder.java
@@ -6,12 +6,12 @@
 import wharfhinge.capture.RecordedAction.Kind;
 import wharfhinge.policy.DispatcherActions;
 
-/** Records the actions of a dispatcher and passes them on to a delegate, if there is one. One thread at a time. */
+/** Records the actions of a dispatcher and passes them on to a delegate, if there is one. Not thread-safe. */
 public final class ActionRecorder implements DispatcherActions {
     private final DispatcherActions delegate;
     private List<RecordedAction> recorded = new ArrayList<>();
 
-    /** {@code doing} does it, or null where nobody does. */
+    /** {@code delegate} carries out the actions; null if they are only recorded. */
     public ActionRecorder(DispatcherActions delegate) {
         this.delegate = delegate;
     }
@@ -23,6 +23,7 @@
         return all;
     }
 
+    /** Returns whether there is a delegate to pass the action to. */
     private boolean record(Kind kind, String request, String worker, String function, String text, long number) {
         recorded.add(new RecordedAction(kind, request, worker, function, text, number, ""));
         return delegate != null;
--- a/capture/src/main/java/wharfhinge/capture/CallExplanation.java
+++ b/capture/src/main/java/wharfhinge/capture/CallExplanation.java
@@ -11,8 +11,8 @@
 import wharfhinge.policy.WorkerSnapshot;
 
 /**
- * Explains why a call was sent where it was: the dispatcher's view of each worker just before each decision on that call, and the
- * decision. The call is named by the client's id or the dispatcher's own. Not thread-safe.
+ * Explains why a call was sent to its workers: the dispatcher's view of each worker just before each decision on that call, and the
+ * decision. The call is identified by the client's id or by the dispatcher's own. Not thread-safe.
  */
 public final class CallExplanation implements Replayer.Watcher {
     private static final int MAX_CANDIDATES_SHOWN = 12;
@@ -25,12 +25,12 @@
     private List<WorkerSnapshot> workerStates = List.of();
     private long arrivedAt;
 
-    /** Explains one call. */
+    /** Explains the call with this id. */
     public CallExplanation(String wantedId) {
         this.wantedId = wantedId;
     }
 
-    /** The explanation so far; empty where the call did not occur. */
+    /** The explanation so far; empty if the call did not occur. */
     public List<String> lines() {
         return lines;
     }
@@ -118,7 +118,7 @@
                     completed.how().tookNanos() / NANOS_PER_MILLI);
         }
         if (event instanceof Event.Query) {
-            return "it came";
+            return "request received";
         }
         return event instanceof Event.Due due ? "timer " + due.token() : FrameJson.json(event);
     }
@@ -142,24 +142,25 @@
                 && loaded.stream()
                         .filter(WorkerSnapshot::belowLimit)
                         .allMatch(state -> state.inFlight() >= chosen.inFlight())) {
-            reason = "believed warm, with the fewest own calls in flight of the " + belowLimit
-                    + " warm ones that are not saturated";
+            reason = "believed loaded, with the fewest own calls in flight of the " + belowLimit
+                    + " loaded workers that are not saturated";
         } else if (chosen.loaded()) {
             reason =
-                    "believed warm; others with fewer in flight were tried before, had no free lane, or may not get it";
+                    "believed loaded; others with fewer calls in flight were tried before, had no free slot or are not eligible";
         } else if (chosen.loading()) {
             reason = "a copy is being loaded there";
         } else if (belowLimit == 0 && !loaded.isEmpty()) {
-            reason =
-                    "spilled: all " + loaded.size() + " believed warm are saturated; this one is a home of " + function;
+            reason = "all " + loaded.size() + " workers believed loaded are saturated; this is a preferred worker of "
+                    + function;
         } else {
-            reason = "no worker is believed warm with room; this one is a home of " + function;
+            reason = "no worker with capacity is believed loaded; this is a preferred worker of " + function;
         }
         lines.add("    since: " + reason);
     }
 
     private void addCandidates() {
-        lines.add("    believed then of " + workerStates.size() + " workers (warm and least loaded first):");
+        lines.add("    believed then of " + workerStates.size()
+                + " workers (those with the function loaded and fewest calls in flight first):");
         workerStates.stream()
                 .sorted(Comparator.comparing((WorkerSnapshot state) -> !state.loaded())
                         .thenComparing(state -> !state.loading())
--- a/capture/src/main/java/wharfhinge/capture/CaptureReader.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureReader.java
@@ -17,25 +17,25 @@
 import java.util.stream.Stream;
 import java.util.zip.CRC32C;
 
-/** Reads captures. Where a segment is cut or damaged, what stands before is given, and the trouble is told with its place. */
+/** Reads captures. If a segment is truncated or damaged, the frames before the fault are returned with a description of the fault. */
 public final class CaptureReader {
 
     /**
-     * What was read of one gateway.
+     * The capture of one gateway.
      *
-     * @param wallMillis   wall clock at {@code nanos} of the gateway's own clock
-     * @param faults where it was cut or damaged; a {@link Event.Gap} stands there
+     * @param wallMillis wall clock at {@code nanos} of the gateway's monotonic clock
+     * @param faults     where a segment is truncated or damaged; the frames have a {@link Event.Gap} there
      */
     public record Capture(
             String gateway, long wallMillis, long nanos, boolean hashed, List<Frame> frames, List<String> faults) {
-        /** A frame's time on the wall clock, microseconds. */
+        /** The wall-clock time of a frame in microseconds. */
         public long wallMicros(Frame frame) {
             return wallMillis * 1000 + (frame.at() - nanos) / 1000;
         }
     }
 
-    /** A block as its head tells it. */
-    public record BlockHead(
+    /** The fields of a block's header, without the content of the block. */
+    public record BlockHeader(
             Path segment,
             long offset,
             long wallMillis,
@@ -44,17 +44,18 @@
             int frames,
             NameFilter names) {}
 
-    private record Head(int version, String gateway, long wallMillis, long nanos, boolean hashed, int length) {
-        int blockHeadBytes() {
-            return 4 + CaptureFile.headBytes(version);
+    private record SegmentHeader(int version, String gateway, long wallMillis, long nanos, boolean hashed, int length) {
+        int blockHeaderBytes() {
+            return 4 + CaptureFile.headerBytes(version);
         }
     }
 
-    private static final int COUNT_AT = 4 + 8 + 8; // in a block's head after its checksum
+    private static final int FRAME_COUNT_OFFSET =
+            4 + 8 + 8; // offset of the frame count in a block header after its checksum
 
     private CaptureReader() {}
 
-    /** Segments of a folder in their order, or the one file. */
+    /** The segments of a folder in the order of writing, or the file itself. */
     public static List<Path> segments(Path at) throws IOException {
         if (!Files.isDirectory(at)) {
             return List.of(at);
@@ -66,61 +67,61 @@
         }
     }
 
-    /** Reads a file, or all segments of a folder that holds one gateway's. */
+    /** Reads a file, or all segments of a folder that contains the segments of one gateway. */
     public static Capture read(Path at) throws IOException {
         List<Frame> frames = new ArrayList<>();
         List<String> faults = new ArrayList<>();
-        Head first = null;
+        SegmentHeader first = null;
         for (Path segment : segments(at)) {
-            Head head = read(segment, frames, faults);
-            if (first != null && !first.gateway.equals(head.gateway)) {
-                throw new IOException(at + ": holds captures of " + first.gateway + " and " + head.gateway
-                        + "; name the files of one");
+            SegmentHeader header = read(segment, frames, faults);
+            if (first != null && !first.gateway.equals(header.gateway)) {
+                throw new IOException(at + ": contains captures of gateways " + first.gateway + " and " + header.gateway
+                        + "; pass the files of one gateway");
             }
-            first = first == null ? head : first;
+            first = first == null ? header : first;
         }
         if (first == null) {
-            throw new IOException(at + ": holds no capture");
+            throw new IOException(at + ": contains no capture segment");
         }
         return new Capture(first.gateway, first.wallMillis, first.nanos, first.hashed, frames, faults);
     }
 
-    private static Head read(Path segment, List<Frame> frames, List<String> faults) throws IOException {
+    private static SegmentHeader read(Path segment, List<Frame> frames, List<String> faults) throws IOException {
         try (DataInputStream in =
                 new DataInputStream(new BufferedInputStream(Files.newInputStream(segment), 1 << 16))) {
-            Head head = readHead(segment, in);
-            long offset = head.length;
+            SegmentHeader header = readSegmentHeader(segment, in);
+            long offset = header.length;
             long size = Files.size(segment);
             while (offset < size) {
                 String fault = null;
                 int length = 0;
-                if (size - offset < head.blockHeadBytes()) {
-                    fault = "cut inside a block's head";
-                } else if (in.readInt() != CaptureFile.BLOCK_MARK) {
-                    fault = "no block begins here";
+                if (size - offset < header.blockHeaderBytes()) {
+                    fault = "cut inside a block header";
+                } else if (in.readInt() != CaptureFile.BLOCK_MARKER) {
+                    fault = "no block starts here";
                 } else {
                     length = in.readInt();
-                    fault = readBlock(in, head, length, size - offset - head.blockHeadBytes(), frames);
+                    fault = readBlock(in, header, length, size - offset - header.blockHeaderBytes(), frames);
                 }
                 if (fault != null) {
                     faults.add(segment.getFileName() + " at byte " + offset + ": " + fault
-                            + "; what follows in this segment is left out");
+                            + "; the rest of this segment is skipped");
                     long at =
                             frames.isEmpty() ? 0 : frames.get(frames.size() - 1).at();
                     frames.add(new Frame(at, new Event.Gap(1), List.of(), ""));
-                    return head;
+                    return header;
                 }
-                offset += head.blockHeadBytes() + length;
+                offset += header.blockHeaderBytes() + length;
             }
-            return head;
+            return header;
         }
     }
 
-    private static Head readHead(Path segment, InputStream in) throws IOException {
+    private static SegmentHeader readSegmentHeader(Path segment, InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int character = in.read(); character != '\n'; character = in.read()) {
             if (character < 0 || line.length() > 500) {
-                throw new IOException(segment + ": no capture, its head line does not end");
+                throw new IOException(segment + ": no capture, its header line does not end");
             }
             line.append((char) character);
         }
@@ -136,7 +137,7 @@
                     + CaptureFile.VERSION_WITHOUT_FILTER + " to " + CaptureFile.VERSION
                     + "; replay it with the program that wrote it");
         }
-        return new Head(
+        return new SegmentHeader(
                 Integer.parseInt(words[1]),
                 words[2],
                 Long.parseLong(words[3]),
@@ -145,86 +146,91 @@
                 line.length() + 1);
     }
 
-    /** Null, or what is wrong with the block. */
-    private static String readBlock(DataInputStream in, Head file, int length, long left, List<Frame> frames)
-            throws IOException {
-        int crc = in.readInt();
-        byte[] head = in.readNBytes(CaptureFile.headBytes(file.version) - 8);
+    /** Reads one block. Returns null, or a description of the fault. */
+    private static String readBlock(
+            DataInputStream in, SegmentHeader file, int length, long remaining, List<Frame> frames) throws IOException {
+        int expectedChecksum = in.readInt();
+        byte[] header = in.readNBytes(CaptureFile.headerBytes(file.version) - 8);
         if (length < 0 || length > CaptureFile.MAX_BLOCK_BYTES) {
-            return "a block of " + length + " bytes";
+            return "invalid block length of " + length + " bytes";
         }
-        if (length > left) {
+        if (length > remaining) {
             return "cut inside a block";
         }
         int filterBytes = file.version == CaptureFile.VERSION_WITHOUT_FILTER
                 ? 0
-                : ByteBuffer.wrap(head).getInt(head.length - 4);
-        byte[] rest = in.readNBytes(length);
-        if (filterBytes < 0 || filterBytes > rest.length) {
+                : ByteBuffer.wrap(header).getInt(header.length - 4);
+        byte[] content = in.readNBytes(length);
+        if (filterBytes < 0 || filterBytes > content.length) {
             return "a filter of " + filterBytes + " bytes";
         }
-        byte[] packed = Arrays.copyOfRange(rest, filterBytes, rest.length);
-        CRC32C sum = new CRC32C();
-        sum.update(head);
-        sum.update(rest);
-        ByteBuffer fields = ByteBuffer.wrap(head);
-        int plain = fields.getInt(0);
-        int count = fields.getInt(COUNT_AT);
-        if ((int) sum.getValue() != crc || plain < 0 || plain > CaptureFile.MAX_BLOCK_BYTES) {
+        byte[] compressed = Arrays.copyOfRange(content, filterBytes, content.length);
+        CRC32C checksum = new CRC32C();
+        checksum.update(header);
+        checksum.update(content);
+        ByteBuffer headerFields = ByteBuffer.wrap(header);
+        int plainBytes = headerFields.getInt(0);
+        int count = headerFields.getInt(FRAME_COUNT_OFFSET);
+        if ((int) checksum.getValue() != expectedChecksum
+                || plainBytes < 0
+                || plainBytes > CaptureFile.MAX_BLOCK_BYTES) {
             return "wrong checksum";
         }
         try {
-            var block = wharfhinge.capture.wire.Block.parseFrom(Zstd.decompress(packed, plain));
+            var block = wharfhinge.capture.wire.Block.parseFrom(Zstd.decompress(compressed, plainBytes));
             List<Frame> read = new ArrayList<>();
             for (var frame : block.getFramesList()) {
                 read.add(WireCodec.read(frame));
             }
             if (read.size() != count) {
-                return read.size() + " frames where " + count + " were told";
+                return read.size() + " frames, but " + count + " in the block header";
             }
             frames.addAll(read);
             return null;
         } catch (InvalidProtocolBufferException | ZstdException e) {
-            return "not to be unpacked: " + e.getMessage();
+            return "not decodable: " + e.getMessage();
         }
     }
 
-    /** The heads of all blocks, without unpacking them: the index by time and by call. Stops where a segment is cut. */
-    public static List<BlockHead> index(Path at) throws IOException {
-        List<BlockHead> heads = new ArrayList<>();
+    /**
+     * Reads the headers of all blocks without decompressing the blocks: the index by time and by call. A segment is read up to the first
+     * truncated or malformed block.
+     */
+    public static List<BlockHeader> index(Path at) throws IOException {
+        List<BlockHeader> headers = new ArrayList<>();
         for (Path segment : segments(at)) {
             try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(segment)))) {
-                Head head = readHead(segment, in);
-                long offset = head.length;
+                SegmentHeader header = readSegmentHeader(segment, in);
+                long offset = header.length;
                 long size = Files.size(segment);
-                while (size - offset >= head.blockHeadBytes() && in.readInt() == CaptureFile.BLOCK_MARK) {
+                while (size - offset >= header.blockHeaderBytes() && in.readInt() == CaptureFile.BLOCK_MARKER) {
                     int length = in.readInt();
                     in.readInt();
                     in.readInt();
                     long first = in.readLong();
                     long last = in.readLong();
                     int frames = in.readInt();
-                    int filterBytes = head.version == CaptureFile.VERSION_WITHOUT_FILTER ? 0 : in.readInt();
+                    int filterBytes = header.version == CaptureFile.VERSION_WITHOUT_FILTER ? 0 : in.readInt();
                     if (filterBytes < 0
                             || filterBytes > CaptureFile.MAX_FILTER_BYTES
                             || length < filterBytes
-                            || size - offset - head.blockHeadBytes() < length) {
+                            || size - offset - header.blockHeaderBytes() < length) {
                         break;
                     }
                     NameFilter names = NameFilter.read(in.readNBytes(filterBytes));
-                    heads.add(new BlockHead(
+                    headers.add(new BlockHeader(
                             segment,
                             offset,
-                            head.wallMillis + (first - head.nanos) / 1_000_000,
+                            header.wallMillis + (first - header.nanos) / 1_000_000,
                             first,
                             last,
                             frames,
                             names));
                     in.skipNBytes(length - filterBytes);
-                    offset += (long) head.blockHeadBytes() + length;
+                    offset += (long) header.blockHeaderBytes() + length;
                 }
             }
         }
-        return heads;
+        return headers;
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/CaptureWriter.java
+++ b/capture/src/main/java/wharfhinge/capture/CaptureWriter.java
@@ -23,27 +23,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes frames to rolling segments in a folder, on a thread of its own. {@link #accept} never blocks: frames are handed over in
- * batches, so that the writer is woken seldom; what finds the hand-over full, or can't be written, is counted, and the next frame
- * that goes through is preceded by a {@link Event.Gap}. Segments beyond the set bytes or age are deleted, the oldest first; the one
- * being written never is.
+ * Writes frames to rolling segments in a folder, on its own thread. {@link #accept} never blocks: frames are queued in batches, which
+ * keeps wake-ups of the writer thread rare. Frames that find the queue full or that can't be written are counted as lost, and the next
+ * frame that is written is preceded by a {@link Event.Gap}. Segments beyond the byte or age limit are deleted, oldest first; the segment
+ * being written is never deleted.
  */
 public final class CaptureWriter implements Consumer<Frame>, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(CaptureWriter.class);
     private static final int BATCH_FRAMES = 256;
     private static final long MAX_BATCH_NANOS =
-            100_000_000L; // of the frames' clock; a dispatcher's own timer comes twice a second
-    private static final int MAX_QUEUED_FRAMES = 65_536; // frames
+            100_000_000L; // on the frames' clock; a dispatcher's own timer fires twice a second
+    private static final int MAX_QUEUED_FRAMES = 65_536;
     private static final int BLOCK_FRAMES = 2000;
     private static final long MAX_BLOCK_NANOS = 500_000_000L;
-    private static final int COMPRESSION_LEVEL = 1; // the fastest: writing shares the machine with calls
+    private static final int COMPRESSION_LEVEL = 1; // the fastest level: the writer shares the CPU with calls
     private static final long RETRY_NANOS = 1_000_000_000L;
 
-    /** Figures of a writer. */
-    public record Figures(long frames, long lost, long bytes, long segments) {}
+    /** Numbers of frames written and lost, of bytes written and of segments started. */
+    public record Statistics(long frames, long lost, long bytes, long segments) {}
 
-    /** Wall clock and the frames' clock, read together. */
-    private record Clocks(long wallMillis, long nanos) {}
+    /** The wall clock and the frames' clock, read at the same moment. */
+    private record ClockReading(long wallMillis, long nanos) {}
 
     private final Path folder;
     private final String gateway;
@@ -59,10 +59,10 @@
     private long segmentSize;
     private long blockStartedAt;
     private long nextRetryAt;
-    private List<Frame> batch = new ArrayList<>(BATCH_FRAMES); // the loop's thread alone, as the next
-    private long lostSinceGap; // since the last gap
-    private long lostOnDisk; // the writer's thread alone
-    private volatile Clocks clocks = new Clocks(System.currentTimeMillis(), 0);
+    private List<Frame> batch = new ArrayList<>(BATCH_FRAMES); // used by the dispatcher's thread only
+    private long lostSinceGap; // frames lost since the last gap; used by the dispatcher's thread only
+    private long lostOnDisk; // frames that couldn't be written since the last block; used by the writer thread only
+    private volatile ClockReading clocks = new ClockReading(System.currentTimeMillis(), 0);
     private volatile long frames;
     private volatile long lost;
     private volatile long bytes;
@@ -70,10 +70,10 @@
     private volatile boolean closing;
 
     /**
-     * A writer that begins at once.
+     * Starts the writer thread.
      *
-     * @param segmentBytes a segment is closed beyond so many
-     * @param maxBytes    of all segments of this gateway in the folder
+     * @param segmentBytes size beyond which a new segment is started
+     * @param maxBytes     total size of all segments of this gateway in the folder
      */
     public CaptureWriter(
             Path folder, String gateway, long segmentBytes, long maxBytes, long maxAgeMillis, boolean hashed)
@@ -89,7 +89,7 @@
         thread.start();
     }
 
-    /** Hands a frame over; the dispatcher's thread alone calls it. */
+    /** Queues a frame. Called by the dispatcher's thread only. */
     @Override
     public void accept(Frame frame) {
         if (lostSinceGap > 0 && batch.isEmpty()) {
@@ -107,36 +107,36 @@
         if (batch.isEmpty()) {
             return;
         }
-        clocks = new Clocks(
+        clocks = new ClockReading(
                 System.currentTimeMillis(), batch.get(batch.size() - 1).at());
         if (queuedFrames.get() + batch.size() <= MAX_QUEUED_FRAMES) {
             queuedFrames.addAndGet(batch.size());
             queue.add(batch);
             lostSinceGap = 0;
         } else {
-            long gone = batch.size() - (batch.get(0).event() instanceof Event.Gap ? 1 : 0);
-            lostSinceGap += gone;
-            lost += gone;
+            long lostFrames = batch.size() - (batch.get(0).event() instanceof Event.Gap ? 1 : 0);
+            lostSinceGap += lostFrames;
+            lost += lostFrames;
         }
         batch = new ArrayList<>(BATCH_FRAMES);
     }
 
-    /** What was written and lost so far. */
-    public Figures figures() {
-        return new Figures(frames, lost, bytes, segments);
+    /** Returns the statistics since the start of this writer. */
+    public Statistics statistics() {
+        return new Statistics(frames, lost, bytes, segments);
     }
 
     private void run() {
         try {
             while (!closing || !queue.isEmpty()) {
-                List<Frame> some = queue.poll(50, TimeUnit.MILLISECONDS);
-                if (some != null) {
+                List<Frame> dequeued = queue.poll(50, TimeUnit.MILLISECONDS);
+                if (dequeued != null) {
                     blockStartedAt = block.isEmpty() ? System.nanoTime() : blockStartedAt;
-                    block.addAll(some);
-                    queuedFrames.addAndGet(-some.size());
+                    block.addAll(dequeued);
+                    queuedFrames.addAndGet(-dequeued.size());
                 }
-                boolean old = !block.isEmpty() && System.nanoTime() - blockStartedAt > MAX_BLOCK_NANOS;
-                if (block.size() >= BLOCK_FRAMES || old) {
+                boolean due = !block.isEmpty() && System.nanoTime() - blockStartedAt > MAX_BLOCK_NANOS;
+                if (block.size() >= BLOCK_FRAMES || due) {
                     flush();
                 }
             }
@@ -147,7 +147,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LOG.warn("capture: {}", e.getMessage());
+            LOG.warn("capture segment can't be closed: {}", e.getMessage());
         }
     }
 
@@ -157,7 +157,7 @@
         }
         try {
             if (System.nanoTime() < nextRetryAt) {
-                throw new IOException("waiting before the next try");
+                throw new IOException("waiting before the next attempt to write");
             }
             if (lostOnDisk > 0) {
                 block.add(0, new Frame(block.get(0).at(), new Event.Gap(lostOnDisk), List.of(), ""));
@@ -167,16 +167,16 @@
             lostOnDisk = 0;
         } catch (IOException e) {
             if (System.nanoTime() >= nextRetryAt) {
-                LOG.warn("capture can't be written, a gap is marked: {}", e.getMessage());
+                LOG.warn("capture can't be written, frames are lost and marked as a gap: {}", e.getMessage());
                 nextRetryAt = System.nanoTime() + RETRY_NANOS;
             }
-            long gone = block.stream()
+            long lostFrames = block.stream()
                     .filter(f -> !(f.event() instanceof Event.Gap))
                     .count();
-            lostOnDisk += gone;
-            lost += gone;
+            lostOnDisk += lostFrames;
+            lost += lostFrames;
             close(file);
-            file = null; // a new segment: what was half written ends the old one
+            file = null; // the next block starts a new segment; the old one may end in a partial block
         }
         block.clear();
     }
@@ -195,26 +195,26 @@
         if (file == null || segmentSize > segmentBytes) {
             startSegment();
         }
-        var wire = wharfhinge.capture.wire.Block.newBuilder();
-        block.forEach(f -> wire.addFrames(WireCodec.write(f)));
-        byte[] plain = wire.build().toByteArray();
-        byte[] packed = Zstd.compress(plain, COMPRESSION_LEVEL);
+        var blockMessage = wharfhinge.capture.wire.Block.newBuilder();
+        block.forEach(f -> blockMessage.addFrames(WireCodec.write(f)));
+        byte[] plainBytes = blockMessage.build().toByteArray();
+        byte[] compressed = Zstd.compress(plainBytes, COMPRESSION_LEVEL);
         byte[] filter = NameFilter.of(namesInBlock()).bytes();
-        ByteBuffer out = ByteBuffer.allocate(4 + CaptureFile.HEAD_BYTES + filter.length + packed.length);
-        out.putInt(CaptureFile.BLOCK_MARK)
-                .putInt(filter.length + packed.length)
+        ByteBuffer out = ByteBuffer.allocate(4 + CaptureFile.HEADER_BYTES + filter.length + compressed.length);
+        out.putInt(CaptureFile.BLOCK_MARKER)
+                .putInt(filter.length + compressed.length)
                 .putInt(0)
-                .putInt(plain.length)
+                .putInt(plainBytes.length)
                 .putLong(block.get(0).at())
                 .putLong(block.get(block.size() - 1).at())
                 .putInt(block.size())
                 .putInt(filter.length)
                 .put(filter)
-                .put(packed)
+                .put(compressed)
                 .flip();
         CRC32C crc = new CRC32C();
-        crc.update(out.array(), CaptureFile.CHECKSUM_FROM, out.limit() - CaptureFile.CHECKSUM_FROM);
-        out.putInt(CaptureFile.CHECKSUM_FROM - 4, (int) crc.getValue());
+        crc.update(out.array(), CaptureFile.CHECKSUM_START, out.limit() - CaptureFile.CHECKSUM_START);
+        out.putInt(CaptureFile.CHECKSUM_START - 4, (int) crc.getValue());
         segmentSize += out.remaining();
         bytes += out.remaining();
         while (out.hasRemaining()) {
@@ -222,7 +222,7 @@
         }
     }
 
-    /** Of the calls that the block tells of: the gateway's own and the clients'. */
+    /** Ids of the calls in the block, both the gateway's and the clients'. */
     private Set<String> namesInBlock() {
         Set<String> names = new HashSet<>();
         for (Frame f : block) {
@@ -239,42 +239,43 @@
     private void startSegment() throws IOException {
         close(file);
         file = null;
-        long wall = System.currentTimeMillis();
-        Path path = folder.resolve(String.format("%s-%015d-%06d%s", gateway, wall, segments, CaptureFile.SUFFIX));
+        long segmentMillis = System.currentTimeMillis();
+        Path path =
+                folder.resolve(String.format("%s-%015d-%06d%s", gateway, segmentMillis, segments, CaptureFile.SUFFIX));
         file = FileChannel.open(path, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        Clocks both = clocks;
-        byte[] head =
-                CaptureFile.head(gateway, both.wallMillis, both.nanos, hashed).getBytes(StandardCharsets.US_ASCII);
-        file.write(ByteBuffer.wrap(head));
-        segmentSize = head.length;
-        bytes += head.length;
+        ClockReading reading = clocks;
+        byte[] headerBytes = CaptureFile.headerLine(gateway, reading.wallMillis, reading.nanos, hashed)
+                .getBytes(StandardCharsets.US_ASCII);
+        file.write(ByteBuffer.wrap(headerBytes));
+        segmentSize = headerBytes.length;
+        bytes += headerBytes.length;
         segments++;
         prune(path);
     }
 
-    /** Ages are by the wall clock, which dates the files: after a step of it segments are deleted by as much too early or too late. */
-    private void prune(Path writing) throws IOException {
-        List<Path> all;
+    /** Deletes old segments. Age is measured by the wall clock, so a clock step deletes segments that much too early or too late. */
+    private void prune(Path currentSegment) throws IOException {
+        List<Path> otherSegments;
         try (Stream<Path> files = Files.list(folder)) {
-            all = files.filter(p -> p.getFileName().toString().startsWith(gateway + '-')
+            otherSegments = files.filter(p -> p.getFileName().toString().startsWith(gateway + '-')
                             && p.toString().endsWith(CaptureFile.SUFFIX)
-                            && !p.equals(writing))
+                            && !p.equals(currentSegment))
                     .sorted()
                     .collect(Collectors.toList());
         }
-        long sum = segmentBytes;
-        for (int i = all.size() - 1; i >= 0; i--) {
-            sum += Files.size(all.get(i));
-            boolean old = System.currentTimeMillis()
-                            - Files.getLastModifiedTime(all.get(i)).toMillis()
+        long totalBytes = segmentBytes;
+        for (int i = otherSegments.size() - 1; i >= 0; i--) {
+            totalBytes += Files.size(otherSegments.get(i));
+            boolean expired = System.currentTimeMillis()
+                            - Files.getLastModifiedTime(otherSegments.get(i)).toMillis()
                     > maxAgeMillis;
-            if (sum > maxBytes || old) {
-                Files.deleteIfExists(all.get(i));
+            if (totalBytes > maxBytes || expired) {
+                Files.deleteIfExists(otherSegments.get(i));
             }
         }
     }
 
-    /** Writes what was handed over, and ends; blocks some seconds at most. Once the dispatcher's thread has made its last call. */
+    /** Writes the queued frames and stops; blocks for 5 s at most. Call it after the dispatcher's thread has made its last call. */
     @Override
     public void close() throws InterruptedException {
         enqueueBatch();
--- a/capture/src/main/java/wharfhinge/capture/ClockOffset.java
+++ b/capture/src/main/java/wharfhinge/capture/ClockOffset.java
@@ -9,16 +9,16 @@
 import wharfhinge.policy.EndpointUpdateMode;
 
 /**
- * The offset of one gateway's wall clock against another's, estimated from the endpoint updates that both received: a roster pushes
- * an update to all at about the same time. The median, since a push may be late at either. Full lists are ignored, because they come
- * when a gateway connects. Immutable.
+ * The offset of one gateway's wall clock against another's, estimated from the endpoint updates that both received: an endpoint service
+ * pushes an update to all gateways at about the same time. The estimate is the median, since a push may arrive late at either gateway.
+ * Full updates are ignored, because they are sent when a gateway connects. Immutable.
  *
- * @param offsetMicros  microseconds that the second is ahead of the first
- * @param samples  updates that both received
- * @param spreadMicros half of the samples lie within this of the estimate; lateness of pushes is in it
+ * @param offsetMicros how far the second clock is ahead of the first
+ * @param samples      number of updates that both gateways received
+ * @param spreadMicros median absolute deviation of the samples from the estimate; includes the delays of pushes
  */
 public record ClockOffset(long offsetMicros, int samples, long spreadMicros) {
-    /** Estimates the offset between two captures; empty where they share no update. */
+    /** Estimates the offset between two captures; empty if they have no update in common. */
     public static Optional<ClockOffset> estimate(Capture first, Capture second) {
         Map<Long, Long> firstSeen = firstSeenByRevision(first);
         List<Long> offsets = new ArrayList<>();
@@ -37,7 +37,7 @@
                 median(offsets.stream().map(a -> Math.abs(a - medianOffset)).toList())));
     }
 
-    /** When each revision was first received, on the wall clock; revisions may repeat after a restart of the roster. */
+    /** Wall-clock time of the first receipt of each revision; revisions may repeat after a restart of the endpoint service. */
     private static Map<Long, Long> firstSeenByRevision(Capture capture) {
         Map<Long, Long> at = new HashMap<>();
         for (Frame frame : capture.frames()) {
--- a/capture/src/main/java/wharfhinge/capture/Event.java
+++ b/capture/src/main/java/wharfhinge/capture/Event.java
@@ -11,44 +11,47 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.Request;
 
-/** What a dispatcher was told; one record for each method, and a few marks. Immutable. */
+/**
+ * An input of a dispatcher: one record for each method of {@link Dispatcher} that is recorded, and markers for the start of an incarnation,
+ * for lost frames and for client ids. The simple names of the records and their components are stored. Immutable.
+ */
 @JsonTypeInfo(use = JsonTypeInfo.Id.SIMPLE_NAME, property = "event")
 public sealed interface Event {
-    /** Tells it; what the dispatcher decides goes to the actions that it was made with. */
-    default void tell(long now, Dispatcher to) {}
+    /** Passes the event to a dispatcher, which calls the actions that it was created with. */
+    default void applyTo(long now, Dispatcher dispatcher) {}
 
-    /** The call that it is about, or null. */
+    /** The id of the call that the event concerns, or null. */
     default String request() {
         return null;
     }
 
-    /** The worker that it is about, or null. */
+    /** The id of the worker that the event concerns, or null. */
     default String worker() {
         return null;
     }
 
-    /** A new dispatcher begins; {@code number} counts those of one process. */
+    /** The start of an incarnation: a new dispatcher was created; {@code number} counts the incarnations of one process. */
     record Life(int number, long seed, DispatcherSettings settings) implements Event {}
 
-    /** So many frames were lost here. */
+    /** Marks the place where {@code lost} frames are missing. */
     record Gap(long lost) implements Event {}
 
-    /** The client's name of a call. */
+    /** The client's id {@code outer} of a call. */
     record Named(String request, String outer) implements Event {}
 
-    /** A list or its change. */
+    /** An endpoint update, full or incremental. */
     record Members(EndpointUpdateMode mode, long revision, List<Endpoint> workers) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onEndpointUpdate(now, mode, revision, workers);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onEndpointUpdate(now, mode, revision, workers);
         }
     }
 
-    /** A call. */
+    /** A call was received. */
     record Query(Request call) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onRequest(now, call);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onRequest(now, call);
         }
 
         @Override
@@ -57,59 +60,59 @@
         }
     }
 
-    /** A call that will come. */
+    /** A call was announced for prefetch. */
     record Expected(Request call) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onRequestExpected(now, call);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onRequestExpected(now, call);
         }
     }
 
-    /** It was asked; {@code warm} is what it said. */
+    /** The dispatcher was asked whether a function is cached; {@code warm} is its result. */
     record AskedWarm(String function, boolean warm) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.isCached(now, function);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.isCached(now, function);
         }
     }
 
-    /** A client left. */
+    /** A client cancelled its call. */
     record ClientLeft(String request) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onClientCancelled(now, request);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onClientCancelled(now, request);
         }
     }
 
-    /** A probe ended. */
+    /** A probe completed. */
     record Probed(String worker, Outcome outcome, long tookNanos, Map<String, Double> report) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onProbeCompleted(now, worker, outcome, tookNanos, report);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onProbeCompleted(now, worker, outcome, tookNanos, report);
         }
     }
 
-    /** A streamed answer began. */
+    /** A streamed response started. */
     record Established(String request, int attempt, String worker) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onStreamStarted(now, request, attempt, worker);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onStreamStarted(now, request, attempt, worker);
         }
     }
 
-    /** Another gateway sent bytes. */
+    /** A message from another gateway was received. */
     record Inbox(int peer, byte[] payload) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onPeerMessage(now, peer, payload);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onPeerMessage(now, peer, payload);
         }
     }
 
-    /** A timer was due. */
+    /** A timer fired. */
     record Due(String token) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onTimer(now, token);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onTimer(now, token);
         }
 
         @Override
@@ -119,11 +122,11 @@
         }
     }
 
-    /** An attempt ended. */
+    /** An attempt completed. */
     record Completed(AttemptCompletion how) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onAttemptCompleted(now, how);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onAttemptCompleted(now, how);
         }
 
         @Override
@@ -137,11 +140,11 @@
         }
     }
 
-    /** An order ended. */
+    /** A load order completed. */
     record Resident(String worker, String function, int count, Outcome outcome, long tookNanos) implements Event {
         @Override
-        public void tell(long now, Dispatcher to) {
-            to.onLoadCompleted(now, worker, function, count, outcome, tookNanos);
+        public void applyTo(long now, Dispatcher dispatcher) {
+            dispatcher.onLoadCompleted(now, worker, function, count, outcome, tookNanos);
         }
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/FailurePredicate.java
+++ b/capture/src/main/java/wharfhinge/capture/FailurePredicate.java
@@ -6,20 +6,21 @@
 import java.util.regex.Pattern;
 
 /**
- * A predicate on recorded frames, read from an expression: conditions joined by {@code and}. A condition is a kind of action with the
- * fields it must have, and the least number of occurrences: {@code attempt worker=w1 >= 3 and refuse >= 1}. Fields: {@code request}, {@code worker}, {@code
- * function}, {@code text}; {@code *} in a value stands for anything. {@code threw >= 1} counts what was thrown.
+ * A predicate on recorded frames, parsed from an expression: conditions joined by {@code and}. A condition is a kind of action, the
+ * fields it must have and the minimum number of occurrences: {@code attempt worker=w1 >= 3 and refuse >= 1}. The fields are {@code
+ * request}, {@code worker}, {@code function} and {@code text}; {@code *} in a value matches any characters. {@code threw >= 1} counts
+ * the frames whose dispatcher threw.
  */
 public final class FailurePredicate {
     private record Condition(String kind, List<String[]> fields, long minimum) {}
 
     private final List<Condition> conditions = new ArrayList<>();
 
-    /** Reads an expression. @throws IllegalArgumentException names the condition that is malformed */
+    /** Parses an expression. @throws IllegalArgumentException names the malformed condition */
     public FailurePredicate(String expression) {
         for (String text : expression.strip().split("\\s+and\\s+")) {
-            String[] sides = text.split(">=");
-            String[] words = sides[0].strip().split("\\s+");
+            String[] operands = text.split(">=");
+            String[] words = operands[0].strip().split("\\s+");
             List<String[]> fields = new ArrayList<>();
             for (int i = 1; i < words.length; i++) {
                 String[] pair = words[i].split("=", 2);
@@ -38,11 +39,11 @@
                 throw invalid(text, words[0], "threw or one of " + List.of(RecordedAction.Kind.values()));
             }
             long minimum = 1;
-            if (sides.length > 1) {
-                if (!sides[1].strip().matches("[0-9]{1,9}")) {
-                    throw invalid(text, sides[1], "a whole number");
+            if (operands.length > 1) {
+                if (!operands[1].strip().matches("[0-9]{1,9}")) {
+                    throw invalid(text, operands[1], "a whole number");
                 }
-                minimum = Long.parseLong(sides[1].strip());
+                minimum = Long.parseLong(operands[1].strip());
             }
             conditions.add(new Condition(kind, fields, minimum));
         }
@@ -54,9 +55,9 @@
     }
 
     /** Whether the actions of these frames meet every condition. */
-    public boolean matches(List<Frame> decided) {
+    public boolean matches(List<Frame> frames) {
         return conditions.stream()
-                .allMatch(t -> decided.stream().mapToLong(f -> count(f, t)).sum() >= t.minimum);
+                .allMatch(t -> frames.stream().mapToLong(f -> count(f, t)).sum() >= t.minimum);
     }
 
     private static long count(Frame frame, Condition condition) {
--- a/capture/src/main/java/wharfhinge/capture/ForwardingActions.java
+++ b/capture/src/main/java/wharfhinge/capture/ForwardingActions.java
@@ -2,11 +2,11 @@
 
 import wharfhinge.policy.DispatcherActions;
 
-/** Hands every action on; those who stand between change what they must. */
+/** Forwards every action to a delegate; subclasses override what they change. */
 public class ForwardingActions implements DispatcherActions {
     private final DispatcherActions delegate;
 
-    /** Hands on to {@code to}. */
+    /** Forwards to {@code delegate}. */
     protected ForwardingActions(DispatcherActions delegate) {
         this.delegate = delegate;
     }
--- a/capture/src/main/java/wharfhinge/capture/ForwardingDispatcher.java
+++ b/capture/src/main/java/wharfhinge/capture/ForwardingDispatcher.java
@@ -11,11 +11,11 @@
 import wharfhinge.policy.SendCondition;
 import wharfhinge.policy.WorkerSnapshot;
 
-/** Hands every event on to other decisions; those who stand before them change what they must. */
+/** Forwards every event and query to a delegate; subclasses override what they change. */
 public class ForwardingDispatcher implements Dispatcher {
     private final Dispatcher delegate;
 
-    /** Hands on to {@code to}. */
+    /** Forwards to {@code delegate}. */
     protected ForwardingDispatcher(Dispatcher delegate) {
         this.delegate = delegate;
     }
--- a/capture/src/main/java/wharfhinge/capture/Frame.java
+++ b/capture/src/main/java/wharfhinge/capture/Frame.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * An event and the actions that it led to.
+ * An event and the actions that the dispatcher took on it.
  *
- * @param at     the dispatcher's clock, nanoseconds
- * @param thrown the class of what the dispatcher threw, or empty
+ * @param at     time of the event on the dispatcher's clock, nanoseconds
+ * @param thrown name of the class that the dispatcher threw, or empty
  */
 public record Frame(
         long at, Event event, List<RecordedAction> acts, @JsonInclude(JsonInclude.Include.NON_EMPTY) String thrown) {
-    /** Nulls count as empty. */
+    /** Replaces null by an empty value. */
     public Frame {
         acts = acts == null ? List.of() : List.copyOf(acts);
         thrown = thrown == null ? "" : thrown;
--- a/capture/src/main/java/wharfhinge/capture/FrameJson.java
+++ b/capture/src/main/java/wharfhinge/capture/FrameJson.java
@@ -28,13 +28,13 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.settings.StoredNames;
 
-/** Frames as lines of JSON: what decision logs and fixtures hold. The same frame gives the same line. */
+/** Converts frames to and from lines of JSON, as in decision logs and fixtures. Equal frames give equal lines. */
 public final class FrameJson {
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
             .propertyNamingStrategy(new StoredKeys())
-            .addModule(words())
+            .addModule(storedWords())
             .build();
 
     static {
@@ -43,23 +43,23 @@
 
     private FrameJson() {}
 
-    private static SimpleModule words() {
-        SimpleModule words = new SimpleModule("stored words");
-        word(words, Outcome.class);
-        word(words, Availability.class);
-        word(words, EndpointUpdateMode.class);
-        word(words, CacheStatus.class);
-        return words;
+    private static SimpleModule storedWords() {
+        SimpleModule module = new SimpleModule("stored words");
+        addEnum(module, Outcome.class);
+        addEnum(module, Availability.class);
+        addEnum(module, EndpointUpdateMode.class);
+        addEnum(module, CacheStatus.class);
+        return module;
     }
 
-    private static <E extends Enum<E>> void word(SimpleModule words, Class<E> type) {
-        words.addSerializer(type, new StdSerializer<E>(type) {
+    private static <E extends Enum<E>> void addEnum(SimpleModule module, Class<E> type) {
+        module.addSerializer(type, new StdSerializer<E>(type) {
             @Override
             public void serialize(E constant, JsonGenerator to, SerializerProvider provider) throws IOException {
                 to.writeString(StoredNames.word(constant));
             }
         });
-        words.addDeserializer(type, new StdDeserializer<E>(type) {
+        module.addDeserializer(type, new StdDeserializer<E>(type) {
             @Override
             public E deserialize(JsonParser from, DeserializationContext context) throws IOException {
                 try {
@@ -71,7 +71,7 @@
         });
     }
 
-    /** Records are stored under the names of {@link StoredNames}. */
+    /** Names the components of records as {@link StoredNames} does. */
     private static final class StoredKeys extends PropertyNamingStrategy {
         @Override
         public String nameForField(MapperConfig<?> config, AnnotatedField field, String name) {
@@ -89,12 +89,12 @@
         }
     }
 
-    /** A frame as a line. */
+    /** Writes a frame as one line. */
     public static String line(Frame frame) {
         return json(frame);
     }
 
-    /** The frame of a line. @throws IOException where it is none */
+    /** Parses the frame of a line. @throws IOException if the line is not a frame */
     public static Frame frame(String line) throws IOException {
         return JSON.readValue(line, Frame.class);
     }
@@ -111,7 +111,7 @@
         return JSON.readValue(json, DispatcherSettings.class);
     }
 
-    /** All frames of a fixture; lines that begin with {@code #} say what it is about. */
+    /** Parses all frames of a fixture; lines that begin with {@code #} are comments. */
     public static List<Frame> fixture(List<String> lines) throws IOException {
         List<Frame> frames = new ArrayList<>();
         for (int i = 0; i < lines.size(); i++) {
--- a/capture/src/main/java/wharfhinge/capture/HashedNames.java
+++ b/capture/src/main/java/wharfhinge/capture/HashedNames.java
@@ -18,32 +18,34 @@
 import wharfhinge.policy.WorkerSnapshot;
 
 /**
- * Stands before a dispatcher and has it know functions and tenants by keyed hashes alone (HMAC-SHA-256, 16 digits), so that
- * what is captured of it holds no names and still replays: the decisions themselves go by the hashes. Gateways of one fleet
- * must have one key, for homes are derived from the name. Names are remembered to be told back in orders, {@value #MAX_KNOWN_NAMES} of
- * them; an order for one that was forgotten is left out and remarked. One thread.
+ * Wraps a dispatcher and passes it keyed hashes (HMAC-SHA-256, 16 hexadecimal digits) in place of the names of functions and tenants.
+ * Captures of the dispatcher thus contain no names and still replay, because the decisions themselves depend on the hashes. All gateways
+ * of a fleet must use the same key, since preferred workers are derived from the name. The names of the last {@value #MAX_KNOWN_NAMES}
+ * functions and tenants are kept to restore them in load orders; a load order whose name was evicted is skipped with a diagnostic.
+ * Not thread-safe.
  */
 public final class HashedNames extends ForwardingDispatcher {
     private static final int MAX_KNOWN_NAMES = 65_536;
     private static final int HASH_DIGITS = 16;
 
-    private final Table table;
+    private final NameTable table;
 
-    private HashedNames(Table table, Dispatcher to) {
-        super(to);
+    private HashedNames(NameTable table, Dispatcher delegate) {
+        super(delegate);
         this.table = table;
     }
 
-    /** Makes the dispatcher that stands behind. {@code key} is any secret; it is not kept in captures. */
-    public static HashedNames before(
-            Recorder.DispatcherConstructor maker,
+    /** Creates the wrapped dispatcher. {@code key} is any secret; it is not stored in captures. */
+    public static HashedNames wrap(
+            Recorder.DispatcherConstructor constructor,
             byte[] key,
             long now,
             long seed,
             DispatcherSettings settings,
             DispatcherActions actions) {
-        Table table = new Table(key);
-        return new HashedNames(table, maker.create(now, seed, table.hashed(settings), new Named(table, actions)));
+        NameTable table = new NameTable(key);
+        return new HashedNames(
+                table, constructor.create(now, seed, table.hashed(settings), new NameRestoringActions(table, actions)));
     }
 
     @Override
@@ -71,12 +73,12 @@
         super.onLoadCompleted(now, worker, table.hash(function), count, outcome, tookNanos);
     }
 
-    /** Tells functions by their names again. */
-    private static final class Named extends ForwardingActions {
-        private final Table table;
+    /** Restores the names of functions in actions. */
+    private static final class NameRestoringActions extends ForwardingActions {
+        private final NameTable table;
 
-        Named(Table table, DispatcherActions doing) {
-            super(doing);
+        NameRestoringActions(NameTable table, DispatcherActions delegate) {
+            super(delegate);
             this.table = table;
         }
 
@@ -84,7 +86,7 @@
         public void ensureLoaded(String worker, String function, int count) {
             String name = table.names.get(function);
             if (name == null) {
-                logDiagnostic("order for a function whose name was forgotten is left out: " + function);
+                logDiagnostic("load order skipped, since the name of the hashed function was evicted: " + function);
             } else {
                 super.ensureLoaded(worker, name, count);
             }
@@ -99,13 +101,13 @@
         }
     }
 
-    /** Names and hashes; those asked for longest ago are forgotten. */
-    private static final class Table {
+    /** Maps names to hashes and back; the least recently used entries are evicted. */
+    private static final class NameTable {
         private final Mac mac;
         private final Map<String, String> hashes = new LinkedHashMap<>(64, 0.75f, true);
         private final Map<String, String> names = new HashMap<>();
 
-        Table(byte[] key) {
+        NameTable(byte[] key) {
             try {
                 mac = Mac.getInstance("HmacSHA256");
                 mac.init(new SecretKeySpec(key, "HmacSHA256"));
@@ -135,10 +137,10 @@
         }
 
         DispatcherSettings hashed(DispatcherSettings s) {
-            List<Tenant> realms = s.tenants() == null
+            List<Tenant> hashedTenants = s.tenants() == null
                     ? null
                     : s.tenants().stream()
-                            .map(r -> new Tenant(hash(r.name()), r.share(), r.quotaPerSecond()))
+                            .map(tenant -> new Tenant(hash(tenant.name()), tenant.share(), tenant.quotaPerSecond()))
                             .toList();
             return new DispatcherSettings(
                     s.groupSize(),
@@ -152,7 +154,7 @@
                     s.priorityUnit(),
                     s.overQuotaPriorityWeight(),
                     s.classes(),
-                    realms,
+                    hashedTenants,
                     s.functionLoading(),
                     s.feedback(),
                     s.objectiveWeights(),
--- a/capture/src/main/java/wharfhinge/capture/NameFilter.java
+++ b/capture/src/main/java/wharfhinge/capture/NameFilter.java
@@ -4,13 +4,13 @@
 import java.util.Collection;
 
 /**
- * Which names a block may hold: a Bloom filter, so that a call is found among many segments without unpacking them. Never denies
- * a name that is there; admits about one in a hundred that is not. Its form is part of the captures' form. Immutable.
+ * A Bloom filter of the names in a block, by which a call is found among many segments without decompressing them. It has no false
+ * negatives and about 1% false positives. Its layout is part of the capture format. Immutable.
  */
 public final class NameFilter {
     private static final int BITS_PER_NAME = 10;
     private static final int PROBES = 7;
-    private static final NameFilter ALL = new NameFilter(new byte[0]);
+    private static final NameFilter MATCHES_ALL = new NameFilter(new byte[0]);
 
     private final byte[] bits;
 
@@ -18,7 +18,7 @@
         this.bits = bits;
     }
 
-    /** Admits these names. */
+    /** Creates a filter that contains these names. */
     static NameFilter of(Collection<String> names) {
         byte[] bits = new byte[(names.size() * BITS_PER_NAME + 7) / 8 + 1];
         for (String name : names) {
@@ -31,16 +31,16 @@
         return new NameFilter(bits);
     }
 
-    /** A filter as it stands on disk; without bytes it admits everything. */
+    /** Creates a filter from its stored bytes; an empty filter matches every name. */
     static NameFilter read(byte[] bits) {
-        return bits.length == 0 ? ALL : new NameFilter(bits);
+        return bits.length == 0 ? MATCHES_ALL : new NameFilter(bits);
     }
 
     byte[] bytes() {
         return Arrays.copyOf(bits, bits.length);
     }
 
-    /** Whether the name may be there. */
+    /** Whether the block may contain the name. */
     public boolean mightContain(String name) {
         long hash = hash(name);
         for (int i = 0; i < PROBES && bits.length > 0; i++) {
@@ -56,7 +56,7 @@
         return (int) Long.remainderUnsigned(hash + i * (hash >>> 32 | 1), bytes * 8L);
     }
 
-    /** FNV-1a, 64 bits, over UTF-16 units: in any language a few lines. */
+    /** FNV-1a, 64 bits, over UTF-16 code units: simple to implement in readers in other languages. */
     private static long hash(String name) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < name.length(); i++) {
--- a/capture/src/main/java/wharfhinge/capture/RecordedAction.java
+++ b/capture/src/main/java/wharfhinge/capture/RecordedAction.java
@@ -5,14 +5,14 @@
 /**
  * An action of a dispatcher. Fields that a kind does not use are empty or 0. Immutable.
  *
- * @param text   of REMARK, the token of TIMER
- * @param number time-out of ATTEMPT and delay of TIMER in ns, index of CANCEL, cool-down of REFUSE in ns, count of HOLD, peer of
- *               PUBLISH, 1 or 0 of LISTEN
+ * @param text   the text of REMARK, the token of TIMER
+ * @param number the timeout of ATTEMPT, delay of TIMER and Retry-After of REFUSE in ns; the attempt index of CANCEL, the count of HOLD,
+ *               the peer of PUBLISH; 1 (on) or 0 (off) for LISTEN
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
 public record RecordedAction(
         Kind kind, String request, String worker, String function, String text, long number, String payload) {
-    /** The methods of {@link wharfhinge.policy.DispatcherActions}. */
+    /** One constant for each method of {@link wharfhinge.policy.DispatcherActions}; the names are stored. */
     public enum Kind {
         ATTEMPT,
         CANCEL,
@@ -29,7 +29,7 @@
         REMARK
     }
 
-    /** Nulls count as empty. */
+    /** Replaces null by an empty value. */
     public RecordedAction {
         request = request == null ? "" : request;
         worker = worker == null ? "" : worker;
@@ -38,7 +38,7 @@
         payload = payload == null ? "" : payload;
     }
 
-    /** In a line, for people. */
+    /** Formats the action as one readable line. */
     public String line() {
         StringBuilder line = new StringBuilder(kind.name().toLowerCase(java.util.Locale.ROOT));
         for (String word : new String[] {request, worker, function, text, payload}) {
--- a/capture/src/main/java/wharfhinge/capture/Recorder.java
+++ b/capture/src/main/java/wharfhinge/capture/Recorder.java
@@ -14,8 +14,8 @@
 import wharfhinge.policy.SendCondition;
 
 /**
- * Records the events and actions of a dispatcher, in order. Each frame goes to {@code sink} once the dispatcher has returned or
- * thrown; the sink must not block. One thread at a time.
+ * Records the events and actions of a dispatcher, in order. Each frame is passed to {@code sink} once the dispatcher has returned or
+ * thrown; the sink must not block. Not thread-safe.
  */
 public final class Recorder implements Dispatcher {
     private final Dispatcher delegate;
@@ -24,29 +24,29 @@
 
     /** Creates a dispatcher. */
     public interface DispatcherConstructor {
-        /** A dispatcher without any state. */
+        /** Creates a dispatcher without any state. */
         Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
     }
 
     /** Creates the dispatcher that is recorded; its construction is the first frame. */
     public Recorder(
-            DispatcherConstructor maker,
+            DispatcherConstructor constructor,
             long now,
-            int life,
+            int incarnation,
             long seed,
             DispatcherSettings settings,
             DispatcherActions actions,
             Consumer<Frame> sink) {
         this.sink = sink;
         this.actions = new ActionRecorder(actions);
-        this.delegate = maker.create(now, seed, settings, this.actions);
-        sink.accept(new Frame(now, new Event.Life(life, seed, settings), this.actions.drain(), ""));
+        this.delegate = constructor.create(now, seed, settings, this.actions);
+        sink.accept(new Frame(now, new Event.Life(incarnation, seed, settings), this.actions.drain(), ""));
     }
 
     private void record(long now, Event event) {
         String thrown = "";
         try {
-            event.tell(now, delegate);
+            event.applyTo(now, delegate);
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
             thrown = e.getClass().getName();
             throw e;
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Records the client's id of the call that comes next. */
+    /** Records the client's id of the call that is received next. */
     public void named(long now, String request, String outer) {
         sink.accept(new Frame(now, new Event.Named(request, outer), List.of(), ""));
     }
@@ -65,8 +65,9 @@
         record(now, new Event.Members(mode, revision, List.copyOf(entries)));
     }
 
-    // The next four are handed on and not recorded: captures have no form for them, and a source that tells them has no
-    // captures.
+    // The next four methods forward without recording: the capture format has no events for them, and endpoint sources
+    // that call them
+    // are not captured.
 
     @Override
     public void onEndpointsConfirmed(long now, long at) {
@@ -130,9 +131,9 @@
 
     @Override
     public boolean isCached(long now, String function) {
-        boolean warm = delegate.isCached(now, function);
-        sink.accept(new Frame(now, new Event.AskedWarm(function, warm), actions.drain(), ""));
-        return warm;
+        boolean cached = delegate.isCached(now, function);
+        sink.accept(new Frame(now, new Event.AskedWarm(function, cached), actions.drain(), ""));
+        return cached;
     }
 
     @Override
--- a/capture/src/main/java/wharfhinge/capture/Replayer.java
+++ b/capture/src/main/java/wharfhinge/capture/Replayer.java
@@ -16,10 +16,10 @@
 public final class Replayer {
     private static final int CONTEXT_FRAMES = 10;
 
-    /** The first difference. */
+    /** The first frame whose replayed actions differ from the captured ones, with the frames before it. */
     public record Difference(
             long index, Frame captured, List<RecordedAction> replayed, String thrown, List<Frame> before) {
-        /** A description for people. */
+        /** Describes the difference in readable lines. */
         public List<String> lines() {
             List<String> lines = new ArrayList<>();
             lines.add("frame " + index + " differs; the " + before.size() + " frames before it:");
@@ -38,22 +38,22 @@
     /**
      * The result of a replay.
      *
-     * @param compared frames whose decisions were compared
+     * @param compared frames whose actions were compared
      * @param skipped  frames after a gap, before the next incarnation
-     * @param gaps     frames lost, as far as the capture says
+     * @param gaps     lost frames, as counted by the gaps in the capture
      */
     public record Result(Difference difference, long compared, long skipped, long incarnations, long gaps) {}
 
     /** Observes each frame as it is replayed. */
     public interface Watcher {
-        /** Before the event is replayed; {@code dispatcher} is null before an incarnation starts. */
+        /** Before the event is replayed; {@code dispatcher} is null outside an incarnation. */
         void before(long index, Frame frame, Dispatcher dispatcher);
 
         /** After the event was replayed, with the resulting actions. */
         default void after(long index, Frame frame, List<RecordedAction> replayed) {}
     }
 
-    private final Recorder.DispatcherConstructor maker;
+    private final Recorder.DispatcherConstructor constructor;
     private final UnaryOperator<DispatcherSettings> settings;
 
     /** Replays into {@link CacheAwareDispatcher}. */
@@ -62,29 +62,29 @@
     }
 
     /** Replays into another dispatcher, or with other settings. */
-    public Replayer(Recorder.DispatcherConstructor maker, UnaryOperator<DispatcherSettings> settings) {
-        this.maker = maker;
+    public Replayer(Recorder.DispatcherConstructor constructor, UnaryOperator<DispatcherSettings> settings) {
+        this.constructor = constructor;
         this.settings = settings;
     }
 
     /**
      * Replays until the first difference.
      *
-     * @param untilNanos frames later than this on the capture's clock are left out
-     * @param watcher may be null
+     * @param untilNanos replay stops at the first frame later than this on the capture's clock
+     * @param watcher    may be null
      */
     public Result replay(List<Frame> frames, long untilNanos, Watcher watcher) {
         return run(frames, untilNanos, watcher, true);
     }
 
-    /** Replays to the end whatever differs; what was captured is not compared. */
+    /** Replays to the end without comparing with the captured actions. */
     public Result counterfactual(List<Frame> frames, long untilNanos, Watcher watcher) {
         return run(frames, untilNanos, watcher, false);
     }
 
     private Result run(List<Frame> frames, long untilNanos, Watcher watcher, boolean compare) {
         Dispatcher dispatcher = null;
-        ActionRecorder acts = new ActionRecorder(null);
+        ActionRecorder actions = new ActionRecorder(null);
         Deque<Frame> before = new ArrayDeque<>();
         long compared = 0;
         long skipped = 0;
@@ -104,8 +104,8 @@
                 dispatcher = null;
                 continue;
             } else if (frame.event() instanceof Event.Life life) {
-                acts = new ActionRecorder(null);
-                dispatcher = maker.create(frame.at(), life.seed(), settings.apply(life.settings()), acts);
+                actions = new ActionRecorder(null);
+                dispatcher = constructor.create(frame.at(), life.seed(), settings.apply(life.settings()), actions);
                 incarnations++;
             } else if (dispatcher == null) {
                 skipped++;
@@ -113,14 +113,14 @@
             } else {
                 thrown = replayEvent(frame, dispatcher);
             }
-            List<RecordedAction> decided = acts.drain();
+            List<RecordedAction> replayedActions = actions.drain();
             if (watcher != null) {
-                watcher.after(i, frame, decided);
+                watcher.after(i, frame, replayedActions);
             }
             compared++;
-            if (compare && (!decided.equals(frame.acts()) || !thrown.equals(frame.thrown()))) {
+            if (compare && (!replayedActions.equals(frame.acts()) || !thrown.equals(frame.thrown()))) {
                 return new Result(
-                        new Difference(i, frame, decided, thrown, List.copyOf(before)),
+                        new Difference(i, frame, replayedActions, thrown, List.copyOf(before)),
                         compared,
                         skipped,
                         incarnations,
@@ -136,7 +136,7 @@
 
     private static String replayEvent(Frame frame, Dispatcher dispatcher) {
         try {
-            frame.event().tell(frame.at(), dispatcher);
+            frame.event().applyTo(frame.at(), dispatcher);
             return "";
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
             return e.getClass().getName();
--- a/capture/src/main/java/wharfhinge/capture/TraceMinimizer.java
+++ b/capture/src/main/java/wharfhinge/capture/TraceMinimizer.java
@@ -10,22 +10,22 @@
 
 /**
  * Minimizes one incarnation of a capture to the fewest workers, calls and other events that still reproduce a failure when they are
- * replayed: delta debugging (Zeller and Hildebrandt, 2002) over calls first, then workers, then single frames. The remaining trace
- * stands by itself: its actions are those of a dispatcher that received only these events. Results of attempts that the shorter
- * trace never sends are harmless, the dispatcher ignores them. Not thread-safe; bounded by a number of replays.
+ * replayed: delta debugging (Zeller and Hildebrandt, 2002) over calls first, then workers, then single frames. The minimized trace is
+ * self-contained: its actions are those of a dispatcher that received only these events. Results of attempts that the minimized
+ * trace never sends are harmless because the dispatcher ignores them. Not thread-safe. The number of replays is limited.
  */
 public final class TraceMinimizer {
     private final Predicate<List<Frame>> predicate;
     private final int maxReplays;
     private int replays;
 
-    /** A minimizer that replays at most {@code maxReplays} times; {@code predicate} gets frames with the actions of a replay. */
+    /** Replays at most {@code maxReplays} times; {@code predicate} receives the frames with the actions of their replay. */
     public TraceMinimizer(Predicate<List<Frame>> predicate, int maxReplays) {
         this.predicate = predicate;
         this.maxReplays = maxReplays;
     }
 
-    /** The number of replays so far. */
+    /** Returns the number of replays so far. */
     public int replays() {
         return replays;
     }
@@ -33,7 +33,7 @@
     /**
      * Minimizes the first incarnation that reproduces the failure; the frames hold the actions of their replay.
      *
-     * @throws IllegalArgumentException where no incarnation reproduces it
+     * @throws IllegalArgumentException if no incarnation reproduces the failure
      */
     public List<Frame> minimize(List<Frame> frames) {
         for (List<Frame> incarnation : incarnations(frames)) {
@@ -45,62 +45,65 @@
     }
 
     private static List<List<Frame>> incarnations(List<Frame> frames) {
-        List<List<Frame>> lives = new ArrayList<>();
-        boolean whole = false;
+        List<List<Frame>> found = new ArrayList<>();
+        boolean complete = false;
         for (Frame frame : frames) {
             if (frame.event() instanceof Event.Life) {
-                lives.add(new ArrayList<>());
-                whole = true;
+                found.add(new ArrayList<>());
+                complete = true;
             }
-            whole &= !(frame.event() instanceof Event.Gap);
-            if (whole) {
-                lives.get(lives.size() - 1).add(frame);
+            complete &= !(frame.event() instanceof Event.Gap);
+            if (complete) {
+                found.get(found.size() - 1).add(frame);
             }
         }
-        return lives;
+        return found;
     }
 
     private List<Frame> minimizeIncarnation(List<Frame> incarnation) {
         List<Frame> trace = shortestPrefix(incarnation);
         for (int before = trace.size() + 1; trace.size() < before; ) {
             before = trace.size();
-            List<Frame> now = trace;
+            List<Frame> current = trace;
             Set<String> calls = new LinkedHashSet<>();
-            now.stream()
+            current.stream()
                     .map(frame -> frame.event().request())
                     .filter(r -> r != null)
                     .forEach(calls::add);
-            trace = deltaDebug(now, new ArrayList<>(calls), kept -> now.stream()
+            trace = deltaDebug(current, new ArrayList<>(calls), kept -> current.stream()
                     .filter(frame -> frame.event().request() == null
                             || kept.contains(frame.event().request()))
                     .toList());
-            List<Frame> withFewerCalls = trace;
+            List<Frame> traceOfFewerCalls = trace;
             Set<String> workers = new LinkedHashSet<>();
-            withFewerCalls.forEach(frame -> {
+            traceOfFewerCalls.forEach(frame -> {
                 if (frame.event() instanceof Event.Members update) {
                     update.workers().forEach(w -> workers.add(w.id()));
                 }
             });
-            trace = deltaDebug(withFewerCalls, new ArrayList<>(workers), kept -> withFewerCalls.stream()
+            trace = deltaDebug(traceOfFewerCalls, new ArrayList<>(workers), kept -> traceOfFewerCalls.stream()
                     .filter(frame -> frame.event().worker() == null
                             || kept.contains(frame.event().worker()))
                     .map(frame -> keepWorkers(frame, kept))
                     .toList());
-            List<Frame> withFewerWorkers = trace;
-            List<Integer> places = new ArrayList<>();
-            for (int i = 1; i < withFewerWorkers.size(); i++) {
-                places.add(i);
+            List<Frame> traceOfFewerWorkers = trace;
+            List<Integer> positions = new ArrayList<>();
+            for (int i = 1; i < traceOfFewerWorkers.size(); i++) {
+                positions.add(i);
             }
-            trace = deltaDebug(withFewerWorkers, places, kept -> {
-                List<Frame> selected = new ArrayList<>(List.of(withFewerWorkers.get(0)));
-                kept.forEach(i -> selected.add(withFewerWorkers.get(i)));
+            trace = deltaDebug(traceOfFewerWorkers, positions, kept -> {
+                List<Frame> selected = new ArrayList<>(List.of(traceOfFewerWorkers.get(0)));
+                kept.forEach(i -> selected.add(traceOfFewerWorkers.get(i)));
                 return selected;
             });
         }
         return trace;
     }
 
-    /** The shortest prefix that reproduces it, by binary search: a longer prefix need not, so the result is not minimal for sure. */
+    /**
+     * Finds a short prefix that reproduces the failure by binary search. The result need not be the shortest one, because a prefix may
+     * reproduce the failure although a longer prefix does not.
+     */
     private List<Frame> shortestPrefix(List<Frame> incarnation) {
         int reproducing = incarnation.size();
         int tooShort = 1;
@@ -132,7 +135,7 @@
         List<Frame> framesWith(Set<T> kept);
     }
 
-    /** The ddmin algorithm: removes ever smaller parts while the rest still reproduces the failure. */
+    /** The ddmin algorithm: removes smaller and smaller parts as long as the rest still reproduces the failure. */
     private <T> List<Frame> deltaDebug(List<Frame> trace, List<T> all, Subset<T> subset) {
         List<T> kept = new ArrayList<>(all);
         int parts = 2;
@@ -160,24 +163,24 @@
         return replays++ < maxReplays && predicate.test(replayed(trace));
     }
 
-    /** The same events with the actions of their replay. */
+    /** Replays the events and returns them with the actions of the replay. */
     public static List<Frame> replayed(List<Frame> trace) {
-        List<Frame> decided = new ArrayList<>();
+        List<Frame> replayedFrames = new ArrayList<>();
         new Replayer().counterfactual(trace, Long.MAX_VALUE, new Replayer.Watcher() {
             @Override
             public void before(long index, Frame frame, wharfhinge.policy.Dispatcher dispatcher) {}
 
             @Override
             public void after(long index, Frame frame, List<RecordedAction> replayed) {
-                decided.add(new Frame(frame.at(), frame.event(), replayed, ""));
+                replayedFrames.add(new Frame(frame.at(), frame.event(), replayed, ""));
             }
         });
-        return decided;
+        return replayedFrames;
     }
 
-    /** The lines of a fixture: a comment with what it shows, then its frames. */
-    public static List<String> fixtureLines(String about, List<Frame> frames) {
-        List<String> lines = new ArrayList<>(List.of("# " + about.replace('\n', ' ')));
+    /** Returns the lines of a fixture: a comment that describes it, then its frames. */
+    public static List<String> fixtureLines(String description, List<Frame> frames) {
+        List<String> lines = new ArrayList<>(List.of("# " + description.replace('\n', ' ')));
         lines.addAll(frames.stream().map(FrameJson::line).collect(Collectors.toList()));
         return lines;
     }
--- a/capture/src/main/java/wharfhinge/capture/WireCodec.java
+++ b/capture/src/main/java/wharfhinge/capture/WireCodec.java
@@ -16,7 +16,7 @@
 import wharfhinge.policy.Request;
 import wharfhinge.settings.StoredNames;
 
-/** Frames to and from their form on disk, {@code capture.proto}. */
+/** Converts frames to and from the messages of {@code capture.proto}. */
 final class WireCodec {
 
     private WireCodec() {}
@@ -148,9 +148,9 @@
     }
 
     /**
-     * A frame from its form on disk.
+     * Converts a stored message to a frame.
      *
-     * @throws IOException where a later version wrote what this one does not know
+     * @throws IOException if a later version wrote an event or a word that this version does not know
      */
     static Frame read(wharfhinge.capture.wire.Frame f) throws IOException {
         List<RecordedAction> acts = new ArrayList<>();
@@ -167,7 +167,7 @@
             }
             return new Frame(f.getAtNs(), event(f), acts, f.getThrown());
         } catch (IllegalArgumentException e) {
-            throw new IOException("a word that this version does not know: " + e.getMessage());
+            throw new IOException("unknown word, written by a later version: " + e.getMessage());
         }
     }
 
@@ -217,7 +217,7 @@
                     f.getResident().getCount(),
                     StoredNames.constant(Outcome.class, f.getResident().getOutcome()),
                     f.getResident().getTookNs());
-            case EVENT_NOT_SET -> throw new IOException("an event that this version does not know");
+            case EVENT_NOT_SET -> throw new IOException("unknown event, written by a later version");
         };
     }
 
--- a/capture/src/main/java/wharfhinge/capture/package-info.java
+++ b/capture/src/main/java/wharfhinge/capture/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a dispatcher was told and what it decided: written as it runs, read back, replayed into a fresh one, explained, cut
- * down. {@code docs/design/capture.md} weighs it, {@code docs/protocol-capture.md} is the form on disk.
+ * Records the events and actions of a running dispatcher in captures; reads captures, replays them into a new dispatcher, explains the
+ * decisions on a call and minimizes a failing trace. {@code docs/design/capture.md} explains the design, {@code docs/protocol-capture.md}
+ * specifies the file format.
  */
 package wharfhinge.capture;
--- a/capture/src/test/java/wharfhinge/capture/CaptureTest.java
+++ b/capture/src/test/java/wharfhinge/capture/CaptureTest.java
@@ -30,13 +30,13 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.Request;
 
-/** Captures on disk, whole and broken, and what is done with them. */
+/** Writes captures, reads intact and damaged ones, and replays, explains and minimizes them. */
 @Timeout(60)
 class CaptureTest {
     @TempDir
     private Path folder;
 
-    private Path written(List<Frame> frames, long segmentBytes) throws Exception {
+    private Path write(List<Frame> frames, long segmentBytes) throws Exception {
         Path at = Files.createTempDirectory(folder, "c");
         try (CaptureWriter writer = new CaptureWriter(at, "gw", segmentBytes, 1 << 30, 1 << 30, false)) {
             frames.forEach(writer);
@@ -49,45 +49,45 @@
     }
 
     @ParameterizedTest
-    @EnumSource(SmallFleet.Trouble.class)
-    void whatWasCapturedIsDecidedAgain(SmallFleet.Trouble trouble) throws Exception {
-        List<Frame> story = SmallFleet.story(7, trouble, 120);
-        assertTrue(story.size() > 400, "a story with something in it: " + story.size());
-        CaptureReader.Capture capture = CaptureReader.read(written(story, 1 << 20));
+    @EnumSource(SmallFleet.Fault.class)
+    void storedCapture_replaysWithoutDifference(SmallFleet.Fault fault) throws Exception {
+        List<Frame> recorded = SmallFleet.recordFrames(7, fault, 120);
+        assertTrue(recorded.size() > 400, "too few frames: " + recorded.size());
+        CaptureReader.Capture capture = CaptureReader.read(write(recorded, 1 << 20));
         assertEquals(List.of(), capture.faults());
-        assertEquals(lines(story), lines(capture.frames()), "nothing is lost or changed on the way to disk and back");
+        assertEquals(lines(recorded), lines(capture.frames()), "frames read back differ from the written ones");
         Replayer.Result result = new Replayer().replay(capture.frames(), Long.MAX_VALUE, null);
         assertNull(
                 result.difference(), () -> String.join("\n", result.difference().lines()));
-        assertEquals(story.size(), result.compared());
+        assertEquals(recorded.size(), result.compared());
         assertEquals(
-                lines(TraceMinimizer.replayed(story)),
+                lines(TraceMinimizer.replayed(recorded)),
                 lines(TraceMinimizer.replayed(capture.frames())),
-                "twice the same, byte for byte");
+                "replays of the original and of the stored frames differ");
     }
 
     @Test
-    void theFirstDifferenceIsShownWithWhatCameBefore() throws Exception {
-        List<Frame> story = new ArrayList<>(SmallFleet.story(7, SmallFleet.Trouble.NONE, 60));
+    void difference_isReportedWithPrecedingFrames() throws Exception {
+        List<Frame> recorded = new ArrayList<>(SmallFleet.recordFrames(7, SmallFleet.Fault.NONE, 60));
         int at = 0;
         for (int i = 100; at == 0; i++) {
-            at = story.get(i).acts().stream().anyMatch(a -> a.kind() == RecordedAction.Kind.ATTEMPT) ? i : 0;
+            at = recorded.get(i).acts().stream().anyMatch(a -> a.kind() == RecordedAction.Kind.ATTEMPT) ? i : 0;
         }
-        Frame f = story.get(at);
-        story.set(at, new Frame(f.at(), f.event(), List.of(), ""));
+        Frame f = recorded.get(at);
+        recorded.set(at, new Frame(f.at(), f.event(), List.of(), ""));
         Replayer.Difference difference =
-                new Replayer().replay(story, Long.MAX_VALUE, null).difference();
+                new Replayer().replay(recorded, Long.MAX_VALUE, null).difference();
         assertEquals(at, difference.index());
         assertEquals(10, difference.before().size());
         assertTrue(String.join("\n", difference.lines()).contains("attempt c"));
     }
 
     @Test
-    void aCaptureThatIsCutInsideABlockGivesWhatStandsBefore() throws Exception {
-        List<Frame> story = SmallFleet.story(3, SmallFleet.Trouble.NONE, 400);
-        Path segment = CaptureReader.segments(written(story, 1 << 20)).get(0);
+    void truncatedSegment_keepsFramesBeforeTheCut() throws Exception {
+        List<Frame> recorded = SmallFleet.recordFrames(3, SmallFleet.Fault.NONE, 400);
+        Path segment = CaptureReader.segments(write(recorded, 1 << 20)).get(0);
         byte[] bytes = Files.readAllBytes(segment);
-        Files.write(segment, Arrays.copyOf(bytes, bytes.length - 100)); // as a killed process leaves it
+        Files.write(segment, Arrays.copyOf(bytes, bytes.length - 100)); // as if the process was killed while writing
         CaptureReader.Capture capture = CaptureReader.read(segment);
         assertTrue(
                 capture.faults().get(0).contains("cut inside a block"),
@@ -100,9 +100,9 @@
     }
 
     @Test
-    void aFlippedBitIsFoundWhereverItIs() throws Exception {
-        List<Frame> story = SmallFleet.story(3, SmallFleet.Trouble.NONE, 100);
-        Path segment = CaptureReader.segments(written(story, 1 << 20)).get(0);
+    void flippedBit_isReportedAsFault() throws Exception {
+        List<Frame> recorded = SmallFleet.recordFrames(3, SmallFleet.Fault.NONE, 100);
+        Path segment = CaptureReader.segments(write(recorded, 1 << 20)).get(0);
         byte[] bytes = Files.readAllBytes(segment);
         int head = new String(bytes, 0, 200, java.nio.charset.StandardCharsets.ISO_8859_1).indexOf('\n') + 1;
         for (int at : new int[] {head, head + 5, head + 9, head + 14, head + 60, bytes.length - 3}) {
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void anotherVersionAndWhatIsNoCaptureAreRefusedByName() throws Exception {
+    void unknownVersionOrFormat_isRejectedWithReason() throws Exception {
         Path file = folder.resolve("old.whcap");
         Files.writeString(file, "wharfhinge-capture 0 gw 1 2 plain\n");
         assertTrue(assertThrows(IOException.class, () -> CaptureReader.read(file))
@@ -131,9 +131,9 @@
     }
 
     @Test
-    void whatFindsNoRoomIsCountedAndMarkedAndTheReplayGoesOnAtTheNextLife() throws Exception {
-        List<Frame> one = SmallFleet.story(3, SmallFleet.Trouble.NONE, 40);
-        List<Frame> two = SmallFleet.story(4, SmallFleet.Trouble.NONE, 40);
+    void gap_skipsFramesUntilTheNextIncarnation() throws Exception {
+        List<Frame> one = SmallFleet.recordFrames(3, SmallFleet.Fault.NONE, 40);
+        List<Frame> two = SmallFleet.recordFrames(4, SmallFleet.Fault.NONE, 40);
         List<Frame> all = new ArrayList<>(one.subList(0, 100));
         all.add(new Frame(0, new Event.Gap(17), List.of(), ""));
         all.addAll(one.subList(117, one.size()));
@@ -146,23 +146,23 @@
     }
 
     @Test
-    void aDiskThatCantBeWrittenLosesFramesButNeverHoldsTheLoop() throws Exception {
+    void unwritableFolder_countsLostFramesAndNeverBlocks() throws Exception {
         Path at = folder.resolve("gone");
         try (CaptureWriter writer = new CaptureWriter(at, "gw", 1 << 20, 1 << 30, 1 << 30, false)) {
-            Files.delete(at); // no segment can be made here
-            List<Frame> story = SmallFleet.story(3, SmallFleet.Trouble.NONE, 100);
-            story.forEach(writer);
+            Files.delete(at); // no segment can be created here
+            List<Frame> recorded = SmallFleet.recordFrames(3, SmallFleet.Fault.NONE, 100);
+            recorded.forEach(writer);
             long end = System.nanoTime() + 10_000_000_000L;
-            while (writer.figures().lost() < story.size() - 256
-                    && System.nanoTime() < end) { // a batch is still in hand
+            while (writer.statistics().lost() < recorded.size() - 256
+                    && System.nanoTime() < end) { // the last batch may not be queued yet
                 Thread.sleep(5);
             }
             assertTrue(
-                    writer.figures().lost() >= story.size() - 256,
-                    writer.figures().toString());
+                    writer.statistics().lost() >= recorded.size() - 256,
+                    writer.statistics().toString());
             Files.createDirectory(at);
-            Thread.sleep(1100); // the writer's own pause before it tries again
-            SmallFleet.story(4, SmallFleet.Trouble.NONE, 40).forEach(writer);
+            Thread.sleep(1100); // the writer waits 1 s before it tries again
+            SmallFleet.recordFrames(4, SmallFleet.Fault.NONE, 40).forEach(writer);
         }
         Replayer.Result result = new Replayer().replay(CaptureReader.read(at).frames(), Long.MAX_VALUE, null);
         assertNull(result.difference());
@@ -170,11 +170,11 @@
     }
 
     @Test
-    void segmentsRollAndTheOldestGo() throws Exception {
+    void segments_rollAndOldestAreDeleted() throws Exception {
         Path at = folder.resolve("small");
         try (CaptureWriter writer = new CaptureWriter(at, "gw", 4000, 20_000, 1 << 30, false)) {
             for (int i = 0; i < 12; i++) {
-                SmallFleet.story(i, SmallFleet.Trouble.NONE, 60).forEach(writer);
+                SmallFleet.recordFrames(i, SmallFleet.Fault.NONE, 60).forEach(writer);
                 Thread.sleep(60);
             }
             Thread.sleep(700);
@@ -183,14 +183,14 @@
         for (Path segment : CaptureReader.segments(at)) {
             bytes += Files.size(segment);
         }
-        assertTrue(bytes < 60_000, "bounded: " + bytes);
+        assertTrue(bytes < 60_000, "bytes on disk: " + bytes);
         assertTrue(CaptureReader.index(at).size() >= 1);
-        CaptureReader.BlockHead head = CaptureReader.index(at).get(0);
-        assertTrue(head.lastNanos() >= head.firstNanos() && head.frames() > 0);
+        CaptureReader.BlockHeader header = CaptureReader.index(at).get(0);
+        assertTrue(header.lastNanos() >= header.firstNanos() && header.frames() > 0);
     }
 
-    /** What an earlier program wrote, whose blocks had no filter of names. */
-    private static byte[] unfiltered(byte[] bytes) {
+    /** Converts a segment to format version 1, whose blocks have no name filter. */
+    private static byte[] toVersion1(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         ByteBuffer to = ByteBuffer.allocate(bytes.length);
         String line = new String(bytes, 0, 200, StandardCharsets.ISO_8859_1);
@@ -220,86 +220,87 @@
     }
 
     @Test
-    void whatTheFormerVersionWroteIsRead() throws Exception {
-        List<Frame> story = SmallFleet.story(3, SmallFleet.Trouble.NONE, 300);
-        Path segment = CaptureReader.segments(written(story, 1 << 20)).get(0);
-        Files.write(segment, unfiltered(Files.readAllBytes(segment)));
+    void version1Segment_isRead() throws Exception {
+        List<Frame> recorded = SmallFleet.recordFrames(3, SmallFleet.Fault.NONE, 300);
+        Path segment = CaptureReader.segments(write(recorded, 1 << 20)).get(0);
+        Files.write(segment, toVersion1(Files.readAllBytes(segment)));
         assertEquals(List.of(), CaptureReader.read(segment).faults());
-        assertEquals(lines(story), lines(CaptureReader.read(segment).frames()));
+        assertEquals(lines(recorded), lines(CaptureReader.read(segment).frames()));
         assertTrue(
                 CaptureReader.index(segment).stream().allMatch(b -> b.names().mightContain("anything")),
-                "it had no index by call");
+                "an absent filter must match every name");
         assertTrue(CaptureReader.index(segment).size() >= 1);
     }
 
     @Test
-    void aCallIsFoundByTheIndexOfNamesAlone() throws Exception {
-        List<Frame> story = SmallFleet.story(3, SmallFleet.Trouble.NONE, 4000);
-        Path at = written(story, 1 << 30);
-        List<CaptureReader.BlockHead> index = CaptureReader.index(at);
-        assertTrue(index.size() > 5, "blocks: " + index + " of " + story.size());
+    void nameFilter_findsTheBlocksOfACall() throws Exception {
+        List<Frame> recorded = SmallFleet.recordFrames(3, SmallFleet.Fault.NONE, 4000);
+        Path at = write(recorded, 1 << 30);
+        List<CaptureReader.BlockHeader> index = CaptureReader.index(at);
+        assertTrue(index.size() > 5, "blocks: " + index + " of " + recorded.size());
         assertEquals(
-                story.size(),
-                index.stream().mapToInt(CaptureReader.BlockHead::frames).sum());
+                recorded.size(),
+                index.stream().mapToInt(CaptureReader.BlockHeader::frames).sum());
         for (String name : List.of("c7", "client-7", "client-3999")) {
-            List<CaptureReader.BlockHead> found =
+            List<CaptureReader.BlockHeader> found =
                     index.stream().filter(b -> b.names().mightContain(name)).toList();
-            long told = story.stream()
+            long namedAt = recorded.stream()
                     .filter(f -> f.event() instanceof Event.Named n
                             && (n.outer().equals(name) || n.request().equals(name)))
                     .mapToLong(Frame::at)
                     .findFirst()
                     .orElseThrow();
-            assertTrue(found.stream().anyMatch(b -> b.firstNanos() <= told && told <= b.lastNanos()), name);
+            assertTrue(found.stream().anyMatch(b -> b.firstNanos() <= namedAt && namedAt <= b.lastNanos()), name);
             assertTrue(found.size() <= 2, name + " in " + found.size() + " of " + index.size());
         }
-        long vain = java.util.stream.IntStream.range(0, 1000)
+        long falsePositives = java.util.stream.IntStream.range(0, 1000)
                 .filter(i -> index.get(0).names().mightContain("none-" + i))
                 .count();
-        assertTrue(vain < 40, "admitted in vain: " + vain);
+        assertTrue(falsePositives < 40, "false positives: " + falsePositives);
     }
 
     @Test
-    void theSkewOfTwoClocksIsEstimatedFromTheChangesBothWereTold() {
+    void clockOffset_isEstimatedFromSharedEndpointUpdates() {
         List<Frame> one = new ArrayList<>();
         List<Frame> two = new ArrayList<>();
         for (int i = 1; i <= 21; i++) {
             Event change =
                     new Event.Members(i == 1 ? EndpointUpdateMode.FULL : EndpointUpdateMode.INCREMENTAL, i, List.of());
             one.add(new Frame(i * 1_000_000_000L, change, List.of(), ""));
-            long late =
-                    i == 1 ? 40_000 : i % 5 == 0 ? 300 : i % 3; // a list told whole on connecting, some late pushes; ms
-            two.add(new Frame(500_000_000_000L + (i * 1000 + late) * 1_000_000L, change, List.of(), ""));
+            long delayMillis = i == 1
+                    ? 40_000
+                    : i % 5 == 0 ? 300 : i % 3; // milliseconds: a full update on connecting, then some late pushes
+            two.add(new Frame(500_000_000_000L + (i * 1000 + delayMillis) * 1_000_000L, change, List.of(), ""));
         }
         var first = new CaptureReader.Capture("a", 1000, 0, false, one, List.of());
         var second = new CaptureReader.Capture("b", 1120, 500_000_000_000L, false, two, List.of()); // 120 ms ahead
-        ClockOffset skew = ClockOffset.estimate(first, second).orElseThrow();
-        assertEquals(20, skew.samples());
-        assertEquals(120_500, skew.offsetMicros(), 1500);
-        assertTrue(skew.spreadMicros() <= 2000, skew.toString());
+        ClockOffset offset = ClockOffset.estimate(first, second).orElseThrow();
+        assertEquals(20, offset.samples());
+        assertEquals(120_500, offset.offsetMicros(), 1500);
+        assertTrue(offset.spreadMicros() <= 2000, offset.toString());
         assertTrue(ClockOffset.estimate(first, new CaptureReader.Capture("c", 1, 0, false, List.of(), List.of()))
                 .isEmpty());
     }
 
     @Test
-    void anAccountTellsWhyACallWentWhereItWent() {
-        List<Frame> story = SmallFleet.story(7, SmallFleet.Trouble.SILENT, 120);
-        CallExplanation account = new CallExplanation("client-60");
-        new Replayer().replay(story, Long.MAX_VALUE, account);
-        String text = String.join("\n", account.lines());
+    void explanation_givesReasonsAndCandidates() {
+        List<Frame> recorded = SmallFleet.recordFrames(7, SmallFleet.Fault.SILENT, 120);
+        CallExplanation explanation = new CallExplanation("client-60");
+        new Replayer().replay(recorded, Long.MAX_VALUE, explanation);
+        String text = String.join("\n", explanation.lines());
         assertTrue(text.contains("call c60 (client-60)"), text);
         assertTrue(text.contains("decided: attempt c60 w"), text);
         assertTrue(text.contains("since: "), text);
         assertTrue(text.contains("believed then of 6 workers"), text);
         CallExplanation none = new CallExplanation("client-9999");
-        new Replayer().replay(story, Long.MAX_VALUE, none);
+        new Replayer().replay(recorded, Long.MAX_VALUE, none);
         assertEquals(List.of(), none.lines());
     }
 
     @Test
-    void anAccountChangesNoDecision() {
-        List<Frame> story = SmallFleet.story(11, SmallFleet.Trouble.FULL, 120);
-        Replayer.Result result = new Replayer().replay(story, Long.MAX_VALUE, new Replayer.Watcher() {
+    void readingWorkerStates_changesNoDecision() {
+        List<Frame> recorded = SmallFleet.recordFrames(11, SmallFleet.Fault.SATURATES, 120);
+        Replayer.Result result = new Replayer().replay(recorded, Long.MAX_VALUE, new Replayer.Watcher() {
             @Override
             public void before(long index, Frame frame, Dispatcher dispatcher) {
                 if (dispatcher != null) {
@@ -311,18 +312,18 @@
     }
 
     @Test
-    void hashedNamesHideFunctionsAndTenantsAndStillReplay() {
+    void hashedNames_hideFunctionsAndTenantsAndStillReplay() {
         List<Frame> frames = new ArrayList<>();
-        List<String> held = new ArrayList<>();
-        ActionRecorder outside = new ActionRecorder(null);
-        HashedNames names = HashedNames.before(
+        List<String> loadedFunctions = new ArrayList<>();
+        ActionRecorder outerActions = new ActionRecorder(null);
+        HashedNames names = HashedNames.wrap(
                 (now, seed, settings, actions) ->
                         new Recorder(CacheAwareDispatcher::new, now, 0, seed, settings, actions, frames::add),
                 "0123456789abcdef".getBytes(),
                 1,
                 1,
                 SmallSettings.of(true),
-                outside);
+                outerActions);
         names.onEndpointUpdate(
                 1, EndpointUpdateMode.FULL, 1, List.of(new Endpoint("w0", "z", "k", 0, Availability.UP, 1, 0)));
         names.onRequest(
@@ -333,10 +334,10 @@
                 3_000_000,
                 new AttemptCompletion(
                         "c", Outcome.NOT_LOADED, 0, 1, "w0", CacheStatus.UNKNOWN, 0, false, java.util.Map.of()));
-        outside.drain().stream()
+        outerActions.drain().stream()
                 .filter(a -> a.kind() == RecordedAction.Kind.HOLD)
-                .forEach(a -> held.add(a.function()));
-        assertEquals(List.of("secret-function"), held, "outside it has its name");
+                .forEach(a -> loadedFunctions.add(a.function()));
+        assertEquals(List.of("secret-function"), loadedFunctions, "the load order must have the original name");
         assertTrue(
                 lines(frames).stream().noneMatch(l -> l.contains("secret")),
                 lines(frames).toString());
@@ -344,33 +345,36 @@
     }
 
     @Test
-    void otherSettingsDecideOtherwise() {
-        List<Frame> story = SmallFleet.story(7, SmallFleet.Trouble.NONE, 60);
+    void otherSettings_giveADifference() {
+        List<Frame> recorded = SmallFleet.recordFrames(7, SmallFleet.Fault.NONE, 60);
         assertNotNull(new Replayer(CacheAwareDispatcher::new, s -> SmallSettings.of(true))
-                .replay(story, Long.MAX_VALUE, null)
+                .replay(recorded, Long.MAX_VALUE, null)
                 .difference());
     }
 
     @Test
-    void aSymptomIsCutDownToItsStory() throws Exception {
-        List<Frame> story = SmallFleet.story(7, SmallFleet.Trouble.FAILS, 200);
-        FailurePredicate symptom = new FailurePredicate("remark text=ejected* and attempt worker=w5 >= 2");
-        assertTrue(symptom.matches(story), "a failing worker is ejected and another taken");
-        TraceMinimizer reducer = new TraceMinimizer(symptom::matches, 3000);
-        List<Frame> few = reducer.minimize(story);
-        assertTrue(few.size() < story.size() / 8, few.size() + " of " + story.size());
-        assertTrue(symptom.matches(few));
+    void minimizer_keepsTheFramesThatReproduceTheFailure() throws Exception {
+        List<Frame> recorded = SmallFleet.recordFrames(7, SmallFleet.Fault.FAILS, 200);
+        FailurePredicate predicate = new FailurePredicate("remark text=ejected* and attempt worker=w5 >= 2");
+        assertTrue(predicate.matches(recorded), "a failing worker is ejected and another one is used");
+        TraceMinimizer minimizer = new TraceMinimizer(predicate::matches, 3000);
+        List<Frame> minimized = minimizer.minimize(recorded);
+        assertTrue(minimized.size() < recorded.size() / 8, minimized.size() + " of " + recorded.size());
+        assertTrue(predicate.matches(minimized));
         Path file = folder.resolve("f.jsonl");
-        Files.write(file, TraceMinimizer.fixtureLines("a failing worker is ejected and another taken", few));
+        Files.write(
+                file, TraceMinimizer.fixtureLines("a failing worker is ejected and another one is used", minimized));
         List<Frame> read = FrameJson.fixture(Files.readAllLines(file));
-        assertNull(new Replayer().replay(read, Long.MAX_VALUE, null).difference(), "a test reads it");
+        assertNull(
+                new Replayer().replay(read, Long.MAX_VALUE, null).difference(),
+                "the fixture must replay without a difference");
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new TraceMinimizer(new FailurePredicate("unload >= 1")::matches, 100).minimize(story));
+                () -> new TraceMinimizer(new FailurePredicate("unload >= 1")::matches, 100).minimize(recorded));
     }
 
     @Test
-    void aSymptomThatIsNoneNamesItsTerm() {
+    void invalidPredicate_namesTheAllowedWords() {
         for (String wrong : List.of("jump", "attempt w1", "attempt colour=red", "refuse >= many")) {
             assertTrue(assertThrows(IllegalArgumentException.class, () -> new FailurePredicate(wrong))
                     .getMessage()
--- a/capture/src/test/java/wharfhinge/capture/FixturesTest.java
+++ b/capture/src/test/java/wharfhinge/capture/FixturesTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What gateways were told on drills of ten troubles and of the kinds of three incidents, cut down to the least that still shows the
- * decision of interest. They hold the decisions to what they were; a change that is wanted is cut down anew (docs/operate/capture.md).
+ * Replays minimized captures of gateways from fault injection tests: ten faults and the situations of three incidents. Each fixture
+ * still shows the decision that it is named for, so that unintended changes of decisions are found. After an intended change, minimize
+ * the capture again (docs/operate/capture.md).
  */
 class FixturesTest {
     private static final Path FOLDER = Path.of("src/test/resources/wharfhinge/capture");
@@ -24,15 +25,17 @@
 
     @ParameterizedTest
     @MethodSource("fixtures")
-    void isDecidedAsItWasAndShowsWhatItShowed(Path file) throws Exception {
+    void fixture_replaysWithoutDifferenceAndShowsItsFailure(Path file) throws Exception {
         List<String> lines = Files.readAllLines(file);
-        List<Frame> story = FrameJson.fixture(lines);
-        Replayer.Result result = new Replayer().replay(story, Long.MAX_VALUE, null);
+        List<Frame> frames = FrameJson.fixture(lines);
+        Replayer.Result result = new Replayer().replay(frames, Long.MAX_VALUE, null);
         assertNull(
                 result.difference(), () -> String.join("\n", result.difference().lines()));
-        assertEquals(story.size(), result.compared());
-        String symptom = lines.get(0).replaceFirst("^# shows: ", "");
-        assertTrue(new FailurePredicate(symptom).matches(TraceMinimizer.replayed(story)), symptom);
-        assertTrue(story.size() < 80, "cut down: " + story.size()); // each function asked for is answered by five homes
+        assertEquals(frames.size(), result.compared());
+        String expression = lines.get(0).replaceFirst("^# shows: ", "");
+        assertTrue(new FailurePredicate(expression).matches(TraceMinimizer.replayed(frames)), expression);
+        assertTrue(
+                frames.size() < 80,
+                "fixture isn't minimal, frames: " + frames.size()); // five preferred workers respond for each function
     }
 }
--- a/capture/src/test/java/wharfhinge/capture/SmallFleet.java
+++ b/capture/src/test/java/wharfhinge/capture/SmallFleet.java
@@ -17,105 +17,105 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.Request;
 
-/** A recorded dispatcher before a few workers, over simulated time; one seed gives one story. */
+/** A recorded dispatcher with a few simulated workers in simulated time; a seed determines the frames. */
 final class SmallFleet implements DispatcherActions {
     private static final long MS = 1_000_000L;
-    private static final String BUSY = "w3"; // the home of most functions here
+    private static final String FAULTY_WORKER = "w3"; // the preferred worker of most functions here
 
-    /** Troubles that a story may have. */
-    enum Trouble {
+    /** Faults that are injected into a run, most of them at one worker. */
+    enum Fault {
         NONE,
         SILENT,
         FAILS,
-        FULL,
-        MISSES,
+        SATURATES,
+        LOSES_COPIES,
         DRAINS,
         RESTARTS,
-        LATE_LISTS,
-        STALLS,
+        OUT_OF_ORDER_UPDATES,
+        PROCESS_STALLS,
         SLOW,
-        VANISHED
+        SILENT_WITH_PROBING
     }
 
-    private record Due(long at, long number, Runnable what) {}
+    private record ScheduledEvent(long at, long sequence, Runnable action) {}
 
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
+    private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledEvent::at).thenComparingLong(ScheduledEvent::sequence));
     private final Random random;
-    private final Trouble trouble;
+    private final Fault fault;
     private final Map<String, Integer> attempts = new HashMap<>();
     private final Map<String, Request> calls = new HashMap<>();
-    private final Map<String, Boolean> ended = new HashMap<>();
-    private final Recorder to;
+    private final Map<String, Boolean> completedAttempts = new HashMap<>();
+    private final Recorder recorder;
     private long now = MS;
-    private long number;
+    private long sequence;
     private long revision = 1;
 
-    private SmallFleet(long seed, Trouble trouble, java.util.function.Consumer<Frame> sink) {
+    private SmallFleet(long seed, Fault fault, java.util.function.Consumer<Frame> sink) {
         this.random = new Random(seed);
-        this.trouble = trouble;
-        this.to = new Recorder(
+        this.fault = fault;
+        this.recorder = new Recorder(
                 CacheAwareDispatcher::new,
                 now,
                 0,
                 seed,
-                SmallSettings.of(trouble == Trouble.MISSES, trouble == Trouble.VANISHED ? 100 : 1),
+                SmallSettings.of(fault == Fault.LOSES_COPIES, fault == Fault.SILENT_WITH_PROBING ? 100 : 1),
                 this,
-                sink); // large groups probe before they send
+                sink); // dispatchers of large groups probe before they send
     }
 
-    /** Plays so many calls to six workers, ten a second, and gives all frames. */
-    static List<Frame> story(long seed, Trouble trouble, int calls) {
+    /** Simulates a number of calls to six workers at ten calls per second and returns all frames. */
+    static List<Frame> recordFrames(long seed, Fault fault, int calls) {
         List<Frame> frames = new ArrayList<>();
-        play(seed, trouble, calls, frames::add);
+        simulate(seed, fault, calls, frames::add);
         return frames;
     }
 
-    static void play(long seed, Trouble trouble, int calls, java.util.function.Consumer<Frame> sink) {
-        SmallFleet fleet = new SmallFleet(seed, trouble, sink);
-        fleet.members(EndpointUpdateMode.FULL, 6, Availability.UP);
+    static void simulate(long seed, Fault fault, int calls, java.util.function.Consumer<Frame> sink) {
+        SmallFleet fleet = new SmallFleet(seed, fault, sink);
+        fleet.sendEndpointUpdate(EndpointUpdateMode.FULL, 6, Availability.UP);
         for (int i = 0; i < calls; i++) {
             int id = i;
             fleet.at(fleet.now + i * 100 * MS + fleet.random.nextInt(50) * MS, () -> fleet.call(id));
         }
-        fleet.troubles(calls);
+        fleet.scheduleFault(calls);
         while (!fleet.queue.isEmpty() && fleet.now < (calls + 30) * 100 * MS) {
-            Due due = fleet.queue.poll();
+            ScheduledEvent due = fleet.queue.poll();
             fleet.now = Math.max(fleet.now, due.at);
-            due.what.run();
+            due.action.run();
         }
     }
 
-    private void troubles(int calls) {
+    private void scheduleFault(int calls) {
         long middle = now + calls * 50 * MS;
-        switch (trouble) {
-            case DRAINS -> at(middle, () -> change(BUSY, Availability.DRAINING, 0));
+        switch (fault) {
+            case DRAINS -> at(middle, () -> changeWorker(FAULTY_WORKER, Availability.DRAINING, 0));
             case RESTARTS -> at(middle, () -> {
-                change(BUSY, Availability.REMOVED, 0);
-                change(BUSY, Availability.UP, now);
+                changeWorker(FAULTY_WORKER, Availability.REMOVED, 0);
+                changeWorker(FAULTY_WORKER, Availability.UP, now);
             });
-            case LATE_LISTS -> at(middle, () -> {
+            case OUT_OF_ORDER_UPDATES -> at(middle, () -> {
                 long newer = ++revision + 5;
-                to.onEndpointUpdate(
+                recorder.onEndpointUpdate(
                         now, EndpointUpdateMode.INCREMENTAL, newer, List.of(worker("w4", Availability.DRAINING, 0)));
-                to.onEndpointUpdate(
+                recorder.onEndpointUpdate(
                         now, EndpointUpdateMode.INCREMENTAL, newer - 3, List.of(worker("w4", Availability.UP, 0)));
             });
-            case STALLS -> at(middle, () -> now += 2000 * MS); // the clock stood still, then all is late
+            case PROCESS_STALLS -> at(middle, () -> now += 2000 * MS); // the clock jumps: all scheduled events are late
             default -> {}
         }
     }
 
-    private void members(EndpointUpdateMode mode, int count, Availability availability) {
+    private void sendEndpointUpdate(EndpointUpdateMode mode, int count, Availability availability) {
         List<Endpoint> workers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             workers.add(worker("w" + i, availability, 0));
         }
-        to.onEndpointUpdate(now, mode, revision++, workers);
+        recorder.onEndpointUpdate(now, mode, revision++, workers);
     }
 
-    private void change(String id, Availability availability, long startedAt) {
-        to.onEndpointUpdate(
+    private void changeWorker(String id, Availability availability, long startedAt) {
+        recorder.onEndpointUpdate(
                 now, EndpointUpdateMode.INCREMENTAL, revision++, List.of(worker(id, availability, startedAt)));
     }
 
@@ -123,8 +123,8 @@
         return new Endpoint(id, "z", "k", 0, availability, 1, startedAt);
     }
 
-    private void at(long when, Runnable what) {
-        queue.add(new Due(when, number++, what));
+    private void at(long atNanos, Runnable action) {
+        queue.add(new ScheduledEvent(atNanos, sequence++, action));
     }
 
     private void call(int id) {
@@ -141,15 +141,15 @@
                 false,
                 false);
         calls.put(request.id(), request);
-        to.named(now, request.id(), "client-" + id);
+        recorder.named(now, request.id(), "client-" + id);
         if (id % 5 == 0) {
-            to.isCached(now, request.function());
+            recorder.isCached(now, request.function());
         }
-        to.onRequest(now, request);
+        recorder.onRequest(now, request);
     }
 
-    private boolean troubled(String worker) {
-        return worker.equals(BUSY) && now > 3000 * MS;
+    private boolean isFaulty(String worker) {
+        return worker.equals(FAULTY_WORKER) && now > 3000 * MS;
     }
 
     @Override
@@ -157,32 +157,32 @@
         int index = attempts.merge(request, 1, Integer::sum) - 1;
         Outcome outcome = Outcome.SERVED;
         long took = (20 + random.nextInt(30)) * MS;
-        if (troubled(worker)) {
-            switch (trouble) {
-                case SILENT, VANISHED -> took = 2000 * MS;
+        if (isFaulty(worker)) {
+            switch (fault) {
+                case SILENT, SILENT_WITH_PROBING -> took = 2000 * MS;
                 case SLOW -> took *= 20;
                 case FAILS -> outcome = Outcome.ERROR;
-                case FULL -> outcome = Outcome.SATURATED;
-                case MISSES -> outcome = Outcome.NOT_LOADED;
+                case SATURATES -> outcome = Outcome.SATURATED;
+                case LOSES_COPIES -> outcome = Outcome.NOT_LOADED;
                 default -> {}
             }
         }
-        Outcome how = took >= 2000 * MS ? Outcome.TIMEOUT : outcome;
+        Outcome finalOutcome = took >= 2000 * MS ? Outcome.TIMEOUT : outcome;
         long ns = took;
         at(now + took, () -> {
-            if (ended.putIfAbsent(request + "/" + index, true) == null) {
-                boolean settled = how == Outcome.SERVED;
-                to.onAttemptCompleted(
+            if (completedAttempts.putIfAbsent(request + "/" + index, true) == null) {
+                boolean answered = finalOutcome == Outcome.SERVED;
+                recorder.onAttemptCompleted(
                         now,
                         new AttemptCompletion(
                                 request,
-                                how,
+                                finalOutcome,
                                 index,
                                 ns,
                                 worker,
-                                settled ? CacheStatus.HIT : CacheStatus.UNKNOWN,
+                                answered ? CacheStatus.HIT : CacheStatus.UNKNOWN,
                                 0,
-                                settled,
+                                answered,
                                 Map.of("rif", (double) random.nextInt(4))));
             }
         });
@@ -191,11 +191,19 @@
     @Override
     public void cancelAttempt(String request, int attempt) {
         at(now, () -> {
-            if (ended.putIfAbsent(request + "/" + attempt, true) == null) {
-                to.onAttemptCompleted(
+            if (completedAttempts.putIfAbsent(request + "/" + attempt, true) == null) {
+                recorder.onAttemptCompleted(
                         now,
                         new AttemptCompletion(
-                                request, Outcome.CANCELLED, attempt, 0, BUSY, CacheStatus.UNKNOWN, 0, false, Map.of()));
+                                request,
+                                Outcome.CANCELLED,
+                                attempt,
+                                0,
+                                FAULTY_WORKER,
+                                CacheStatus.UNKNOWN,
+                                0,
+                                false,
+                                Map.of()));
             }
         });
     }
@@ -208,7 +216,7 @@
 
     @Override
     public void ensureLoaded(String worker, String function, int count) {
-        at(now + 300 * MS, () -> to.onLoadCompleted(now, worker, function, count, Outcome.SERVED, 300 * MS));
+        at(now + 300 * MS, () -> recorder.onLoadCompleted(now, worker, function, count, Outcome.SERVED, 300 * MS));
     }
 
     @Override
@@ -216,12 +224,12 @@
 
     @Override
     public void probe(String worker) {
-        at(now + 5 * MS, () -> to.onProbeCompleted(now, worker, Outcome.SERVED, 5 * MS, Map.of("rif", 1.0)));
+        at(now + 5 * MS, () -> recorder.onProbeCompleted(now, worker, Outcome.SERVED, 5 * MS, Map.of("rif", 1.0)));
     }
 
     @Override
     public void scheduleTimer(String token, long delayNanos) {
-        at(now + delayNanos, () -> to.onTimer(now, token));
+        at(now + delayNanos, () -> recorder.onTimer(now, token));
     }
 
     @Override
--- a/capture/src/test/java/wharfhinge/capture/SmallSettings.java
+++ b/capture/src/test/java/wharfhinge/capture/SmallSettings.java
@@ -18,19 +18,19 @@
 import wharfhinge.policy.RequestClass;
 import wharfhinge.policy.WeightReporting;
 
-/** Settings of a small site. */
+/** Dispatcher settings for a few workers in one zone. */
 final class SmallSettings {
     private static final long MS = 1_000_000L;
 
     private SmallSettings() {}
 
-    static DispatcherSettings of(boolean ordersOnly) {
-        return of(ordersOnly, 1);
+    static DispatcherSettings of(boolean loadOrdersOnly) {
+        return of(loadOrdersOnly, 1);
     }
 
-    static DispatcherSettings of(boolean ordersOnly, int group) {
+    static DispatcherSettings of(boolean loadOrdersOnly, int groupSize) {
         return new DispatcherSettings(
-                group,
+                groupSize,
                 0,
                 2 * MS,
                 "z",
@@ -66,8 +66,8 @@
                 List.of(),
                 new FunctionLoading(
                         8000 * MS,
-                        ordersOnly,
-                        ordersOnly ? OnMissBehavior.MISS : OnMissBehavior.LOAD,
+                        loadOrdersOnly,
+                        loadOrdersOnly ? OnMissBehavior.MISS : OnMissBehavior.LOAD,
                         10_000 * MS,
                         0,
                         0,
--- a/capture/src/test/java/wharfhinge/capture/StoredFormatTest.java
+++ b/capture/src/test/java/wharfhinge/capture/StoredFormatTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Holds the names in stored captures: what an earlier version wrote is read, and written again to the byte. The golden files hold every
- * event, every decision and every constant; they change only where the form on disk is meant to change.
+ * Guards the names in stored captures: captures of earlier versions are read, and written again byte for byte. The golden files contain
+ * every event, every action and every constant; they change only if the stored format is meant to change.
  */
 class StoredFormatTest {
     private static final Path GOLDEN = Path.of("src/test/resources/wharfhinge/capture-format");
--- a/gateway/src/main/java/wharfhinge/gateway/RecordingDispatcherFactory.java
+++ b/gateway/src/main/java/wharfhinge/gateway/RecordingDispatcherFactory.java
@@ -57,7 +57,7 @@
     public Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
         return hashKey.isEmpty()
                 ? createRecorder(now, seed, settings, actions)
-                : HashedNames.before(this::createRecorder, hashKey.get(), now, seed, settings, actions);
+                : HashedNames.wrap(this::createRecorder, hashKey.get(), now, seed, settings, actions);
     }
 
     private Dispatcher createRecorder(long now, long seed, DispatcherSettings settings, DispatcherActions actions) {
@@ -74,11 +74,11 @@
 
     /** Adds the capture metrics. Safe for use by any thread. */
     void addMetricsTo(Map<String, Long> metrics) {
-        CaptureWriter.Figures figures = writer.figures();
-        metrics.put("capture_frames", figures.frames());
-        metrics.put("capture_lost", figures.lost());
-        metrics.put("capture_bytes", figures.bytes());
-        metrics.put("capture_segments", figures.segments());
+        CaptureWriter.Statistics statistics = writer.statistics();
+        metrics.put("capture_frames", statistics.frames());
+        metrics.put("capture_lost", statistics.lost());
+        metrics.put("capture_bytes", statistics.bytes());
+        metrics.put("capture_segments", statistics.segments());
     }
 
     @Override
