--- a/app/src/main/java/wharfhinge/app/LabCommand.java
+++ b/app/src/main/java/wharfhinge/app/LabCommand.java
@@ -152,7 +152,7 @@
                         "--fleet: found " + IntStream.of(fleet).boxed().toList()
                                 + ", allowed: four numbers above 0, as in 8,4,4,90");
             }
-            Storm storm = Storm.tight()
+            Storm storm = Storm.minimalMemory()
                     .fleet(fleet[0], fleet[1], fleet[2], fleet[FLEET - 1])
                     .room(room == null ? memory.copies : room)
                     .gateways(gateways)
--- a/capture/src/test/java/wharfhinge/capture/CaptureTest.java
+++ b/capture/src/test/java/wharfhinge/capture/CaptureTest.java
@@ -267,9 +267,8 @@
             Event change =
                     new Event.Members(i == 1 ? EndpointUpdateMode.FULL : EndpointUpdateMode.INCREMENTAL, i, List.of());
             one.add(new Frame(i * 1_000_000_000L, change, List.of(), ""));
-            long delayMillis = i == 1
-                    ? 40_000
-                    : i % 5 == 0 ? 300 : i % 3; // milliseconds: a full update on connecting, then some late pushes
+            // A full update on connecting, then some late pushes.
+            long delayMillis = i == 1 ? 40_000 : i % 5 == 0 ? 300 : i % 3;
             two.add(new Frame(500_000_000_000L + (i * 1000 + delayMillis) * 1_000_000L, change, List.of(), ""));
         }
         var first = new CaptureReader.Capture("a", 1000, 0, false, one, List.of());
--- a/capture/src/test/java/wharfhinge/capture/FixturesTest.java
+++ b/capture/src/test/java/wharfhinge/capture/FixturesTest.java
@@ -34,8 +34,7 @@
         assertEquals(frames.size(), result.compared());
         String expression = lines.get(0).replaceFirst("^# shows: ", "");
         assertTrue(new FailurePredicate(expression).matches(TraceMinimizer.replayed(frames)), expression);
-        assertTrue(
-                frames.size() < 80,
-                "fixture isn't minimal, frames: " + frames.size()); // five preferred workers respond for each function
+        // The limit allows for the five preferred workers that respond for each function called.
+        assertTrue(frames.size() < 80, "fixture isn't minimal, frames: " + frames.size());
     }
 }
--- a/lab/src/main/java/wharfhinge/lab/Chains.java
+++ b/lab/src/main/java/wharfhinge/lab/Chains.java
@@ -14,89 +14,93 @@
 import wharfhinge.lab.Gateway.Answer;
 import wharfhinge.policy.Effect;
 
-/** Chains of one gateway, decided as in the product: each step a call of the gateway, one deadline for all. */
+/**
+ * Runs the chains of one simulated gateway with the real chain scheduler: each step is a call of the gateway, and all steps share one
+ * deadline.
+ */
 final class Chains implements ChainScheduler.Actions {
-    private static final int LET_THROUGH = 20; // as the settings' default
-    private static final int MOST_CHAINS = 1000;
-    private static final long MOST_BYTES = 1 << 20;
-    private static final long RESERVE_NS = 16 * Timeline.MS;
+    private static final int REJECTIONS_PER_SAMPLE = 20; // the default of the settings
+    private static final int MAX_CHAINS = 1000;
+    private static final long MAX_HELD_BYTES = 1 << 20;
+    private static final long DEADLINE_RESERVE_NANOS = 16 * Timeline.MS;
 
-    private record Run(List<String> functions, long deadline, String[] out, Consumer<Answer> to) {}
+    private record RunningChain(
+            List<String> functions, long deadline, String[] stepCallIds, Consumer<Answer> onAnswer) {}
 
     private final Timeline time;
     private final Gateway gateway;
-    private final ChainScheduler decisions;
-    private final Map<Long, Run> runs = new HashMap<>();
-    private long number;
+    private final ChainScheduler scheduler;
+    private final Map<Long, RunningChain> chains = new HashMap<>();
+    private long nextChainId;
 
     Chains(Timeline time, Gateway gateway) {
         this.time = time;
         this.gateway = gateway;
-        this.decisions = new ChainScheduler(
+        this.scheduler = new ChainScheduler(
                 new ChainSettings(
                         ChainSettings.Clock.SHARED_DEADLINE,
                         true,
-                        LET_THROUGH,
+                        REJECTIONS_PER_SAMPLE,
                         true,
-                        MOST_CHAINS,
-                        MOST_CHAINS * ChainPlan.MAX_STEPS,
+                        MAX_CHAINS,
+                        MAX_CHAINS * ChainPlan.MAX_STEPS,
                         1,
-                        MOST_BYTES,
-                        RESERVE_NS),
+                        MAX_HELD_BYTES,
+                        DEADLINE_RESERVE_NANOS),
                 this,
-                gateway::believedWarm);
+                gateway::isBelievedCached);
     }
 
-    /** One function after the other. */
-    void begin(List<String> functions, long patienceNanos, long loadMillis, Consumer<Answer> to) {
+    /** Starts a chain that runs the functions one after the other. */
+    void start(List<String> functions, long timeoutNanos, long loadMillis, Consumer<Answer> onAnswer) {
         List<ChainPlan.Step> steps = new ArrayList<>();
         for (int i = 0; i < functions.size(); i++) {
             steps.add(new ChainPlan.Step(
                     "s" + i,
                     functions.get(i),
-                    LabSettings.CLASS,
+                    LabSettings.REQUEST_CLASS,
                     Effect.IDEMPOTENT,
                     i == 0 ? List.of() : List.of("s" + (i - 1)),
                     0,
                     loadMillis * Timeline.MS));
         }
-        long id = number++;
-        long deadline = time.now() + patienceNanos;
-        runs.put(id, new Run(functions, deadline, new String[functions.size()], to));
-        time.after(patienceNanos - RESERVE_NS / 2, () -> decisions.onDeadline(time.now(), id));
+        long id = nextChainId++;
+        long deadline = time.now() + timeoutNanos;
+        chains.put(id, new RunningChain(functions, deadline, new String[functions.size()], onAnswer));
+        time.after(timeoutNanos - DEADLINE_RESERVE_NANOS / 2, () -> scheduler.onDeadline(time.now(), id));
         try {
-            decisions.onChain(time.now(), id, ChainPlan.of(steps), null, deadline, null);
+            scheduler.onChain(time.now(), id, ChainPlan.of(steps), null, deadline, null);
         } catch (InvalidPlanException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** The gateway's process ends. */
+    /** Fails all open chains, because the process of the gateway ends. */
     void kill() {
-        runs.values().forEach(r -> r.to.accept(new Answer(Answer.Kind.FAILED, 0, false, 0)));
-        runs.clear();
+        chains.values().forEach(r -> r.onAnswer.accept(new Answer(Answer.Kind.FAILED, 0, false, 0)));
+        chains.clear();
     }
 
     @Override
-    public void startStep(long chain, int step, long mayTakeNanos) {
-        Run run = runs.get(chain);
-        long began = time.now();
-        run.out[step] = gateway.call(
-                run.functions.get(step),
-                mayTakeNanos,
+    public void startStep(long chain, int step, long stepTimeoutNanos) {
+        RunningChain running = chains.get(chain);
+        long startedAt = time.now();
+        running.stepCallIds[step] = gateway.call(
+                running.functions.get(step),
+                stepTimeoutNanos,
                 answer -> time.after(0, () -> {
-                    if (runs.containsKey(chain)) {
-                        run.out[step] = null;
-                        decisions.onStepCompleted(
+                    if (chains.containsKey(chain)) {
+                        running.stepCallIds[step] = null;
+                        scheduler.onStepCompleted(
                                 time.now(),
                                 chain,
                                 step,
                                 switch (answer.kind()) {
                                     case SERVED -> StepEnd.SERVED;
-                                    case REFUSED -> StepEnd.REJECTED;
+                                    case REJECTED -> StepEnd.REJECTED;
                                     default -> StepEnd.FAILED;
                                 },
-                                time.now() - began,
+                                time.now() - startedAt,
                                 answer.loaded());
                     }
                 }));
@@ -104,27 +108,27 @@
 
     @Override
     public void cancelStep(long chain, int step) {
-        Run run = runs.get(chain);
-        if (run.out[step] != null) {
-            gateway.leave(run.out[step]);
-            run.out[step] = null;
+        RunningChain running = chains.get(chain);
+        if (running.stepCallIds[step] != null) {
+            gateway.cancelCall(running.stepCallIds[step]);
+            running.stepCallIds[step] = null;
         }
     }
 
     @Override
     public void prefetch(long chain, int step) {
-        Run run = runs.get(chain);
-        gateway.expect(run.functions.get(step), run.deadline - time.now());
+        RunningChain running = chains.get(chain);
+        gateway.announceRequest(running.functions.get(step), running.deadline - time.now());
     }
 
     @Override
-    public void completeChain(long chain, ChainResult end) {
+    public void completeChain(long chain, ChainResult result) {
         Answer.Kind kind =
-                switch (end.kind()) {
+                switch (result.kind()) {
                     case SERVED -> Answer.Kind.SERVED;
-                    case REFUSED -> Answer.Kind.REFUSED;
+                    case REFUSED -> Answer.Kind.REJECTED;
                     case FAILED -> Answer.Kind.FAILED;
                 };
-        runs.remove(chain).to.accept(new Answer(kind, 0, false, 0));
+        chains.remove(chain).onAnswer.accept(new Answer(kind, 0, false, 0));
     }
 }
--- a/lab/src/main/java/wharfhinge/lab/Gateway.java
+++ b/lab/src/main/java/wharfhinge/lab/Gateway.java
@@ -16,29 +16,32 @@
 import wharfhinge.policy.Outcome;
 import wharfhinge.policy.Request;
 
-/** Tells one dispatcher what happens and does what it asks, as the product's loop does, over a network that takes a fixed time. */
+/**
+ * A simulated gateway: passes events to one dispatcher and carries out its actions, as the event loop of the real gateway does, over a
+ * network with a fixed delay.
+ */
 final class Gateway implements DispatcherActions {
-    private static final long WIRE_NS = 300_000;
+    private static final long ONE_WAY_DELAY_NANOS = 300_000;
 
-    /** Makes the decisions of one life. */
-    interface Decisions {
-        Dispatcher of(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
+    /** Creates the dispatcher of one incarnation. */
+    interface DispatcherConstructor {
+        Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
     }
 
-    /** A final answer. */
-    record Answer(Kind kind, long comeBackNanos, boolean loaded, long atWorkerNanos) {
+    /** The final answer to a call. */
+    record Answer(Kind kind, long retryAfterNanos, boolean loaded, long attemptNanos) {
         enum Kind {
             SERVED,
-            REFUSED,
+            REJECTED,
             FAILED,
-            LEFT
+            CLIENT_CANCELLED
         }
     }
 
     private static final class Attempt {
         private final long sentAt;
-        private Worker.Visit visit;
-        private boolean ended;
+        private Worker.PendingCall workerCall;
+        private boolean completed;
 
         Attempt(long sentAt) {
             this.sentAt = sentAt;
@@ -48,29 +51,29 @@
     private static final class Call {
         private final Request request;
         private final long deadline;
-        private final Consumer<Answer> to;
+        private final Consumer<Answer> onAnswer;
         private final List<Attempt> attempts = new ArrayList<>(2);
         private boolean answered;
-        private boolean missed;
+        private boolean seenNotLoaded;
 
-        Call(Request request, long deadline, Consumer<Answer> to) {
+        Call(Request request, long deadline, Consumer<Answer> onAnswer) {
             this.request = request;
             this.deadline = deadline;
-            this.to = to;
+            this.onAnswer = onAnswer;
         }
     }
 
     private final Timeline time;
     private final Map<String, Worker> workers;
     private final Storm storm;
-    private final List<String> faults;
+    private final List<String> violations;
     private final Map<String, Call> calls = new HashMap<>();
     private final Dispatcher dispatcher;
     private final Chains chains;
-    private final ArrayDeque<Long> orders = new ArrayDeque<>();
-    private final ArrayDeque<Long> asked = new ArrayDeque<>();
-    private long number;
-    private boolean over;
+    private final ArrayDeque<Long> loadOrderTimes = new ArrayDeque<>();
+    private final ArrayDeque<Long> callTimes = new ArrayDeque<>();
+    private long nextId;
+    private boolean stopped;
 
     Gateway(
             Timeline time,
@@ -78,17 +81,17 @@
             long seed,
             int index,
             Map<String, Worker> workers,
-            Decisions decisions,
-            List<String> faults) {
+            DispatcherConstructor dispatcherConstructor,
+            List<String> violations) {
         this.time = time;
         this.storm = storm;
         this.workers = workers;
-        this.faults = faults;
-        this.dispatcher = decisions.of(time.now(), seed, LabSettings.of(storm, index), this);
+        this.violations = violations;
+        this.dispatcher = dispatcherConstructor.create(time.now(), seed, LabSettings.of(storm, index), this);
         this.chains = new Chains(time, this);
     }
 
-    void members(List<Endpoint> all) {
+    void updateEndpoints(List<Endpoint> all) {
         dispatcher.onEndpointUpdate(time.now(), EndpointUpdateMode.FULL, time.now(), all);
     }
 
@@ -96,225 +99,227 @@
         return dispatcher;
     }
 
-    /** Its process ends: nobody hears of what was open, but clients see the connection break. */
+    /** Ends the process: open calls fail, since their clients see the connection break; the dispatcher receives no further events. */
     void kill() {
-        over = true;
+        stopped = true;
         calls.values().stream()
-                .filter(c -> !c.answered)
-                .forEach(c -> c.to.accept(new Answer(Answer.Kind.FAILED, 0, false, 0)));
+                .filter(call -> !call.answered)
+                .forEach(call -> call.onAnswer.accept(new Answer(Answer.Kind.FAILED, 0, false, 0)));
         calls.clear();
         chains.kill();
     }
 
-    /** Two functions, one with what the other answered, under one deadline. */
-    void chain(List<String> functions, long patienceNanos, Consumer<Answer> to) {
-        chains.begin(functions, patienceNanos, storm.loadMillis(), to);
+    /** Runs functions one after the other as a chain under one deadline. */
+    void startChain(List<String> functions, long timeoutNanos, Consumer<Answer> onAnswer) {
+        chains.start(functions, timeoutNanos, storm.loadMillis(), onAnswer);
     }
 
-    boolean believedWarm(String function) {
+    boolean isBelievedCached(String function) {
         return dispatcher.isCached(time.now(), function);
     }
 
-    void expect(String function, long patienceNanos) {
-        dispatcher.onRequestExpected(time.now(), request("e" + number++, function, patienceNanos));
+    void announceRequest(String function, long timeoutNanos) {
+        dispatcher.onRequestExpected(time.now(), request("e" + nextId++, function, timeoutNanos));
     }
 
-    /** Whoever asked for the call gives it up; what is out is cancelled. */
-    void leave(String id) {
-        Call c = calls.get(id);
-        if (c != null && !c.answered) {
-            c.answered = true;
+    /** Cancels a call for its client, with all its attempts. */
+    void cancelCall(String id) {
+        Call call = calls.get(id);
+        if (call != null && !call.answered) {
+            call.answered = true;
             dispatcher.onClientCancelled(time.now(), id);
-            for (int i = 0; i < c.attempts.size(); i++) {
+            for (int i = 0; i < call.attempts.size(); i++) {
                 cancelAttempt(id, i);
             }
         }
     }
 
-    private Request request(String id, String function, long patienceNanos) {
+    private Request request(String id, String function, long timeoutNanos) {
         return new Request(
                 id,
                 null,
-                patienceNanos,
-                LabSettings.COPY_MB * storm.places(function),
+                timeoutNanos,
+                LabSettings.COPY_MB * storm.memoryUnits(function),
                 function,
                 storm.callMillis() * Timeline.MS,
                 storm.lanes(),
                 storm.loadMillis(),
-                LabSettings.CLASS,
+                LabSettings.REQUEST_CLASS,
                 false,
                 false);
     }
 
-    /** Tells the call's name. */
-    String call(String function, long patienceNanos, Consumer<Answer> to) {
-        String id = Long.toString(number++);
-        asked.add(time.now());
-        Request request = request(id, function, patienceNanos);
-        Call call = new Call(request, time.now() + patienceNanos, to);
+    /** Starts a call and returns its id. */
+    String call(String function, long timeoutNanos, Consumer<Answer> onAnswer) {
+        String id = Long.toString(nextId++);
+        callTimes.add(time.now());
+        Request request = request(id, function, timeoutNanos);
+        Call call = new Call(request, time.now() + timeoutNanos, onAnswer);
         calls.put(id, call);
-        time.after(patienceNanos + LabSettings.TICK_NS, () -> {
-            if (!call.answered && !over) {
-                faults.add("rule 1: no answer by the deadline of " + function);
+        time.after(timeoutNanos + LabSettings.TICK_NANOS, () -> {
+            if (!call.answered && !stopped) {
+                violations.add("rule 1: no answer by the deadline of " + function);
             }
         });
         dispatcher.onRequest(time.now(), request);
         return id;
     }
 
-    private void answer(Call c, Answer.Kind kind, long comeBackNanos, boolean loaded, long tookNanos) {
-        if (c.answered) {
-            faults.add("rule 1: two answers");
+    private void answer(Call call, Answer.Kind kind, long retryAfterNanos, boolean loaded, long tookNanos) {
+        if (call.answered) {
+            violations.add("rule 1: two answers");
             return;
         }
-        c.answered = true;
-        c.to.accept(new Answer(kind, comeBackNanos, loaded || c.missed, tookNanos));
+        call.answered = true;
+        call.onAnswer.accept(new Answer(kind, retryAfterNanos, loaded || call.seenNotLoaded, tookNanos));
     }
 
-    private void ended(Call c, int index, Outcome outcome, CacheStatus note, int company) {
-        Attempt a = c.attempts.get(index);
-        if (a.ended || over) {
+    private void completeAttempt(Call call, int index, Outcome outcome, CacheStatus cacheStatus, int concurrentCalls) {
+        Attempt attempt = call.attempts.get(index);
+        if (attempt.completed || stopped) {
             return;
         }
-        a.ended = true;
-        if (a.visit != null) {
-            a.visit.leave();
+        attempt.completed = true;
+        if (attempt.workerCall != null) {
+            attempt.workerCall.cancel();
         }
-        c.missed |= outcome == Outcome.NOT_LOADED;
-        long took = time.now() - a.sentAt;
-        if (outcome == Outcome.SERVED && !c.answered) {
+        call.seenNotLoaded |= outcome == Outcome.NOT_LOADED;
+        long took = time.now() - attempt.sentAt;
+        if (outcome == Outcome.SERVED && !call.answered) {
             answer(
-                    c,
+                    call,
                     Answer.Kind.SERVED,
                     0,
-                    note == CacheStatus.LOAD_STARTED || note == CacheStatus.LOAD_AWAITED,
+                    cacheStatus == CacheStatus.LOAD_STARTED || cacheStatus == CacheStatus.LOAD_AWAITED,
                     took);
         }
         dispatcher.onAttemptCompleted(
                 time.now(),
                 new AttemptCompletion(
-                        c.request.id(),
+                        call.request.id(),
                         outcome,
                         index,
                         took,
-                        workerOf.get(a).id,
-                        note,
-                        company,
-                        c.answered,
-                        report(workerOf.remove(a))));
-        if (c.answered && c.attempts.stream().allMatch(x -> x.ended)) {
-            calls.remove(c.request.id());
+                        workerByAttempt.get(attempt).id,
+                        cacheStatus,
+                        concurrentCalls,
+                        call.answered,
+                        report(workerByAttempt.remove(attempt))));
+        if (call.answered && call.attempts.stream().allMatch(x -> x.completed)) {
+            calls.remove(call.request.id());
         }
     }
 
-    private final Map<Attempt, Worker> workerOf = new HashMap<>();
+    private final Map<Attempt, Worker> workerByAttempt = new HashMap<>();
 
-    private Map<String, Double> report(Worker w) {
-        return Map.of("rif", (double) w.inFlight());
+    private Map<String, Double> report(Worker worker) {
+        return Map.of("rif", (double) worker.inFlight());
     }
 
-    // ---- Actions ----------------------------------------------------------------------------
+    // ---- Actions of the dispatcher ----------------------------------------------------------
 
-    private void soon(Runnable what) {
+    private void runUnlessStopped(Runnable action) {
         time.after(0, () -> {
-            if (!over) {
-                what.run();
+            if (!stopped) {
+                action.run();
             }
         });
     }
 
     @Override
     public void sendAttempt(String request, String worker, long timeoutNanos) {
-        Call c = calls.get(request);
-        if (c == null) {
+        Call call = calls.get(request);
+        if (call == null) {
             return;
         }
-        Attempt a = new Attempt(time.now());
-        int index = c.attempts.size();
-        c.attempts.add(a);
-        Worker w = workers.get(worker);
-        workerOf.put(a, w);
-        long left = c.deadline - time.now();
-        if (c.answered || left <= 0) {
-            soon(() -> ended(c, index, Outcome.SUPERSEDED, CacheStatus.UNKNOWN, 0));
+        Attempt attempt = new Attempt(time.now());
+        int index = call.attempts.size();
+        call.attempts.add(attempt);
+        Worker target = workers.get(worker);
+        workerByAttempt.put(attempt, target);
+        long remaining = call.deadline - time.now();
+        if (call.answered || remaining <= 0) {
+            runUnlessStopped(() -> completeAttempt(call, index, Outcome.SUPERSEDED, CacheStatus.UNKNOWN, 0));
             return;
         }
-        time.after(WIRE_NS, () -> {
-            if (!a.ended) {
-                Worker.Visit[] visit = new Worker.Visit[1];
-                visit[0] = w.call(
-                        c.request.function(),
-                        (outcome, note, company) -> time.after(WIRE_NS, () -> ended(c, index, outcome, note, company)));
-                a.visit = visit[0];
+        time.after(ONE_WAY_DELAY_NANOS, () -> {
+            if (!attempt.completed) {
+                Worker.PendingCall[] started = new Worker.PendingCall[1];
+                started[0] = target.call(
+                        call.request.function(),
+                        (outcome, cacheStatus, concurrentCalls) -> time.after(
+                                ONE_WAY_DELAY_NANOS,
+                                () -> completeAttempt(call, index, outcome, cacheStatus, concurrentCalls)));
+                attempt.workerCall = started[0];
             }
         });
         time.after(
-                timeoutNanos == 0 ? left : Math.min(timeoutNanos, left),
-                () -> ended(c, index, Outcome.TIMEOUT, CacheStatus.UNKNOWN, 0));
+                timeoutNanos == 0 ? remaining : Math.min(timeoutNanos, remaining),
+                () -> completeAttempt(call, index, Outcome.TIMEOUT, CacheStatus.UNKNOWN, 0));
     }
 
     @Override
     public void cancelAttempt(String request, int attempt) {
-        Call c = calls.get(request);
-        if (c != null && attempt < c.attempts.size()) {
-            soon(() -> ended(c, attempt, Outcome.CANCELLED, CacheStatus.UNKNOWN, 0));
+        Call call = calls.get(request);
+        if (call != null && attempt < call.attempts.size()) {
+            runUnlessStopped(() -> completeAttempt(call, attempt, Outcome.CANCELLED, CacheStatus.UNKNOWN, 0));
         }
     }
 
     @Override
-    public void reject(String request, long coolDownNanos) {
-        Call c = calls.get(request);
-        if (c != null && !c.answered) {
-            answer(c, Answer.Kind.REFUSED, coolDownNanos, false, 0);
+    public void reject(String request, long retryAfterNanos) {
+        Call call = calls.get(request);
+        if (call != null && !call.answered) {
+            answer(call, Answer.Kind.REJECTED, retryAfterNanos, false, 0);
         }
     }
 
     @Override
     public void fail(String request) {
-        Call c = calls.get(request);
-        if (c != null && !c.answered) {
-            answer(c, Answer.Kind.FAILED, 0, false, 0);
+        Call call = calls.get(request);
+        if (call != null && !call.answered) {
+            answer(call, Answer.Kind.FAILED, 0, false, 0);
         }
     }
 
     @Override
     public void ensureLoaded(String worker, String function, int count) {
-        long began = time.now();
-        orders.add(began);
-        withinRation();
-        time.after(WIRE_NS, () -> workers.get(worker)
-                .hold(
+        long startedAt = time.now();
+        loadOrderTimes.add(startedAt);
+        checkLoadQuota();
+        time.after(ONE_WAY_DELAY_NANOS, () -> workers.get(worker)
+                .ensureLoaded(
                         function,
                         count,
-                        (outcome, standing) -> time.after(WIRE_NS, () -> {
-                            if (!over) {
+                        (outcome, loadedCopies) -> time.after(ONE_WAY_DELAY_NANOS, () -> {
+                            if (!stopped) {
                                 dispatcher.onLoadCompleted(
-                                        time.now(), worker, function, standing, outcome, time.now() - began);
+                                        time.now(), worker, function, loadedCopies, outcome, time.now() - startedAt);
                             }
                         })));
     }
 
-    /** Rule 5, as the store's owner counts it. */
-    private void withinRation() {
-        long from = time.now() - Storm.RATION_S * 1000L * Timeline.MS;
-        orders.removeIf(at -> at <= from);
-        asked.removeIf(at -> at <= from);
-        if (storm.ration() > 0 && orders.size() > storm.ration() + Storm.RATION_RATIO * asked.size()) {
-            faults.add("rule 5: " + orders.size() + " orders for " + asked.size() + " calls");
+    /** Checks the load quota as seen by the package store (rule 5 of the simulation). */
+    private void checkLoadQuota() {
+        long windowStart = time.now() - Storm.RATION_S * 1000L * Timeline.MS;
+        loadOrderTimes.removeIf(at -> at <= windowStart);
+        callTimes.removeIf(at -> at <= windowStart);
+        if (storm.ration() > 0 && loadOrderTimes.size() > storm.ration() + Storm.RATION_RATIO * callTimes.size()) {
+            violations.add("rule 5: " + loadOrderTimes.size() + " orders for " + callTimes.size() + " calls");
         }
     }
 
     @Override
     public void unload(String worker, String function) {
-        time.after(WIRE_NS, () -> workers.get(worker).unload(function));
+        time.after(ONE_WAY_DELAY_NANOS, () -> workers.get(worker).unload(function));
     }
 
     @Override
     public void probe(String worker) {
-        time.after(2 * WIRE_NS, () -> {
-            if (!over) {
+        time.after(2 * ONE_WAY_DELAY_NANOS, () -> {
+            if (!stopped) {
                 dispatcher.onProbeCompleted(
-                        time.now(), worker, Outcome.SERVED, 2 * WIRE_NS, report(workers.get(worker)));
+                        time.now(), worker, Outcome.SERVED, 2 * ONE_WAY_DELAY_NANOS, report(workers.get(worker)));
             }
         });
     }
@@ -322,7 +327,7 @@
     @Override
     public void scheduleTimer(String token, long delayNanos) {
         time.after(delayNanos, () -> {
-            if (!over) {
+            if (!stopped) {
                 dispatcher.onTimer(time.now(), token);
             }
         });
--- a/lab/src/main/java/wharfhinge/lab/LabSettings.java
+++ b/lab/src/main/java/wharfhinge/lab/LabSettings.java
@@ -18,21 +18,22 @@
 import wharfhinge.policy.RequestClass;
 import wharfhinge.policy.WeightReporting;
 
-/** What a gateway before such a fleet is told at its start. */
+/** Settings of the dispatchers of the simulated gateways. */
 final class LabSettings {
-    static final String CLASS = "sync";
-    static final long TICK_NS = 2 * Timeline.MS;
-    static final long WARM_AFTER_NS = 8000 * Timeline.MS;
+    static final String REQUEST_CLASS = "sync";
+    static final long TICK_NANOS = 2 * Timeline.MS;
+    static final long SLOW_START_NANOS = 8000 * Timeline.MS;
 
+    /** Memory of a copy of usual size. */
     static final double COPY_MB = 100;
 
     private LabSettings() {}
 
-    static DispatcherSettings of(Storm s, int index) {
+    static DispatcherSettings of(Storm storm, int index) {
         return new DispatcherSettings(
-                s.gateways(),
+                storm.gateways(),
                 index,
-                TICK_NS,
+                TICK_NANOS,
                 "z",
                 List.of("z"),
                 List.of("k"),
@@ -41,27 +42,27 @@
                 PriorityUnit.REQUEST,
                 0,
                 List.of(new RequestClass(
-                        CLASS,
+                        REQUEST_CLASS,
                         Effect.IDEMPOTENT,
                         DeduplicationScope.ALL,
                         0,
-                        s.aimMillis() * Timeline.MS,
-                        s.patienceMillis() * Timeline.MS,
+                        storm.latencyObjectiveMillis() * Timeline.MS,
+                        storm.clientTimeoutMillis() * Timeline.MS,
                         1,
                         0.2,
                         false,
                         1)),
                 List.of(),
                 new FunctionLoading(
-                        s.keepMillis() * Timeline.MS,
+                        storm.idleRetentionMillis() * Timeline.MS,
                         true,
-                        s.loadsOnCall() ? OnMissBehavior.LOAD : OnMissBehavior.MISS,
+                        storm.loadsOnCall() ? OnMissBehavior.LOAD : OnMissBehavior.MISS,
                         10_000 * Timeline.MS,
-                        s.ration() == 0 ? 0 : Storm.RATION_S * 1000 * Timeline.MS,
+                        storm.ration() == 0 ? 0 : Storm.RATION_S * 1000 * Timeline.MS,
                         Storm.RATION_RATIO,
-                        s.ration(),
+                        storm.ration(),
                         0,
-                        List.of(COPY_MB * s.room()),
+                        List.of(COPY_MB * storm.room()),
                         "",
                         "",
                         true,
@@ -82,7 +83,8 @@
                         100,
                         0,
                         0),
-                new ProtectionRules(0, 0.2, WARM_AFTER_NS, 2, 1000 * Timeline.MS, 2000 * Timeline.MS, 16 * Timeline.MS),
+                new ProtectionRules(
+                        0, 0.2, SLOW_START_NANOS, 2, 1000 * Timeline.MS, 2000 * Timeline.MS, 16 * Timeline.MS),
                 new Prices(0, 0, 0, 0, 0, 0),
                 new ClientBehavior(false));
     }
--- a/lab/src/main/java/wharfhinge/lab/Span.java
+++ b/lab/src/main/java/wharfhinge/lab/Span.java
@@ -3,34 +3,34 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** What happened in one span of time; calls count where they were first made, whatever became of them later. */
+/** Statistics of one span of simulated time. A call counts in the span of its first attempt by the client. */
 public final class Span {
-    /** How a call ended, seen by its client. */
-    public enum End {
-        /** Served within the aim. */
+    /** The result of a call as seen by its client. */
+    public enum Result {
+        /** Served within the latency objective. */
         IN_TIME,
-        /** Served late: it had waited for a load. */
+        /** Served late because it waited for a load. */
         LATE_LOAD,
-        /** Served late: it had waited at a worker. */
+        /** Served late because it waited in the queue of a worker. */
         LATE_QUEUE,
-        /** Served late: the try that was served was not the first. */
-        LATE_REPEAT,
-        /** No try was taken. */
-        REFUSED,
-        /** No answer, or none within its patience. */
+        /** Served late by a retry of the client. */
+        LATE_RETRY,
+        /** All attempts of the client were rejected. */
+        REJECTED,
+        /** An attempt failed and none was served within the client's deadline. */
         FAILED
     }
 
     final double fromS;
     final double lengthS;
-    final Map<End, Integer> ends = new EnumMap<>(End.class);
-    final Map<String, Integer> asked = new java.util.TreeMap<>();
+    final Map<Result, Integer> results = new EnumMap<>(Result.class);
+    final Map<String, Integer> callsByFunction = new java.util.TreeMap<>();
     int calls;
-    int tries;
+    int attempts;
     int copies;
-    int withCopy;
+    int functionsWithCopy;
     int loads;
-    int lastPushedOut;
+    int lastCopyEvictions;
     double bound;
 
     Span(double fromS, double lengthS) {
@@ -38,57 +38,57 @@
         this.lengthS = lengthS;
     }
 
-    /** Seconds since the first counted call. */
+    /** Start of the span in seconds since the start of the measured time. */
     public double fromS() {
         return fromS;
     }
 
-    /** Calls first made in it. */
+    /** Number of calls whose first attempt was in this span. */
     public int calls() {
         return calls;
     }
 
-    /** Of a kind. */
-    public int of(End end) {
-        return ends.getOrDefault(end, 0);
+    /** Number of calls with this result. */
+    public int count(Result result) {
+        return results.getOrDefault(result, 0);
     }
 
-    /** Share that was served within the aim, 0 to 1. */
+    /** Fraction of the calls that was served within the latency objective, 0 to 1. */
     public double inTime() {
-        return of(End.IN_TIME) / (double) Math.max(1, calls);
+        return count(Result.IN_TIME) / (double) Math.max(1, calls);
     }
 
-    /** The most of it that could be, by cores and by memory and store; see {@link StormRun}. */
+    /** Upper bound of {@link #inTime} by cores, memory and store; see {@link StormRun}. */
     public double bound() {
         return bound;
     }
 
-    /** Copies that began to load. */
+    /** Number of loads started. */
     public int loads() {
         return loads;
     }
 
-    /** Evictions after which no copy of the function stood anywhere. */
-    public int lastPushedOut() {
-        return lastPushedOut;
+    /** Number of evictions after which no worker had a loaded copy of the function. */
+    public int lastCopyEvictions() {
+        return lastCopyEvictions;
     }
 
-    /** Copies at its end. */
+    /** Number of copies at the end of the span, including those being loaded. */
     public int copies() {
         return copies;
     }
 
-    /** Functions with a standing copy at its end. */
-    public int withCopy() {
-        return withCopy;
+    /** Number of functions with a loaded copy at the end of the span. */
+    public int functionsWithCopy() {
+        return functionsWithCopy;
     }
 
-    /** All tries made, further ones included. */
-    public int tries() {
-        return tries;
+    /** Number of attempts of clients for the calls of this span, retries included. */
+    public int attempts() {
+        return attempts;
     }
 
-    /** A row of a table. */
+    /** Formats the span as a row of the table under {@link #HEAD}. */
     public String row() {
         return String.format(
                 java.util.Locale.ROOT,
@@ -97,18 +97,18 @@
                 calls,
                 100 * inTime(),
                 100 * bound,
-                of(End.LATE_LOAD),
-                of(End.LATE_QUEUE),
-                of(End.LATE_REPEAT),
-                of(End.REFUSED),
-                of(End.FAILED),
+                count(Result.LATE_LOAD),
+                count(Result.LATE_QUEUE),
+                count(Result.LATE_RETRY),
+                count(Result.REJECTED),
+                count(Result.FAILED),
                 copies,
-                withCopy,
+                functionsWithCopy,
                 loads,
-                lastPushedOut);
+                lastCopyEvictions);
     }
 
-    /** Its head. */
+    /** The header of the table. */
     public static final String HEAD =
             "| from s | calls | in time | at most | late: load | queue | repeat | refused | failed | copies / functions "
                     + "| loads | last ones |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
--- a/lab/src/main/java/wharfhinge/lab/Store.java
+++ b/lab/src/main/java/wharfhinge/lab/Store.java
@@ -3,36 +3,36 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Serves some fetches at a time, further ones in turn. */
+/** A package store that serves a limited number of fetches at a time; further ones wait in a queue. */
 final class Store {
     private final Timeline time;
-    private final int atOnce;
-    private final Deque<Runnable> line = new ArrayDeque<>();
-    private int busy;
-    private double slower = 1;
+    private final int maxConcurrentFetches;
+    private final Deque<Runnable> queue = new ArrayDeque<>();
+    private int runningFetches;
+    private double slowdown = 1;
 
-    Store(Timeline time, int atOnce) {
+    Store(Timeline time, int maxConcurrentFetches) {
         this.time = time;
-        this.atOnce = atOnce;
+        this.maxConcurrentFetches = maxConcurrentFetches;
     }
 
-    void slower(double times) {
-        slower = times;
+    void setSlowdown(double factor) {
+        slowdown = factor;
     }
 
-    void fetch(long ns, Runnable done) {
-        line.add(() -> time.after((long) (ns * slower), () -> {
-            busy--;
-            done.run();
-            next();
+    void fetch(long durationNanos, Runnable onFetched) {
+        queue.add(() -> time.after((long) (durationNanos * slowdown), () -> {
+            runningFetches--;
+            onFetched.run();
+            startQueuedFetches();
         }));
-        next();
+        startQueuedFetches();
     }
 
-    private void next() {
-        while (busy < atOnce && !line.isEmpty()) {
-            busy++;
-            line.poll().run();
+    private void startQueuedFetches() {
+        while (runningFetches < maxConcurrentFetches && !queue.isEmpty()) {
+            runningFetches++;
+            queue.poll().run();
         }
     }
 }
--- a/lab/src/main/java/wharfhinge/lab/Storm.java
+++ b/lab/src/main/java/wharfhinge/lab/Storm.java
@@ -5,53 +5,57 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** A fleet, its clients, and a time of too many calls. Never changes once made; each way to change it gives another. */
+/**
+ * Parameters of a simulated overload (storm): a fleet, its clients, and a phase in which more calls arrive than the fleet can serve.
+ * Immutable; each modifier returns a changed copy.
+ */
 public final class Storm implements Cloneable {
 
-    /** What goes wrong beside the storm. */
+    /** A disturbance in addition to the overload. */
     public enum Kind {
-        /** Popularity turns over: the last function becomes the first. */
+        /** The popularity ranks of the functions are shifted by half the number of functions. */
         TURNOVER,
-        /** A worker comes back empty and cold. */
+        /** One worker restarts without copies and with a slow start. */
         WORKER_RESTARTS,
-        /** The store takes ten times as long, for so long. */
+        /** Fetches from the store take ten times as long for the given duration. */
         STORE_SLOW,
-        /** All gateways start anew and know nothing. */
+        /** All gateways restart without any state. */
         GATEWAYS_RESTART
     }
 
-    /** One trouble; seconds from the first counted call, and its length where it has one. */
-    public record Trouble(Kind kind, double atS, double forS) {}
+    /** A disturbance at a time in seconds from the start of the measured time; {@code forS} is its duration if its kind has one. */
+    public record Disturbance(Kind kind, double atS, double forS) {}
 
-    /** Seconds that are not counted: copies and beliefs form. */
+    /** Seconds before the measured time, in which copies are loaded and dispatchers learn about the workers. */
     public static final int WARM_UP_S = 10;
-    /** A ration of load orders counts over such a span. */
+    /** Length of the sliding window of the load quota, in seconds. */
     public static final int RATION_S = 5;
-    /** What a ration allows beside for each call of the span. */
+    /** Load orders that the quota allows in addition for each call in the window. */
     public static final double RATION_RATIO = 0.1;
 
-    private static final double LARGE = 0.6; // of a worker's memory: two don't stand beside each other
-    private static final int TENANT_PART = 10; // one function of so many is the storming tenant's
+    private static final double LARGE_MEMORY_FRACTION = 0.6; // two large copies don't fit on one worker
+    private static final int TENANT_FUNCTION_INTERVAL =
+            10; // one function in this many belongs to the overloading tenant
 
     private int gateways = 1;
     private int workers = 8;
     private int cores = 4;
     private int queue = 32;
     private int room = 12;
-    private int loadsAtOnce = 2;
+    private int loadConcurrency = 2;
     private boolean loadsOnCall;
     private int lanes = 4;
     private int callMillis = 80;
     private int loadMillis = 400;
-    private int storeAtOnce = 8;
+    private int storeConcurrency = 8;
     private int functions = 90;
     private double zipf = 1;
-    private int aimMillis = 600;
-    private int patienceMillis = 1500;
+    private int latencyObjectiveMillis = 600;
+    private int clientTimeoutMillis = 1500;
     private int tries = 3;
-    private int keepMillis = 8000;
-    private double calm = 0.5;
-    private double peak = 1.5;
+    private int idleRetentionMillis = 8000;
+    private double baseLoad = 0.5;
+    private double peakLoad = 1.5;
     private int beforeS = 6;
     private int stormS = 10;
     private int afterS = 16;
@@ -59,140 +63,140 @@
     private int large;
     private boolean oneTenant;
     private double chains;
-    private List<Trouble> troubles = List.of();
+    private List<Disturbance> disturbances = List.of();
     private long seed = 7;
 
     private Storm() {}
 
-    /** Eight workers whose memory just holds the ninety functions. */
-    public static Storm tight() {
+    /** Eight workers whose memory is just enough for one copy of each of the ninety functions. */
+    public static Storm minimalMemory() {
         return new Storm();
     }
 
-    /** The same with room for all functions everywhere. */
-    public static Storm ample() {
-        return tight().room(90);
+    /** The same fleet with memory for all functions on each worker. */
+    public static Storm abundantMemory() {
+        return minimalMemory().room(90);
     }
 
-    private Storm but(Consumer<Storm> change) {
+    private Storm copyWith(Consumer<Storm> modifier) {
         try {
-            Storm other = (Storm) clone();
-            change.accept(other);
-            return other;
+            Storm copy = (Storm) clone();
+            modifier.accept(copy);
+            return copy;
         } catch (CloneNotSupportedException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** With so much room. */
+    /** Sets the memory of a worker, in copies of usual size. */
     public Storm room(int copies) {
-        return but(s -> s.room = copies);
+        return copyWith(s -> s.room = copies);
     }
 
-    /** With so many gateways. */
+    /** Sets the number of gateways. */
     public Storm gateways(int count) {
-        return but(s -> s.gateways = count);
+        return copyWith(s -> s.gateways = count);
     }
 
-    /** With workers that load on call, or not. */
-    public Storm loadsOnCall(boolean now) {
-        return but(s -> s.loadsOnCall = now);
+    /** Sets whether workers load on demand. */
+    public Storm loadsOnCall(boolean enabled) {
+        return copyWith(s -> s.loadsOnCall = enabled);
     }
 
-    /** With so much offered before and after, and in the storm, in parts of the capacity. */
+    /** Sets the offered load before and after the storm, and during the storm, as fractions of the capacity. */
     public Storm load(double before, double during) {
-        return but(s -> {
-            s.calm = before;
-            s.peak = during;
+        return copyWith(s -> {
+            s.baseLoad = before;
+            s.peakLoad = during;
         });
     }
 
-    /** A fleet of another size. */
-    public Storm fleet(int count, int coresOfOne, int lanesOfCopy, int functionCount) {
-        return but(s -> {
+    /** Sets the size of the fleet: workers, cores of a worker, slots of a copy and functions. */
+    public Storm fleet(int count, int coresPerWorker, int lanesPerCopy, int functionCount) {
+        return copyWith(s -> {
             s.workers = count;
-            s.cores = coresOfOne;
-            s.lanes = lanesOfCopy;
+            s.cores = coresPerWorker;
+            s.lanes = lanesPerCopy;
             s.functions = functionCount;
         });
     }
 
-    /** With other times of loading. */
-    public Storm loading(int ms, int storeServes) {
-        return but(s -> {
-            s.loadMillis = ms;
-            s.storeAtOnce = storeServes;
+    /** Sets the duration of a load and the number of concurrent fetches of the store. */
+    public Storm loading(int millis, int storeFetches) {
+        return copyWith(s -> {
+            s.loadMillis = millis;
+            s.storeConcurrency = storeFetches;
         });
     }
 
-    /** Looked at for so long before the storm, in it and after it. */
-    public Storm lasting(int before, int storm, int after) {
-        return but(s -> {
+    /** Sets the seconds of measured time before, during and after the storm. */
+    public Storm phases(int before, int storm, int after) {
+        return copyWith(s -> {
             s.beforeS = before;
             s.stormS = storm;
             s.afterS = after;
         });
     }
 
-    /** With clients that try so often. */
-    public Storm tries(int most) {
-        return but(s -> s.tries = most);
+    /** Sets the maximum number of attempts of a client. */
+    public Storm tries(int maxTries) {
+        return copyWith(s -> s.tries = maxTries);
     }
 
-    /** With so many load orders a gateway in five seconds, and one more for ten of its calls in them; 0: as many as it likes. */
+    /** Sets the load quota: load orders of a gateway in {@value #RATION_S} s, plus one for ten of its calls in them; 0 means no quota. */
     public Storm ration(int orders) {
-        return but(s -> s.ration = orders);
+        return copyWith(s -> s.ration = orders);
     }
 
-    /** With so many functions, the most popular ones, that take more than half of a worker's memory each. */
+    /** Sets how many functions, the most popular ones, need more than half of a worker's memory for a copy. */
     public Storm large(int count) {
-        return but(s -> s.large = count);
+        return copyWith(s -> s.large = count);
     }
 
-    /** What is offered beyond calm in the storm is all for one function in ten, those of one tenant. */
+    /** Directs the load that the storm adds to the functions of one tenant, one function in ten. */
     public Storm ofOneTenant() {
-        return but(s -> s.oneTenant = true);
+        return copyWith(s -> s.oneTenant = true);
     }
 
-    /** With this part of what clients ask for chains of two steps, whose aim and patience are twice those of a call. */
-    public Storm chains(double part) {
-        return but(s -> s.chains = part);
+    /** Sets the fraction of client requests that are chains of two steps; their latency objective and timeout are twice those of a call. */
+    public Storm chains(double fraction) {
+        return copyWith(s -> s.chains = fraction);
     }
 
-    /** With one more trouble. */
+    /** Adds a disturbance. */
     public Storm with(Kind kind, double atS, double forS) {
-        List<Trouble> more = new ArrayList<>(troubles);
-        more.add(new Trouble(kind, atS, forS));
-        return but(s -> s.troubles = List.copyOf(more));
+        List<Disturbance> extended = new ArrayList<>(disturbances);
+        extended.add(new Disturbance(kind, atS, forS));
+        return copyWith(s -> s.disturbances = List.copyOf(extended));
     }
 
-    /** With other draws. */
-    public Storm seed(long other) {
-        return but(s -> s.seed = other);
+    /** Sets the seed of the random numbers. */
+    public Storm seed(long newSeed) {
+        return copyWith(s -> s.seed = newSeed);
     }
 
-    /** Calls a second that the cores bear. */
+    /** Calls per second that the cores of all workers can run. */
     public double capacityPerS() {
         return workers * cores * 1000.0 / callMillis;
     }
 
-    /** Seconds that are counted. */
+    /** Length of the measured time. */
     public int seconds() {
         return beforeS + stormS + afterS;
     }
 
-    /** What a copy of it takes of a worker's room. */
-    int places(int function) {
-        return function < large ? (int) Math.ceil(LARGE * room) : 1;
+    /** Memory units that a copy of the function needs; a copy of usual size needs one. */
+    int memoryUnits(int function) {
+        return function < large ? (int) Math.ceil(LARGE_MEMORY_FRACTION * room) : 1;
     }
 
-    int places(String function) {
-        return places(Integer.parseInt(function.substring(1)));
+    int memoryUnits(String function) {
+        return memoryUnits(Integer.parseInt(function.substring(1)));
     }
 
-    /** The storming tenant's function that a draw below 1 stands for. */
-    int tenants(double drawn) {
-        return (int) (drawn * Math.max(1, functions / TENANT_PART)) * TENANT_PART;
+    /** Selects a function of the overloading tenant by a random number from 0 (inclusive) to 1 (exclusive). */
+    int tenantFunction(double random) {
+        return (int) (random * Math.max(1, functions / TENANT_FUNCTION_INTERVAL)) * TENANT_FUNCTION_INTERVAL;
     }
 
     int gateways() {
@@ -203,91 +207,91 @@
         return workers;
     }
 
-    /** Calls that a worker runs at full pace at a time; further ones wait. */
+    /** Calls that a worker runs at a time; further ones wait. */
     int cores() {
         return cores;
     }
 
-    /** Calls that may wait at a worker; one more is answered full. */
+    /** Maximum length of the queue of a worker; further calls are rejected as saturated. */
     int queue() {
         return queue;
     }
 
-    /** Usual copies that a worker's memory holds. */
+    /** Memory of a worker in units; a copy of usual size needs one. */
     int room() {
         return room;
     }
 
-    /** Of one worker. */
-    int loadsAtOnce() {
-        return loadsAtOnce;
+    /** Concurrent loads of one worker. */
+    int loadConcurrency() {
+        return loadConcurrency;
     }
 
-    /** A worker loads what it is called for; else it answers a miss, and orders load. */
+    /** Whether workers load on demand; otherwise a call without a copy is a miss, and functions are loaded by load orders only. */
     boolean loadsOnCall() {
         return loadsOnCall;
     }
 
-    /** Calls that one copy runs at a time. */
+    /** Slots of a copy: the calls that it runs at a time. */
     int lanes() {
         return lanes;
     }
 
-    /** Work of a call. */
+    /** Duration of a call on a worker after its slow start. */
     int callMillis() {
         return callMillis;
     }
 
-    /** Fetch and start of a copy, all of it at the store. */
+    /** Duration of a load, during which it occupies one of the concurrent fetches of the store. */
     int loadMillis() {
         return loadMillis;
     }
 
-    /** Fetches that the store serves at a time; further ones wait. */
-    int storeAtOnce() {
-        return storeAtOnce;
+    /** Concurrent fetches of the store; further ones wait. */
+    int storeConcurrency() {
+        return storeConcurrency;
     }
 
     int functions() {
         return functions;
     }
 
-    /** Popularity falls off as 1/(rank+2) to this power. */
+    /** Exponent of the popularity 1/(rank+2)^zipf. */
     double zipf() {
         return zipf;
     }
 
-    /** An answer within it is in time. */
-    int aimMillis() {
-        return aimMillis;
+    /** Latency objective of a call. */
+    int latencyObjectiveMillis() {
+        return latencyObjectiveMillis;
     }
 
-    /** A client waits so long in all. */
-    int patienceMillis() {
-        return patienceMillis;
+    /** Total time that a client waits for a call, retries included. */
+    int clientTimeoutMillis() {
+        return clientTimeoutMillis;
     }
 
-    /** Of a client, within its patience. */
+    /** Maximum number of attempts of a client within its timeout. */
     int tries() {
         return tries;
     }
 
-    /** Told to gateways: for so long a copy that nobody calls is believed to stand. */
-    int keepMillis() {
-        return keepMillis;
+    /** Time after which idle copies are unloaded; gateways know it and assume idle copies loaded for that long. */
+    int idleRetentionMillis() {
+        return idleRetentionMillis;
     }
 
-    /** Part of the fleet's capacity that is offered before and after. */
-    double calm() {
-        return calm;
+    /** Offered load before and after the storm, as a fraction of the capacity. */
+    double baseLoad() {
+        return baseLoad;
     }
 
-    /** And in the storm. */
-    double peak() {
-        return peak;
+    /** Offered load during the storm, as a fraction of the capacity. */
+    double peakLoad() {
+        return peakLoad;
     }
 
-    /** Seconds before the storm; those of the warm-up come before them. */
+    /** Seconds of measured time before the storm; the warm-up precedes them. */
     int beforeS() {
         return beforeS;
     }
@@ -312,16 +316,16 @@
         return chains;
     }
 
-    /** Calls of workers for one thing that a client asks for. */
-    double callsEach() {
+    /** Mean number of calls per client request. */
+    double callsPerRequest() {
         return 1 + chains;
     }
 
-    List<Trouble> troubles() {
-        return troubles;
+    List<Disturbance> disturbances() {
+        return disturbances;
     }
 
-    /** Of all draws. */
+    /** Seed of the random numbers. */
     public long seed() {
         return seed;
     }
@@ -340,10 +344,10 @@
                 functions,
                 large,
                 loadMillis,
-                storeAtOnce,
+                storeConcurrency,
                 ration,
-                calm,
-                peak,
+                baseLoad,
+                peakLoad,
                 seed);
     }
 }
--- a/lab/src/main/java/wharfhinge/lab/StormRun.java
+++ b/lab/src/main/java/wharfhinge/lab/StormRun.java
@@ -14,9 +14,10 @@
 import wharfhinge.policy.Endpoint;
 
 /**
- * Plays a storm in simulated time over real decisions. The most that can be in a span is the least of two bounds: what the cores bear of
- * the calls; and, of those, calls of the functions that were asked for most in it, as many as the memory of all workers holds once each,
- * with one more call served for each load that the store can make in it, which is what one who knows the arrivals could do.
+ * Simulates a {@link Storm} with real dispatchers. Two limits bound the calls that can be served in time in a span. The first is the
+ * number of calls that the cores can run. The second is what a scheduler that knows all arrivals could serve: the calls of the functions
+ * called most per memory unit in the span, as many functions as fit once each into the memory of all workers, plus one call for each load
+ * that the store can complete in the span.
  */
 public final class StormRun {
     private static final double SPAN_S = 2;
@@ -25,57 +26,61 @@
     private final Timeline time = new Timeline();
     private final UniformRandomProvider random;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
-    private final List<Endpoint> told = new ArrayList<>();
+    private final List<Endpoint> endpoints = new ArrayList<>();
     private final List<Gateway> gateways = new ArrayList<>();
     private final List<Span> spans = new ArrayList<>();
     private final List<String> faults = new ArrayList<>();
-    private final Gateway.Decisions decisions;
+    private final Gateway.DispatcherConstructor dispatcherConstructor;
     private final double[] popularity;
     private final Store store;
-    private final long begin;
-    private int turned; // how far popularity has turned over
-    private int lives;
+    private final long measuredFrom;
+    private int popularityShift; // by how many ranks the popularity of the functions is shifted
+    private int dispatchersCreated;
 
-    private StormRun(Storm storm, Gateway.Decisions decisions) {
+    private StormRun(Storm storm, Gateway.DispatcherConstructor dispatcherConstructor) {
         this.storm = storm;
-        this.decisions = decisions;
+        this.dispatcherConstructor = dispatcherConstructor;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(storm.seed());
-        this.store = new Store(time, storm.storeAtOnce());
+        this.store = new Store(time, storm.storeConcurrency());
         this.popularity = new double[storm.functions()];
         double sum = 0;
         for (int i = 0; i < popularity.length; i++) {
             sum += 1 / Math.pow(i + 2, storm.zipf());
             popularity[i] = sum;
         }
-        this.begin = time.now() + Storm.WARM_UP_S * 1000L * Timeline.MS;
+        this.measuredFrom = time.now() + Storm.WARM_UP_S * 1000L * Timeline.MS;
     }
 
-    /** What came of it. */
+    /**
+     * The result of a simulation.
+     *
+     * @param faults violations of the rules of the simulation; empty if there were none
+     */
     public record Played(Storm storm, List<Span> spans, List<String> faults) {
-        /** Share in time of the calls first made from one second to another, since the first counted one. */
+        /** Fraction served in time of the calls first made between two times, in seconds of measured time. */
         public double inTime(double fromS, double toS) {
-            return aCall(fromS, toS, s -> s.of(Span.End.IN_TIME));
+            return perCall(fromS, toS, s -> s.count(Span.Result.IN_TIME));
         }
 
-        /** The same of what could be at most. */
+        /** Upper bound of {@link #inTime}. */
         public double bound(double fromS, double toS) {
-            return aCall(fromS, toS, s -> s.bound * s.calls);
+            return perCall(fromS, toS, s -> s.bound * s.calls);
         }
 
-        /** Loads for each call. */
+        /** Mean number of loads per call. */
         public double loadsPerCall(double fromS, double toS) {
-            return aCall(fromS, toS, s -> s.loads);
+            return perCall(fromS, toS, s -> s.loads);
         }
 
-        private double aCall(double fromS, double toS, ToDoubleFunction<Span> what) {
-            List<Span> those = spans.stream()
+        private double perCall(double fromS, double toS, ToDoubleFunction<Span> value) {
+            List<Span> selected = spans.stream()
                     .filter(s -> s.fromS >= fromS && s.fromS < toS)
                     .toList();
-            return those.stream().mapToDouble(what).sum()
-                    / Math.max(1, those.stream().mapToInt(s -> s.calls).sum());
+            return selected.stream().mapToDouble(value).sum()
+                    / Math.max(1, selected.stream().mapToInt(s -> s.calls).sum());
         }
 
-        /** Before the storm, in it, in the first spans after it and later. */
+        /** Describes the results before the storm, during it, in the 4 s after it and later. */
         public String summary() {
             int end = storm.beforeS() + storm.stormS();
             return String.format(
@@ -93,56 +98,57 @@
         }
     }
 
-    /** Plays it with the product's decisions. */
+    /** Simulates the storm with {@link CacheAwareDispatcher}. */
     public static Played play(Storm storm) {
         return new StormRun(storm, CacheAwareDispatcher::new).play();
     }
 
     private Played play() {
         for (int i = 0; i < storm.workers(); i++) {
-            Worker w = new Worker("w" + i, storm, time, store, this::pushedOut, () -> span().loads++);
-            workers.put(w.id, w);
-            told.add(new Endpoint(w.id, "z", "k", 0, Availability.UP, storm.cores(), 0));
+            Worker worker = new Worker("w" + i, storm, time, store, this::onEviction, () -> currentSpan().loads++);
+            workers.put(worker.id, worker);
+            endpoints.add(new Endpoint(worker.id, "z", "k", 0, Availability.UP, storm.cores(), 0));
         }
-        for (double at = -Storm.WARM_UP_S; at < storm.seconds() + storm.patienceMillis() / 1000.0; at += SPAN_S) {
+        for (double at = -Storm.WARM_UP_S; at < storm.seconds() + storm.clientTimeoutMillis() / 1000.0; at += SPAN_S) {
             Span span = new Span(at, SPAN_S);
             spans.add(span);
-            time.at(at(at + SPAN_S) - 1, () -> close(span));
+            time.at(at(at + SPAN_S) - 1, () -> recordCopies(span));
         }
         for (int i = 0; i < storm.gateways(); i++) {
             gateways.add(gateway(i));
         }
-        storm.troubles().forEach(this::plan);
-        arrive(time.now());
-        time.runUntil(at(storm.seconds()) + 2L * storm.patienceMillis() * Timeline.MS);
+        storm.disturbances().forEach(this::scheduleDisturbance);
+        scheduleArrival(time.now());
+        time.runUntil(at(storm.seconds()) + 2L * storm.clientTimeoutMillis() * Timeline.MS);
         spans.removeIf(s -> s.fromS < 0 || s.fromS >= storm.seconds());
         spans.forEach(s -> s.bound = bound(s));
         return new Played(storm, spans, faults);
     }
 
     private long at(double second) {
-        return begin + (long) (second * 1000 * Timeline.MS);
+        return measuredFrom + (long) (second * 1000 * Timeline.MS);
     }
 
     private Gateway gateway(int index) {
-        Gateway g = new Gateway(time, storm, storm.seed() * 100 + lives++, index, workers, decisions, faults);
-        g.members(told);
-        return g;
+        Gateway gateway = new Gateway(
+                time, storm, storm.seed() * 100 + dispatchersCreated++, index, workers, dispatcherConstructor, faults);
+        gateway.updateEndpoints(endpoints);
+        return gateway;
     }
 
-    private void plan(Storm.Trouble t) {
-        time.at(at(t.atS()), () -> {
-            switch (t.kind()) {
-                case TURNOVER -> turned += storm.functions() / 2;
+    private void scheduleDisturbance(Storm.Disturbance disturbance) {
+        time.at(at(disturbance.atS()), () -> {
+            switch (disturbance.kind()) {
+                case TURNOVER -> popularityShift += storm.functions() / 2;
                 case WORKER_RESTARTS -> {
-                    Worker w = workers.get("w0");
-                    w.restart(time.now() + LabSettings.WARM_AFTER_NS);
-                    told.set(0, new Endpoint(w.id, "z", "k", 0, Availability.UP, storm.cores(), time.now()));
-                    gateways.forEach(g -> g.members(told));
+                    Worker worker = workers.get("w0");
+                    worker.restart(time.now() + LabSettings.SLOW_START_NANOS);
+                    endpoints.set(0, new Endpoint(worker.id, "z", "k", 0, Availability.UP, storm.cores(), time.now()));
+                    gateways.forEach(gateway -> gateway.updateEndpoints(endpoints));
                 }
                 case STORE_SLOW -> {
-                    store.slower(10);
-                    time.after((long) (t.forS() * 1000 * Timeline.MS), () -> store.slower(1));
+                    store.setSlowdown(10);
+                    time.after((long) (disturbance.forS() * 1000 * Timeline.MS), () -> store.setSlowdown(1));
                 }
                 case GATEWAYS_RESTART -> {
                     for (int i = 0; i < gateways.size(); i++) {
@@ -156,113 +162,119 @@
 
     // ---- Clients ----------------------------------------------------------------------------
 
-    private double rate(double second) {
-        return storm.capacityPerS() / storm.callsEach() * (stormy(second) ? storm.peak() : storm.calm());
+    private double arrivalsPerSecond(double second) {
+        return storm.capacityPerS() / storm.callsPerRequest() * (isStorm(second) ? storm.peakLoad() : storm.baseLoad());
     }
 
-    private boolean stormy(double second) {
+    private boolean isStorm(double second) {
         return second >= storm.beforeS() && second < storm.beforeS() + storm.stormS();
     }
 
-    private void arrive(long at) {
-        double second = (at - begin) / 1000.0 / Timeline.MS;
+    private void scheduleArrival(long at) {
+        double second = (at - measuredFrom) / 1000.0 / Timeline.MS;
         if (second >= storm.seconds()) {
             return;
         }
         time.at(at, () -> {
-            first();
-            arrive(at + (long) (-Math.log(1 - random.nextDouble()) * 1000 * Timeline.MS / rate(second)));
+            startRequest();
+            scheduleArrival(
+                    at + (long) (-Math.log(1 - random.nextDouble()) * 1000 * Timeline.MS / arrivalsPerSecond(second)));
         });
     }
 
-    private String drawn() {
-        double drawn = random.nextDouble() * popularity[popularity.length - 1];
+    private String drawFunction() {
+        double point = random.nextDouble() * popularity[popularity.length - 1];
         int rank = 0;
-        while (popularity[rank] < drawn) {
+        while (popularity[rank] < point) {
             rank++;
         }
-        boolean tenants = storm.oneTenant()
-                && stormy((time.now() - begin) / 1000.0 / Timeline.MS)
-                && random.nextDouble() > storm.calm() / storm.peak();
-        return "f" + (tenants ? storm.tenants(random.nextDouble()) : (rank + turned) % storm.functions());
+        boolean fromTenant = storm.oneTenant()
+                && isStorm((time.now() - measuredFrom) / 1000.0 / Timeline.MS)
+                && random.nextDouble() > storm.baseLoad() / storm.peakLoad();
+        return "f"
+                + (fromTenant
+                        ? storm.tenantFunction(random.nextDouble())
+                        : (rank + popularityShift) % storm.functions());
     }
 
-    private void first() {
-        boolean chain = storm.chains() > 0 && random.nextDouble() < storm.chains();
-        List<String> functions = chain ? List.of(drawn(), drawn()) : List.of(drawn());
-        Span span = span();
+    private void startRequest() {
+        boolean isChain = storm.chains() > 0 && random.nextDouble() < storm.chains();
+        List<String> functions = isChain ? List.of(drawFunction(), drawFunction()) : List.of(drawFunction());
+        Span span = currentSpan();
         span.calls++;
-        functions.forEach(f -> span.asked.merge(f, 1, Integer::sum));
-        attempt(new Asked(functions, span, time.now()), 1, false);
+        functions.forEach(f -> span.callsByFunction.merge(f, 1, Integer::sum));
+        attempt(new ClientRequest(functions, span, time.now()), 1, false);
     }
 
-    /** What a client asks for: one function, or one after the other. */
-    private record Asked(List<String> functions, Span span, long began) {}
+    /** A client request: one function, or a chain of functions. */
+    private record ClientRequest(List<String> functions, Span span, long startedAt) {}
 
-    private void attempt(Asked a, int number, boolean ran) {
-        int steps = a.functions.size();
-        long patience = steps * storm.patienceMillis() * Timeline.MS;
-        long left = a.began + patience - time.now();
-        a.span.tries++;
+    private void attempt(ClientRequest request, int attemptNumber, boolean mayHaveRunBefore) {
+        int steps = request.functions.size();
+        long timeout = steps * storm.clientTimeoutMillis() * Timeline.MS;
+        long remaining = request.startedAt + timeout - time.now();
+        request.span.attempts++;
         Gateway gateway = gateways.get(random.nextInt(gateways.size()));
-        Consumer<Gateway.Answer> to = answer -> {
-            long took = time.now() - a.began;
+        Consumer<Gateway.Answer> onAnswer = answer -> {
+            long took = time.now() - request.startedAt;
             if (answer.kind() == Gateway.Answer.Kind.SERVED) {
-                Span.End end = took <= steps * storm.aimMillis() * Timeline.MS
-                        ? Span.End.IN_TIME
-                        : number > 1
-                                ? Span.End.LATE_REPEAT
-                                : answer.loaded() ? Span.End.LATE_LOAD : Span.End.LATE_QUEUE;
-                a.span.ends.merge(end, 1, Integer::sum);
+                Span.Result result = took <= steps * storm.latencyObjectiveMillis() * Timeline.MS
+                        ? Span.Result.IN_TIME
+                        : attemptNumber > 1
+                                ? Span.Result.LATE_RETRY
+                                : answer.loaded() ? Span.Result.LATE_LOAD : Span.Result.LATE_QUEUE;
+                request.span.results.merge(result, 1, Integer::sum);
                 return;
             }
-            boolean mayHaveRun = ran || answer.kind() == Gateway.Answer.Kind.FAILED;
-            long wait = answer.comeBackNanos() + (long) (random.nextDouble() * 20 * Timeline.MS);
-            if (number == storm.tries() || took + wait >= patience) {
-                a.span.ends.merge(mayHaveRun ? Span.End.FAILED : Span.End.REFUSED, 1, Integer::sum);
+            boolean mayHaveRun = mayHaveRunBefore || answer.kind() == Gateway.Answer.Kind.FAILED;
+            long wait = answer.retryAfterNanos() + (long) (random.nextDouble() * 20 * Timeline.MS);
+            if (attemptNumber == storm.tries() || took + wait >= timeout) {
+                request.span.results.merge(mayHaveRun ? Span.Result.FAILED : Span.Result.REJECTED, 1, Integer::sum);
             } else {
-                time.after(wait, () -> attempt(a, number + 1, mayHaveRun));
+                time.after(wait, () -> attempt(request, attemptNumber + 1, mayHaveRun));
             }
         };
         if (steps == 1) {
-            gateway.call(a.functions.get(0), left, to);
+            gateway.call(request.functions.get(0), remaining, onAnswer);
         } else {
-            gateway.chain(a.functions, left, to);
+            gateway.startChain(request.functions, remaining, onAnswer);
         }
     }
 
-    // ---- Figures ----------------------------------------------------------------------------
+    // ---- Statistics -------------------------------------------------------------------------
 
-    private Span span() {
-        int i = (int) ((time.now() - begin + Storm.WARM_UP_S * 1000L * Timeline.MS) / (SPAN_S * 1000 * Timeline.MS));
+    private Span currentSpan() {
+        int i = (int)
+                ((time.now() - measuredFrom + Storm.WARM_UP_S * 1000L * Timeline.MS) / (SPAN_S * 1000 * Timeline.MS));
         return spans.get(Math.min(i, spans.size() - 1));
     }
 
-    private void pushedOut(Worker by, String function) {
-        if (workers.values().stream().allMatch(w -> w.standing(function) == 0)) {
-            span().lastPushedOut++;
+    private void onEviction(Worker evictedFrom, String function) {
+        if (workers.values().stream().allMatch(worker -> worker.loadedCopies(function) == 0)) {
+            currentSpan().lastCopyEvictions++;
         }
     }
 
-    private void close(Span span) {
-        span.copies = workers.values().stream().mapToInt(Worker::copiesHeld).sum();
+    private void recordCopies(Span span) {
+        span.copies = workers.values().stream().mapToInt(Worker::copyCount).sum();
         for (int i = 0; i < storm.functions(); i++) {
             String f = "f" + i;
-            span.withCopy += workers.values().stream().anyMatch(w -> w.standing(f) > 0) ? 1 : 0;
+            span.functionsWithCopy += workers.values().stream().anyMatch(worker -> worker.loadedCopies(f) > 0) ? 1 : 0;
         }
     }
 
     private double bound(Span s) {
-        double held = 0;
-        int places = storm.workers() * storm.room();
-        for (String f : s.asked.keySet().stream()
-                .sorted(Comparator.comparingInt(f -> -s.asked.get(f) / storm.places(f)))
+        double servable = 0;
+        int freeMemoryUnits = storm.workers() * storm.room();
+        for (String f : s.callsByFunction.keySet().stream()
+                .sorted(Comparator.comparingInt(f -> -s.callsByFunction.get(f) / storm.memoryUnits(f)))
                 .toList()) {
-            places -= storm.places(f);
-            held += places < 0 ? 0 : s.asked.get(f);
+            freeMemoryUnits -= storm.memoryUnits(f);
+            servable += freeMemoryUnits < 0 ? 0 : s.callsByFunction.get(f);
         }
-        double loads = storm.storeAtOnce() * 1000.0 / storm.loadMillis() * SPAN_S;
-        double could = Math.min(s.calls, Math.min(held + loads, storm.capacityPerS() * SPAN_S) / storm.callsEach());
-        return s.calls == 0 ? 1 : could / s.calls;
+        double loads = storm.storeConcurrency() * 1000.0 / storm.loadMillis() * SPAN_S;
+        double bounded =
+                Math.min(s.calls, Math.min(servable + loads, storm.capacityPerS() * SPAN_S) / storm.callsPerRequest());
+        return s.calls == 0 ? 1 : bounded / s.calls;
     }
 }
--- a/lab/src/main/java/wharfhinge/lab/Timeline.java
+++ b/lab/src/main/java/wharfhinge/lab/Timeline.java
@@ -3,35 +3,38 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Simulated time, nanoseconds: what is due next happens next; of what is due at once, what was asked for first. One thread. */
+/**
+ * The event queue of the simulation, in nanoseconds of simulated time. Actions run in the order of their times; actions of the same time
+ * run in the order of scheduling. Not thread-safe.
+ */
 final class Timeline {
     static final long MS = 1_000_000L;
 
-    private record Due(long at, long number, Runnable what) {}
+    private record ScheduledAction(long at, long sequence, Runnable action) {}
 
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
-    private long number;
-    private long now = MS; // 0 stands for "never" in what is told of workers
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledAction::at).thenComparingLong(ScheduledAction::sequence));
+    private long sequence;
+    private long now = MS; // starts above 0, because 0 means "never" in the start time of an endpoint
 
     long now() {
         return now;
     }
 
-    void after(long delayNanos, Runnable what) {
-        queue.add(new Due(now + Math.max(0, delayNanos), number++, what));
+    void after(long delayNanos, Runnable action) {
+        queue.add(new ScheduledAction(now + Math.max(0, delayNanos), sequence++, action));
     }
 
-    void at(long when, Runnable what) {
-        after(when - now, what);
+    void at(long atNanos, Runnable action) {
+        after(atNanos - now, action);
     }
 
-    /** Lets happen what is due by then. */
+    /** Runs all actions that are due by {@code end}. */
     void runUntil(long end) {
         while (!queue.isEmpty() && queue.peek().at <= end) {
-            Due due = queue.poll();
-            now = due.at;
-            due.what.run();
+            ScheduledAction next = queue.poll();
+            now = next.at;
+            next.action.run();
         }
         now = Math.max(now, end);
     }
--- a/lab/src/main/java/wharfhinge/lab/Worker.java
+++ b/lab/src/main/java/wharfhinge/lab/Worker.java
@@ -16,15 +16,15 @@
 import wharfhinge.policy.Outcome;
 
 /**
- * A worker: copies in a memory of so many places, the one idle longest goes when a load needs room, cores that run calls in the order they
- * came, a bounded queue. It knows nothing of who else holds what.
+ * A simulated worker: a memory for copies, from which the least recently used idle copies are evicted for a load; cores that run calls in
+ * the order of arrival; and a bounded queue. It has no information about other workers.
  */
 final class Worker {
-    private static final long TIDY_NS = 250 * Timeline.MS;
+    private static final long EXPIRY_CHECK_INTERVAL_NANOS = 250 * Timeline.MS;
 
-    /** Told how a call ended; company counts calls of the function that it found. */
+    /** Receives the result of a call. {@code concurrentCalls} counts the calls of the function that were queued or running when it came. */
     interface Reply {
-        void ended(Outcome outcome, CacheStatus note, int company);
+        void completed(Outcome outcome, CacheStatus cacheStatus, int concurrentCalls);
     }
 
     private static final class Copy {
@@ -38,255 +38,273 @@
         }
     }
 
-    /** A call under way; gone once cancelled. */
-    static final class Visit {
+    /** A call on this worker; finished once it is answered or cancelled. */
+    static final class PendingCall {
         private final String function;
         private final Reply reply;
-        private final int company;
-        private CacheStatus note = CacheStatus.HIT;
-        private boolean gone;
+        private final int concurrentCalls;
+        private CacheStatus cacheStatus = CacheStatus.HIT;
+        private boolean finished;
 
-        Visit(String function, int company, Reply reply) {
+        PendingCall(String function, int concurrentCalls, Reply reply) {
             this.function = function;
-            this.company = company;
+            this.concurrentCalls = concurrentCalls;
             this.reply = reply;
         }
 
-        /** Nobody waits; work that runs goes on. */
-        void leave() {
-            gone = true;
+        /** Cancels the call: no result is reported. A call that is running continues to occupy its core. */
+        void cancel() {
+            finished = true;
         }
     }
 
-    private record Order(String function, int count, ObjIntConsumer<Outcome> ended) {}
+    private record LoadOrder(String function, int count, ObjIntConsumer<Outcome> onCompleted) {}
 
     final String id;
     private final Storm storm;
     private final Timeline time;
     private final Store store;
-    private final BiConsumer<Worker, String> pushedOut; // told of a copy that was evicted, after it is gone
-    private final Runnable loaded;
+    private final BiConsumer<Worker, String> onEviction; // called after the copy was removed
+    private final Runnable onLoadStarted;
     private final Map<String, List<Copy>> copies = new LinkedHashMap<>();
-    private final Deque<Visit> queue = new ArrayDeque<>();
-    private final Deque<Copy> loadLine = new ArrayDeque<>();
-    private final List<Order> orders = new ArrayList<>();
-    private final Map<Visit, Copy> running = new HashMap<>();
-    private int held; // of its room, by loading copies too
-    private int loads;
-    private int life;
-    private long coldUntil;
+    private final Deque<PendingCall> queue = new ArrayDeque<>();
+    private final Deque<Copy> loadQueue = new ArrayDeque<>();
+    private final List<LoadOrder> orders = new ArrayList<>();
+    private final Map<PendingCall, Copy> running = new HashMap<>();
+    private int usedMemory; // memory units used, copies being loaded included
+    private int runningLoads;
+    private int incarnation;
+    private long slowStartUntil;
 
-    Worker(String id, Storm storm, Timeline time, Store store, BiConsumer<Worker, String> pushedOut, Runnable loaded) {
+    Worker(
+            String id,
+            Storm storm,
+            Timeline time,
+            Store store,
+            BiConsumer<Worker, String> onEviction,
+            Runnable onLoadStarted) {
         this.id = id;
         this.storm = storm;
         this.time = time;
         this.store = store;
-        this.pushedOut = pushedOut;
-        this.loaded = loaded;
-        time.after(storm.keepMillis() * Timeline.MS, this::tidy);
+        this.onEviction = onEviction;
+        this.onLoadStarted = onLoadStarted;
+        time.after(storm.idleRetentionMillis() * Timeline.MS, this::unloadExpired);
     }
 
-    /** What lay idle for the told time goes. */
-    private void tidy() {
-        for (List<Copy> of : copies.values()) {
+    /** Periodically unloads copies that were idle for the retention time. */
+    private void unloadExpired() {
+        for (List<Copy> functionCopies : copies.values()) {
             remove(
-                    of,
-                    c -> !c.loading && c.running == 0 && time.now() - c.idleSince > storm.keepMillis() * Timeline.MS);
+                    functionCopies,
+                    copy -> !copy.loading
+                            && copy.running == 0
+                            && time.now() - copy.idleSince > storm.idleRetentionMillis() * Timeline.MS);
         }
-        time.after(TIDY_NS, this::tidy);
+        time.after(EXPIRY_CHECK_INTERVAL_NANOS, this::unloadExpired);
     }
 
-    /** Comes back empty; what it held is gone without a word. */
-    void restart(long warmAt) {
-        life++;
-        List<Visit> lost = new ArrayList<>(queue);
-        lost.addAll(running.keySet());
-        List<Order> lostOrders = new ArrayList<>(orders);
+    /** Restarts without copies; open calls and load orders end as reset. */
+    void restart(long slowStartEnd) {
+        incarnation++;
+        List<PendingCall> lostCalls = new ArrayList<>(queue);
+        lostCalls.addAll(running.keySet());
+        List<LoadOrder> lostOrders = new ArrayList<>(orders);
         copies.clear();
         queue.clear();
-        loadLine.clear();
+        loadQueue.clear();
         orders.clear();
         running.clear();
-        held = 0;
-        loads = 0;
-        coldUntil = warmAt;
-        lost.forEach(v -> end(v, Outcome.RESET, CacheStatus.UNKNOWN));
-        lostOrders.forEach(o -> o.ended.accept(Outcome.RESET, 0));
+        usedMemory = 0;
+        runningLoads = 0;
+        slowStartUntil = slowStartEnd;
+        lostCalls.forEach(call -> complete(call, Outcome.RESET, CacheStatus.UNKNOWN));
+        lostOrders.forEach(o -> o.onCompleted.accept(Outcome.RESET, 0));
     }
 
-    int standing(String function) {
+    int loadedCopies(String function) {
         return (int) copies.getOrDefault(function, List.of()).stream()
-                .filter(c -> !c.loading)
+                .filter(copy -> !copy.loading)
                 .count();
     }
 
-    int copiesHeld() {
+    int copyCount() {
         return copies.values().stream().mapToInt(List::size).sum();
     }
 
-    /** In work or waiting. */
+    /** Calls that are running or queued. */
     int inFlight() {
         return running.size() + queue.size();
     }
 
-    private List<Copy> of(String function) {
+    private List<Copy> copiesOf(String function) {
         return copies.computeIfAbsent(function, f -> new ArrayList<>(1));
     }
 
-    private Copy free(String function) {
-        for (Copy c : of(function)) {
-            if (!c.loading && c.running < storm.lanes()) {
-                return c;
+    private Copy freeCopy(String function) {
+        for (Copy copy : copiesOf(function)) {
+            if (!copy.loading && copy.running < storm.lanes()) {
+                return copy;
             }
         }
         return null;
     }
 
-    private int company(String function) {
-        return (int) queue.stream().filter(v -> v.function.equals(function)).count()
-                + of(function).stream().mapToInt(c -> c.running).sum();
+    private int concurrentCalls(String function) {
+        return (int) queue.stream()
+                        .filter(call -> call.function.equals(function))
+                        .count()
+                + copiesOf(function).stream().mapToInt(copy -> copy.running).sum();
     }
 
-    Visit call(String function, Reply reply) {
-        Visit visit = new Visit(function, company(function), reply);
-        boolean none = of(function).isEmpty();
-        if (none && !storm.loadsOnCall()) {
-            end(visit, Outcome.NOT_LOADED, CacheStatus.UNKNOWN);
+    PendingCall call(String function, Reply reply) {
+        PendingCall pending = new PendingCall(function, concurrentCalls(function), reply);
+        boolean noCopy = copiesOf(function).isEmpty();
+        if (noCopy && !storm.loadsOnCall()) {
+            complete(pending, Outcome.NOT_LOADED, CacheStatus.UNKNOWN);
         } else if (queue.size() >= storm.queue()) {
-            end(visit, Outcome.SATURATED, CacheStatus.UNKNOWN);
+            complete(pending, Outcome.SATURATED, CacheStatus.UNKNOWN);
         } else {
-            boolean loading = of(function).stream().allMatch(c -> c.loading);
-            visit.note = none ? CacheStatus.LOAD_STARTED : loading ? CacheStatus.LOAD_AWAITED : CacheStatus.HIT;
-            queue.add(visit);
-            if (none && load(function) == null) {
-                queue.remove(visit);
-                end(visit, Outcome.SATURATED, CacheStatus.UNKNOWN);
+            boolean loading = copiesOf(function).stream().allMatch(copy -> copy.loading);
+            pending.cacheStatus =
+                    noCopy ? CacheStatus.LOAD_STARTED : loading ? CacheStatus.LOAD_AWAITED : CacheStatus.HIT;
+            queue.add(pending);
+            if (noCopy && load(function) == null) {
+                queue.remove(pending);
+                complete(pending, Outcome.SATURATED, CacheStatus.UNKNOWN);
             }
-            serve();
+            startQueuedCalls();
         }
-        return visit;
+        return pending;
     }
 
-    private void end(Visit v, Outcome outcome, CacheStatus note) {
-        if (!v.gone) {
-            v.gone = true;
-            v.reply.ended(outcome, note, Math.min(30, v.company));
+    private void complete(PendingCall call, Outcome outcome, CacheStatus cacheStatus) {
+        if (!call.finished) {
+            call.finished = true;
+            call.reply.completed(outcome, cacheStatus, Math.min(30, call.concurrentCalls));
         }
     }
 
-    private void serve() {
-        for (Iterator<Visit> it = queue.iterator(); it.hasNext() && running.size() < storm.cores(); ) {
-            Visit v = it.next();
-            Copy copy = v.gone ? null : free(v.function);
-            if (v.gone) {
+    private void startQueuedCalls() {
+        for (Iterator<PendingCall> it = queue.iterator(); it.hasNext() && running.size() < storm.cores(); ) {
+            PendingCall call = it.next();
+            Copy copy = call.finished ? null : freeCopy(call.function);
+            if (call.finished) {
                 it.remove();
             } else if (copy != null) {
                 it.remove();
-                run(v, copy);
+                startCall(call, copy);
             }
         }
     }
 
-    private void run(Visit v, Copy copy) {
-        int of = life;
+    private void startCall(PendingCall call, Copy copy) {
+        int startedIn = incarnation;
         copy.running++;
-        running.put(v, copy);
-        double slow = time.now() < coldUntil ? 2 : 1;
-        time.after((long) (storm.callMillis() * slow * Timeline.MS), () -> {
-            if (of != life) {
+        running.put(call, copy);
+        double slowdown = time.now() < slowStartUntil ? 2 : 1;
+        time.after((long) (storm.callMillis() * slowdown * Timeline.MS), () -> {
+            if (startedIn != incarnation) {
                 return;
             }
             copy.running--;
             copy.idleSince = time.now();
-            running.remove(v);
-            end(v, Outcome.SERVED, v.note);
-            serve();
+            running.remove(call);
+            complete(call, Outcome.SERVED, call.cacheStatus);
+            startQueuedCalls();
         });
     }
 
-    void hold(String function, int count, ObjIntConsumer<Outcome> ended) {
-        of(function).stream().filter(c -> c.running == 0).forEach(c -> c.idleSince = time.now());
-        boolean room = true;
-        for (int missing = count - of(function).size(); missing > 0 && room; missing--) {
-            room = load(function) != null;
+    void ensureLoaded(String function, int count, ObjIntConsumer<Outcome> onCompleted) {
+        copiesOf(function).stream().filter(copy -> copy.running == 0).forEach(copy -> copy.idleSince = time.now());
+        boolean hasMemory = true;
+        for (int missing = count - copiesOf(function).size(); missing > 0 && hasMemory; missing--) {
+            hasMemory = load(function) != null;
         }
-        if (standing(function) >= count) {
-            ended.accept(Outcome.SERVED, standing(function));
-        } else if (!room) {
-            ended.accept(Outcome.SATURATED, standing(function));
+        if (loadedCopies(function) >= count) {
+            onCompleted.accept(Outcome.SERVED, loadedCopies(function));
+        } else if (!hasMemory) {
+            onCompleted.accept(Outcome.SATURATED, loadedCopies(function));
         } else {
-            orders.add(new Order(function, count, ended));
+            orders.add(new LoadOrder(function, count, onCompleted));
         }
     }
 
     void unload(String function) {
-        remove(of(function), c -> !c.loading && c.running == 0);
+        remove(copiesOf(function), copy -> !copy.loading && copy.running == 0);
     }
 
-    private void remove(List<Copy> of, Predicate<Copy> which) {
-        List<Copy> going = of.stream().filter(which).toList();
-        of.removeAll(going);
-        held -= going.stream().mapToInt(c -> storm.places(c.function)).sum();
+    private void remove(List<Copy> functionCopies, Predicate<Copy> condition) {
+        List<Copy> removed = functionCopies.stream().filter(condition).toList();
+        functionCopies.removeAll(removed);
+        usedMemory -= removed.stream()
+                .mapToInt(copy -> storm.memoryUnits(copy.function))
+                .sum();
     }
 
     private Copy load(String function) {
-        if (loadLine.size() >= 2 * storm.loadsAtOnce() || !makeRoom(storm.places(function))) {
+        if (loadQueue.size() >= 2 * storm.loadConcurrency() || !makeRoom(storm.memoryUnits(function))) {
             return null;
         }
         Copy copy = new Copy(function);
-        of(function).add(copy);
-        held += storm.places(function);
-        loadLine.add(copy);
-        nextLoad();
+        copiesOf(function).add(copy);
+        usedMemory += storm.memoryUnits(function);
+        loadQueue.add(copy);
+        startQueuedLoads();
         return copy;
     }
 
-    private boolean makeRoom(int places) {
-        if (held + places <= storm.room()) {
+    private boolean makeRoom(int memoryUnits) {
+        if (usedMemory + memoryUnits <= storm.room()) {
             return true;
         }
         List<Copy> idle = copies.values().stream()
                 .flatMap(List::stream)
-                .filter(c -> !c.loading && c.running == 0)
-                .sorted(Comparator.comparingLong(c -> c.idleSince))
+                .filter(copy -> !copy.loading && copy.running == 0)
+                .sorted(Comparator.comparingLong(copy -> copy.idleSince))
                 .toList();
-        if (held - idle.stream().mapToInt(c -> storm.places(c.function)).sum() + places > storm.room()) {
+        if (usedMemory
+                        - idle.stream()
+                                .mapToInt(copy -> storm.memoryUnits(copy.function))
+                                .sum()
+                        + memoryUnits
+                > storm.room()) {
             return false;
         }
-        for (Iterator<Copy> oldest = idle.iterator(); held + places > storm.room(); ) {
+        for (Iterator<Copy> oldest = idle.iterator(); usedMemory + memoryUnits > storm.room(); ) {
             Copy copy = oldest.next();
-            of(copy.function).remove(copy);
-            held -= storm.places(copy.function);
-            pushedOut.accept(this, copy.function);
+            copiesOf(copy.function).remove(copy);
+            usedMemory -= storm.memoryUnits(copy.function);
+            onEviction.accept(this, copy.function);
         }
         return true;
     }
 
-    private void nextLoad() {
-        while (loads < storm.loadsAtOnce() && !loadLine.isEmpty()) {
-            Copy copy = loadLine.poll();
-            int of = life;
-            loads++;
-            loaded.run();
+    private void startQueuedLoads() {
+        while (runningLoads < storm.loadConcurrency() && !loadQueue.isEmpty()) {
+            Copy copy = loadQueue.poll();
+            int startedIn = incarnation;
+            runningLoads++;
+            onLoadStarted.run();
             store.fetch(storm.loadMillis() * Timeline.MS, () -> {
-                if (of == life) {
-                    stands(copy);
+                if (startedIn == incarnation) {
+                    completeLoad(copy);
                 }
             });
         }
     }
 
-    private void stands(Copy copy) {
-        loads--;
+    private void completeLoad(Copy copy) {
+        runningLoads--;
         copy.loading = false;
         copy.idleSince = time.now();
-        serve();
-        for (Order order : List.copyOf(orders)) {
-            if (order.function.equals(copy.function) && standing(copy.function) >= order.count) {
+        startQueuedCalls();
+        for (LoadOrder order : List.copyOf(orders)) {
+            if (order.function.equals(copy.function) && loadedCopies(copy.function) >= order.count) {
                 orders.remove(order);
-                order.ended.accept(Outcome.SERVED, standing(copy.function));
+                order.onCompleted.accept(Outcome.SERVED, loadedCopies(copy.function));
             }
         }
-        nextLoad();
+        startQueuedLoads();
     }
 }
--- a/lab/src/main/java/wharfhinge/lab/package-info.java
+++ b/lab/src/main/java/wharfhinge/lab/package-info.java
@@ -1,2 +1,2 @@
-/** Fleets, clients and storms in simulated time, before the decisions that the product takes. One seed gives one run. */
+/** Simulation of fleets, clients and overload in simulated time with the real dispatchers. Equal seeds give equal runs. */
 package wharfhinge.lab;
--- a/lab/src/test/java/wharfhinge/lab/StormTest.java
+++ b/lab/src/test/java/wharfhinge/lab/StormTest.java
@@ -13,82 +13,88 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Storms before the product's decisions, in simulated time; each figure is a mean of draws, so that none hangs on one. */
+/** Simulated overload with real dispatchers. Most assertions use the mean of several seeds, so that none depends on a single run. */
 class StormTest {
-    private static final int DRAWS = 4;
+    private static final int SEEDS = 4;
 
-    private static List<StormRun.Played> play(Storm storm) {
-        List<StormRun.Played> all = IntStream.rangeClosed(1, DRAWS)
+    private static List<StormRun.Played> simulate(Storm storm) {
+        List<StormRun.Played> runs = IntStream.rangeClosed(1, SEEDS)
                 .parallel()
                 .mapToObj(s -> StormRun.play(storm.seed(s)))
                 .toList();
-        all.forEach(p ->
+        runs.forEach(p ->
                 assertEquals(List.of(), p.faults(), () -> "seed " + p.storm().seed()));
-        return all;
+        return runs;
     }
 
-    private static double inTime(List<StormRun.Played> of, double fromS, double toS) {
-        return of.stream().mapToDouble(p -> p.inTime(fromS, toS)).average().orElseThrow();
+    private static double inTime(List<StormRun.Played> results, double fromS, double toS) {
+        return results.stream().mapToDouble(p -> p.inTime(fromS, toS)).average().orElseThrow();
     }
 
-    private static double ofBound(List<StormRun.Played> of, double fromS, double toS) {
-        return of.stream()
+    private static double fractionOfBound(List<StormRun.Played> results, double fromS, double toS) {
+        return results.stream()
                 .mapToDouble(p -> p.inTime(fromS, toS) / p.bound(fromS, toS))
                 .average()
                 .orElseThrow();
     }
 
-    private static void well(List<StormRun.Played> all, double storm, double after) {
-        String what = all.get(0).summary();
-        assertTrue(ofBound(all, 6, 16) >= storm, "in the storm: " + what);
-        assertTrue(inTime(all, 18, 32) >= after * inTime(all, 0, 6), "after it: " + what);
+    private static void assertRecovers(List<StormRun.Played> runs, double stormMinimum, double afterMinimum) {
+        String summary = runs.get(0).summary();
+        assertTrue(fractionOfBound(runs, 6, 16) >= stormMinimum, "during the storm: " + summary);
+        assertTrue(inTime(runs, 18, 32) >= afterMinimum * inTime(runs, 0, 6), "after the storm: " + summary);
     }
 
     @Test
-    void memoryThatJustHoldsAllIsWellTwoSecondsAfterTheStorm() {
-        List<StormRun.Played> all = play(Storm.tight());
-        well(all, 0.9, 0.98);
-        assertTrue(inTime(all, 0, 6) > 0.98);
+    void minimalMemory_recoversWithinTwoSecondsAfterTheStorm() {
+        List<StormRun.Played> runs = simulate(Storm.minimalMemory());
+        assertRecovers(runs, 0.9, 0.98);
+        assertTrue(inTime(runs, 0, 6) > 0.98);
         double before =
-                all.stream().mapToDouble(p -> p.loadsPerCall(0, 6)).average().orElseThrow();
+                runs.stream().mapToDouble(p -> p.loadsPerCall(0, 6)).average().orElseThrow();
         double after =
-                all.stream().mapToDouble(p -> p.loadsPerCall(20, 32)).average().orElseThrow();
+                runs.stream().mapToDouble(p -> p.loadsPerCall(20, 32)).average().orElseThrow();
         assertTrue(after <= Math.max(0.03, 1.2 * before), "loads a call before " + before + ", after " + after);
     }
 
     @Test
-    void ampleMemoryLosesNothing() {
-        well(play(Storm.ample()), 0.9, 0.99);
+    void abundantMemory_losesNothing() {
+        assertRecovers(simulate(Storm.abundantMemory()), 0.9, 0.99);
     }
 
     @Test
-    void workersThatLoadOnCall() {
-        well(play(Storm.tight().loadsOnCall(true)), 0.9, 0.98);
+    void loadOnDemand_recovers() {
+        assertRecovers(simulate(Storm.minimalMemory().loadsOnCall(true)), 0.9, 0.98);
     }
 
     @Test
-    void threeGatewaysThatShareNothing() {
-        well(play(Storm.tight().gateways(3)), 0.8, 0.97); // 0.9 is wanted in the storm: docs/measurements/storm.md
+    void threeGateways_recover() {
+        // The goal during the storm is 0.9; see docs/measurements/storm.md.
+        assertRecovers(simulate(Storm.minimalMemory().gateways(3)), 0.8, 0.97);
     }
 
-    /** A load whose calls were not served was begun all the same: unless it counts as one the store loads for nobody, for ever. */
+    /**
+     * Guards against endless useless loads: a load started for calls that were not served still counts as a load, or else the store
+     * goes on loading copies that no call uses.
+     */
     @Test
-    void threeGatewaysWhoseWorkersLoadOnCallFindBack() {
-        List<StormRun.Played> all = play(Storm.tight().gateways(3).loadsOnCall(true));
-        assertTrue(inTime(all, 0, 6) > 0.85, all.get(0).summary()); // one draw still loads, from empty
-        assertTrue(inTime(all, 22, 32) > 0.9, all.get(0).summary());
-        assertTrue(ofBound(all, 6, 16) > 0.7, all.get(0).summary());
+    void threeGatewaysWithLoadOnDemand_recover() {
+        List<StormRun.Played> runs = simulate(Storm.minimalMemory().gateways(3).loadsOnCall(true));
+        // With one of the seeds, copies are still being loaded after the empty start.
+        assertTrue(inTime(runs, 0, 6) > 0.85, runs.get(0).summary());
+        assertTrue(inTime(runs, 22, 32) > 0.9, runs.get(0).summary());
+        assertTrue(fractionOfBound(runs, 6, 16) > 0.7, runs.get(0).summary());
     }
 
-    /** A call that missed waited for a load that the ration held back, beside copies that stood. */
+    /** Guards against calls that miss and wait for a load delayed by the load quota, although other workers have loaded copies. */
     @Test
-    void rationedOrders() {
-        well(play(Storm.ample().gateways(3).ration(12)), 0.8, 0.99);
-        well(play(Storm.tight().ration(4)), 0.9, 0.98);
-        // the fleet of drill retry-storm: copies go for others after the storm, and misses are what is left (0.887
-        // where they wait)
-        well(
-                play(Storm.tight()
+    void loadQuota_recovers() {
+        assertRecovers(simulate(Storm.abundantMemory().gateways(3).ration(12)), 0.8, 0.99);
+        assertRecovers(simulate(Storm.minimalMemory().ration(4)), 0.9, 0.98);
+        // The fleet of the fault injection test retry-storm: after the storm, copies are evicted for other functions,
+        // and
+        // only misses remain (0.887 if calls that miss wait).
+        assertRecovers(
+                simulate(Storm.minimalMemory()
                         .fleet(12, 2, 2, 40)
                         .room(15)
                         .gateways(3)
@@ -98,64 +104,65 @@
                 0.98);
     }
 
-    /** Half of what is asked for are chains of two steps; a chain whose second step is lost has spent work for nothing. */
+    /** Half of the client requests are chains of two steps; a chain whose second step fails has wasted the work of the first. */
     @Test
-    void aStormOfChains() {
-        well(play(Storm.tight().chains(0.5)), 0.9, 0.98);
+    void chains_recover() {
+        assertRecovers(simulate(Storm.minimalMemory().chains(0.5)), 0.9, 0.98);
     }
 
     @Test
-    void oneTenantMakesTheStorm() {
-        well(play(Storm.tight().ofOneTenant()), 0.9, 0.98);
+    void overloadByOneTenant_recovers() {
+        assertRecovers(simulate(Storm.minimalMemory().ofOneTenant()), 0.9, 0.98);
     }
 
-    /** The two most called functions take more than half of a worker each, on a fleet with a fifth of its memory to spare. */
+    /** Each of the two most called functions needs more than half of a worker's memory; the fleet has a fifth of its memory to spare. */
     @Test
-    void twoFunctionsThatDontStandOnOneWorker() {
-        well(play(Storm.tight().room(16).large(2)), 0.9, 0.98);
+    void largeFunctionsThatShareNoWorker_recover() {
+        assertRecovers(simulate(Storm.minimalMemory().room(16).large(2)), 0.9, 0.98);
     }
 
-    /** Steady turnover can't be helped; it must not be worse than it was (61% after the storm, 0.74 of what can be in it). */
+    /** Constant evictions are unavoidable here; guards the earlier result of 61% after the storm and 0.74 of the bound in it. */
     @Test
-    void memoryForAThirdOfTheFunctionsIsNotWorseThanItWas() {
-        List<StormRun.Played> all = play(Storm.tight().room(4));
-        assertTrue(inTime(all, 18, 32) > 0.61, all.get(0).summary());
-        assertTrue(ofBound(all, 6, 16) > 0.6, all.get(0).summary());
+    void memoryForAThirdOfTheFunctions_isNotWorseThanBefore() {
+        List<StormRun.Played> runs = simulate(Storm.minimalMemory().room(4));
+        assertTrue(inTime(runs, 18, 32) > 0.61, runs.get(0).summary());
+        assertTrue(fractionOfBound(runs, 6, 16) > 0.6, runs.get(0).summary());
     }
 
-    /** What goes wrong beside the storm, at its worst moment. */
+    /** A disturbance at the worst moment of the storm; the result is as before some seconds later. */
     @ParameterizedTest
     @EnumSource(Storm.Kind.class)
-    void troublesBesideTheStormArePast(Storm.Kind kind) {
+    void disturbanceDuringTheStorm_recovers(Storm.Kind kind) {
         double at = kind == Storm.Kind.GATEWAYS_RESTART ? 16 : 10;
-        List<StormRun.Played> all = play(Storm.tight().with(kind, at, 3));
+        List<StormRun.Played> runs = simulate(Storm.minimalMemory().with(kind, at, 3));
         assertTrue(
-                inTime(all, 24, 32) >= 0.97 * inTime(all, 0, 6),
-                kind + ": " + all.get(0).summary());
+                inTime(runs, 24, 32) >= 0.97 * inTime(runs, 0, 6),
+                kind + ": " + runs.get(0).summary());
     }
 
-    /** An empty fleet: 90 functions at 20 loads a second need 4.5 s at least; all is well soon after. */
+    /** An empty fleet: loading 90 functions at 20 loads per second takes at least 4.5 s, after which calls are served in time. */
     @Test
-    void startingColdTakesLittleLongerThanTheStoreAllows() {
-        List<StormRun.Played> all = play(Storm.tight().load(0.5, 0.5).lasting(0, 0, 4));
+    void emptyFleet_servesInTimeAfterTheLoads() {
+        List<StormRun.Played> runs =
+                simulate(Storm.minimalMemory().load(0.5, 0.5).phases(0, 0, 4));
         assertTrue(
-                inTime(all, 0, 4) > 0.97,
-                "ten seconds after its first call: " + all.get(0).summary());
+                inTime(runs, 0, 4) > 0.97,
+                "from ten seconds after the first call: " + runs.get(0).summary());
     }
 
     @Test
-    void oneSeedGivesOneRun() {
+    void sameSeed_givesTheSameRun() {
         assertEquals(
-                StormRun.play(Storm.tight().seed(3)).summary(),
-                StormRun.play(Storm.tight().seed(3)).summary());
+                StormRun.play(Storm.minimalMemory().seed(3)).summary(),
+                StormRun.play(Storm.minimalMemory().seed(3)).summary());
     }
 
     /**
-     * Any fleet whose memory holds its functions with a tenth to spare: some time after a storm the share in time is that of before. The
-     * time allowed is what the store needs to load all functions twice, and two seconds.
+     * For any fleet whose memory holds all functions with a tenth to spare, the fraction served in time after a storm returns to that
+     * before it. The time allowed is what the store needs to load all functions twice, plus two seconds.
      */
     @Property(tries = 12, shrinking = ShrinkingMode.BOUNDED)
-    void anyFleetIsAsBeforeSomeTimeAfterAStorm(
+    void anyFleet_recoversAfterAStorm(
             @ForAll @IntRange(min = 3, max = 12) int workers,
             @ForAll @IntRange(min = 2, max = 6) int cores,
             @ForAll @IntRange(min = 20, max = 120) int functions,
@@ -163,7 +170,7 @@
             @ForAll @IntRange(min = 100, max = 600) int loadMillis,
             @ForAll @IntRange(min = 1, max = 1000) int seed) {
         int room = (int) Math.ceil(functions * 1.1 / workers) + 1;
-        Storm storm = Storm.tight()
+        Storm storm = Storm.minimalMemory()
                 .fleet(workers, cores, 4, functions)
                 .room(room)
                 .loading(loadMillis, 8)
