--- a/capture/src/main/java/wharfhinge/capture/HashedNames.java
+++ b/capture/src/main/java/wharfhinge/capture/HashedNames.java
@@ -136,47 +136,47 @@
             return hash;
         }
 
-        DispatcherSettings hashed(DispatcherSettings s) {
-            List<Tenant> hashedTenants = s.tenants() == null
+        DispatcherSettings hashed(DispatcherSettings settings) {
+            List<Tenant> hashedTenants = settings.tenants() == null
                     ? null
-                    : s.tenants().stream()
+                    : settings.tenants().stream()
                             .map(tenant -> new Tenant(hash(tenant.name()), tenant.share(), tenant.quotaPerSecond()))
                             .toList();
             return new DispatcherSettings(
-                    s.groupSize(),
-                    s.dispatcherNumber(),
-                    s.tickNanos(),
-                    s.zone(),
-                    s.zones(),
-                    s.kinds(),
-                    s.discovery(),
-                    s.weightReporting(),
-                    s.priorityUnit(),
-                    s.overQuotaPriorityWeight(),
-                    s.classes(),
+                    settings.groupSize(),
+                    settings.dispatcherNumber(),
+                    settings.tickNanos(),
+                    settings.zone(),
+                    settings.zones(),
+                    settings.kinds(),
+                    settings.discovery(),
+                    settings.weightReporting(),
+                    settings.priorityUnit(),
+                    settings.overQuotaPriorityWeight(),
+                    settings.classes(),
                     hashedTenants,
-                    s.functionLoading(),
-                    s.feedback(),
-                    s.objectiveWeights(),
-                    s.limits(),
-                    s.protectionRules(),
-                    s.prices(),
-                    s.clientBehavior());
+                    settings.functionLoading(),
+                    settings.feedback(),
+                    settings.objectiveWeights(),
+                    settings.limits(),
+                    settings.protectionRules(),
+                    settings.prices(),
+                    settings.clientBehavior());
         }
 
-        Request hashed(Request r) {
+        Request hashed(Request request) {
             return new Request(
-                    r.id(),
-                    hash(r.tenant()),
-                    r.remainingNanos(),
-                    r.memoryMb(),
-                    hash(r.function()),
-                    r.costNanos(),
-                    r.concurrencyPerCopy(),
-                    r.loadMillis(),
-                    r.requestClass(),
-                    r.retry(),
-                    r.write());
+                    request.id(),
+                    hash(request.tenant()),
+                    request.remainingNanos(),
+                    request.memoryMb(),
+                    hash(request.function()),
+                    request.costNanos(),
+                    request.concurrencyPerCopy(),
+                    request.loadMillis(),
+                    request.requestClass(),
+                    request.retry(),
+                    request.write());
         }
     }
 }
--- a/capture/src/main/java/wharfhinge/capture/WireCodec.java
+++ b/capture/src/main/java/wharfhinge/capture/WireCodec.java
@@ -28,15 +28,15 @@
         return to.build();
     }
 
-    private static wharfhinge.capture.wire.Act.Builder act(RecordedAction a) {
+    private static wharfhinge.capture.wire.Act.Builder act(RecordedAction action) {
         return wharfhinge.capture.wire.Act.newBuilder()
-                .setKind(a.kind().name())
-                .setRequest(a.request())
-                .setWorker(a.worker())
-                .setFunction(a.function())
-                .setText(a.text())
-                .setNumber(a.number())
-                .setPayload(ByteString.copyFrom(Base64.getDecoder().decode(a.payload())));
+                .setKind(action.kind().name())
+                .setRequest(action.request())
+                .setWorker(action.worker())
+                .setFunction(action.function())
+                .setText(action.text())
+                .setNumber(action.number())
+                .setPayload(ByteString.copyFrom(Base64.getDecoder().decode(action.payload())));
     }
 
     private static void writeEvent(Event event, wharfhinge.capture.wire.Frame.Builder to) {
@@ -108,32 +108,32 @@
         return members;
     }
 
-    private static wharfhinge.capture.wire.Completed.Builder completed(AttemptCompletion c) {
+    private static wharfhinge.capture.wire.Completed.Builder completed(AttemptCompletion completion) {
         return wharfhinge.capture.wire.Completed.newBuilder()
-                .setRequest(c.request())
-                .setOutcome(StoredNames.word(c.outcome()))
-                .setAttempt(c.attempt())
-                .setTookNs(c.tookNanos())
-                .setWorker(c.worker())
-                .setNote(StoredNames.word(c.cacheStatus()))
-                .setCompany(c.concurrentOnWorker())
-                .setSettled(c.answered())
-                .addAllReport(report(c.report()));
+                .setRequest(completion.request())
+                .setOutcome(StoredNames.word(completion.outcome()))
+                .setAttempt(completion.attempt())
+                .setTookNs(completion.tookNanos())
+                .setWorker(completion.worker())
+                .setNote(StoredNames.word(completion.cacheStatus()))
+                .setCompany(completion.concurrentOnWorker())
+                .setSettled(completion.answered())
+                .addAllReport(report(completion.report()));
     }
 
-    private static wharfhinge.capture.wire.Request request(Request r) {
+    private static wharfhinge.capture.wire.Request request(Request request) {
         var to = wharfhinge.capture.wire.Request.newBuilder()
-                .setId(r.id())
-                .setRemainingNs(r.remainingNanos())
-                .setMemoryMb(r.memoryMb())
-                .setFunction(r.function())
-                .setCostNs(r.costNanos())
-                .setLanes(r.concurrencyPerCopy())
-                .setLoadMs(r.loadMillis())
-                .setRequestClass(r.requestClass())
-                .setRepeat(r.retry())
-                .setWrite(r.write());
-        return (r.tenant() == null ? to : to.setTenant(r.tenant())).build();
+                .setId(request.id())
+                .setRemainingNs(request.remainingNanos())
+                .setMemoryMb(request.memoryMb())
+                .setFunction(request.function())
+                .setCostNs(request.costNanos())
+                .setLanes(request.concurrencyPerCopy())
+                .setLoadMs(request.loadMillis())
+                .setRequestClass(request.requestClass())
+                .setRepeat(request.retry())
+                .setWrite(request.write());
+        return (request.tenant() == null ? to : to.setTenant(request.tenant())).build();
     }
 
     private static List<wharfhinge.capture.wire.Figure> report(Map<String, Double> report) {
@@ -152,10 +152,10 @@
      *
      * @throws IOException if a later version wrote an event or a word that this version does not know
      */
-    static Frame read(wharfhinge.capture.wire.Frame f) throws IOException {
+    static Frame read(wharfhinge.capture.wire.Frame message) throws IOException {
         List<RecordedAction> acts = new ArrayList<>();
         try {
-            for (var a : f.getActsList()) {
+            for (var a : message.getActsList()) {
                 acts.add(new RecordedAction(
                         RecordedAction.Kind.valueOf(a.getKind()),
                         a.getRequest(),
@@ -165,25 +165,26 @@
                         a.getNumber(),
                         Base64.getEncoder().encodeToString(a.getPayload().toByteArray())));
             }
-            return new Frame(f.getAtNs(), event(f), acts, f.getThrown());
+            return new Frame(message.getAtNs(), event(message), acts, message.getThrown());
         } catch (IllegalArgumentException e) {
             throw new IOException("unknown word, written by a later version: " + e.getMessage());
         }
     }
 
-    private static Event event(wharfhinge.capture.wire.Frame f) throws IOException {
-        return switch (f.getEventCase()) {
+    private static Event event(wharfhinge.capture.wire.Frame message) throws IOException {
+        return switch (message.getEventCase()) {
             case LIFE -> new Event.Life(
-                    f.getLife().getNumber(),
-                    f.getLife().getSeed(),
-                    FrameJson.settings(f.getLife().getSettingsJson()));
-            case GAP -> new Event.Gap(f.getGap().getLost());
-            case NAMED -> new Event.Named(f.getNamed().getId(), f.getNamed().getOuter());
+                    message.getLife().getNumber(),
+                    message.getLife().getSeed(),
+                    FrameJson.settings(message.getLife().getSettingsJson()));
+            case GAP -> new Event.Gap(message.getGap().getLost());
+            case NAMED -> new Event.Named(
+                    message.getNamed().getId(), message.getNamed().getOuter());
             case MEMBERS -> new Event.Members(
                     StoredNames.constant(
-                            EndpointUpdateMode.class, f.getMembers().getMode()),
-                    f.getMembers().getRevision(),
-                    f.getMembers().getWorkersList().stream()
+                            EndpointUpdateMode.class, message.getMembers().getMode()),
+                    message.getMembers().getRevision(),
+                    message.getMembers().getWorkersList().stream()
                             .map(w -> new Endpoint(
                                     w.getId(),
                                     w.getZone(),
@@ -193,60 +194,61 @@
                                     w.getWeight(),
                                     w.getStartedAt()))
                             .toList());
-            case QUERY -> new Event.Query(request(f.getQuery().getRequest()));
-            case EXPECTED -> new Event.Expected(request(f.getExpected().getRequest()));
+            case QUERY -> new Event.Query(request(message.getQuery().getRequest()));
+            case EXPECTED -> new Event.Expected(request(message.getExpected().getRequest()));
             case ASKED_WARM -> new Event.AskedWarm(
-                    f.getAskedWarm().getFunction(), f.getAskedWarm().getWarm());
-            case CLIENT_LEFT -> new Event.ClientLeft(f.getClientLeft().getRequest());
+                    message.getAskedWarm().getFunction(), message.getAskedWarm().getWarm());
+            case CLIENT_LEFT -> new Event.ClientLeft(message.getClientLeft().getRequest());
             case PROBED -> new Event.Probed(
-                    f.getProbed().getWorker(),
-                    StoredNames.constant(Outcome.class, f.getProbed().getOutcome()),
-                    f.getProbed().getTookNs(),
-                    report(f.getProbed().getReportList()));
+                    message.getProbed().getWorker(),
+                    StoredNames.constant(Outcome.class, message.getProbed().getOutcome()),
+                    message.getProbed().getTookNs(),
+                    report(message.getProbed().getReportList()));
             case ESTABLISHED -> new Event.Established(
-                    f.getEstablished().getRequest(),
-                    f.getEstablished().getAttempt(),
-                    f.getEstablished().getWorker());
+                    message.getEstablished().getRequest(),
+                    message.getEstablished().getAttempt(),
+                    message.getEstablished().getWorker());
             case INBOX -> new Event.Inbox(
-                    f.getInbox().getPeer(), f.getInbox().getPayload().toByteArray());
-            case DUE -> new Event.Due(f.getDue().getToken());
-            case COMPLETED -> completed(f.getCompleted());
+                    message.getInbox().getPeer(),
+                    message.getInbox().getPayload().toByteArray());
+            case DUE -> new Event.Due(message.getDue().getToken());
+            case COMPLETED -> completed(message.getCompleted());
             case RESIDENT -> new Event.Resident(
-                    f.getResident().getWorker(),
-                    f.getResident().getFunction(),
-                    f.getResident().getCount(),
-                    StoredNames.constant(Outcome.class, f.getResident().getOutcome()),
-                    f.getResident().getTookNs());
+                    message.getResident().getWorker(),
+                    message.getResident().getFunction(),
+                    message.getResident().getCount(),
+                    StoredNames.constant(Outcome.class, message.getResident().getOutcome()),
+                    message.getResident().getTookNs());
             case EVENT_NOT_SET -> throw new IOException("unknown event, written by a later version");
         };
     }
 
-    private static Event completed(wharfhinge.capture.wire.Completed c) {
+    private static Event completed(wharfhinge.capture.wire.Completed message) {
         return new Event.Completed(new AttemptCompletion(
-                c.getRequest(),
-                StoredNames.constant(Outcome.class, c.getOutcome()),
-                c.getAttempt(),
-                c.getTookNs(),
-                c.getWorker(),
-                StoredNames.constant(CacheStatus.class, c.getNote()),
-                c.getCompany(),
-                c.getSettled(),
-                report(c.getReportList())));
+                message.getRequest(),
+                StoredNames.constant(Outcome.class, message.getOutcome()),
+                message.getAttempt(),
+                message.getTookNs(),
+                message.getWorker(),
+                StoredNames.constant(CacheStatus.class, message.getNote()),
+                message.getCompany(),
+                message.getSettled(),
+                report(message.getReportList())));
     }
 
-    private static Request request(wharfhinge.capture.wire.Request r) {
+    private static Request request(wharfhinge.capture.wire.Request message) {
         return new Request(
-                r.getId(),
-                r.hasTenant() ? r.getTenant() : null,
-                r.getRemainingNs(),
-                r.getMemoryMb(),
-                r.getFunction(),
-                r.getCostNs(),
-                r.getLanes(),
-                r.getLoadMs(),
-                r.getRequestClass(),
-                r.getRepeat(),
-                r.getWrite());
+                message.getId(),
+                message.hasTenant() ? message.getTenant() : null,
+                message.getRemainingNs(),
+                message.getMemoryMb(),
+                message.getFunction(),
+                message.getCostNs(),
+                message.getLanes(),
+                message.getLoadMs(),
+                message.getRequestClass(),
+                message.getRepeat(),
+                message.getWrite());
     }
 
     private static Map<String, Double> report(List<wharfhinge.capture.wire.Figure> figures) {
--- a/lab/src/main/java/wharfhinge/lab/Store.java
+++ b/lab/src/main/java/wharfhinge/lab/Store.java
@@ -16,7 +16,7 @@
         this.maxConcurrentFetches = maxConcurrentFetches;
     }
 
-    void setSlowdown(double factor) {
+    void slowdown(double factor) {
         slowdown = factor;
     }
 
--- a/lab/src/main/java/wharfhinge/lab/StormRun.java
+++ b/lab/src/main/java/wharfhinge/lab/StormRun.java
@@ -147,8 +147,8 @@
                     gateways.forEach(gateway -> gateway.updateEndpoints(endpoints));
                 }
                 case STORE_SLOW -> {
-                    store.setSlowdown(10);
-                    time.after((long) (disturbance.forS() * 1000 * Timeline.MS), () -> store.setSlowdown(1));
+                    store.slowdown(10);
+                    time.after((long) (disturbance.forS() * 1000 * Timeline.MS), () -> store.slowdown(1));
                 }
                 case GATEWAYS_RESTART -> {
                     for (int i = 0; i < gateways.size(); i++) {
@@ -263,18 +263,18 @@
         }
     }
 
-    private double bound(Span s) {
+    private double bound(Span span) {
         double servable = 0;
         int freeMemoryUnits = storm.workers() * storm.room();
-        for (String f : s.callsByFunction.keySet().stream()
-                .sorted(Comparator.comparingInt(f -> -s.callsByFunction.get(f) / storm.memoryUnits(f)))
+        for (String f : span.callsByFunction.keySet().stream()
+                .sorted(Comparator.comparingInt(f -> -span.callsByFunction.get(f) / storm.memoryUnits(f)))
                 .toList()) {
             freeMemoryUnits -= storm.memoryUnits(f);
-            servable += freeMemoryUnits < 0 ? 0 : s.callsByFunction.get(f);
+            servable += freeMemoryUnits < 0 ? 0 : span.callsByFunction.get(f);
         }
         double loads = storm.storeConcurrency() * 1000.0 / storm.loadMillis() * SPAN_S;
-        double bounded =
-                Math.min(s.calls, Math.min(servable + loads, storm.capacityPerS() * SPAN_S) / storm.callsPerRequest());
-        return s.calls == 0 ? 1 : bounded / s.calls;
+        double bounded = Math.min(
+                span.calls, Math.min(servable + loads, storm.capacityPerS() * SPAN_S) / storm.callsPerRequest());
+        return span.calls == 0 ? 1 : bounded / span.calls;
     }
 }
