--- a/app/src/main/java/wharfhinge/app/CheckCommand.java
+++ b/app/src/main/java/wharfhinge/app/CheckCommand.java
@@ -8,28 +8,28 @@
 import wharfhinge.config.GatewayConfig;
 import wharfhinge.config.InvalidConfigurationException;
 
-/** Checks settings files. */
+/** The command {@code check}: validates gateway settings files. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "Checks settings files and prints all that is wrong with them; exits with 1 if anything is.")
+        description = "Checks gateway settings files and prints every error; exits with 1 if there is any.")
 final class CheckCommand implements Callable<Integer> {
-    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Settings files.")
+    @Parameters(arity = "1..*", paramLabel = "FILE", description = "Gateway settings files, XML.")
     private List<Path> files;
 
     @Override
     public Integer call() {
-        int code = Program.OK;
+        int exitCode = Program.OK;
         for (Path file : files) {
             try {
                 GatewayConfig config = GatewayConfig.load(file);
-                System.out.println(file + ": well, gateway " + config.name());
+                System.out.println(file + ": valid, gateway " + config.name());
             } catch (InvalidConfigurationException e) {
                 System.out.println(e.getMessage());
-                code = Program.WANTING;
+                exitCode = Program.WANTING;
             }
         }
-        return code;
+        return exitCode;
     }
 }
--- a/app/src/main/java/wharfhinge/app/Serving.java
+++ b/app/src/main/java/wharfhinge/app/GatewayRunner.java
@@ -11,33 +11,39 @@
 import wharfhinge.gateway.Gateway;
 import wharfhinge.gateway.discovery.HttpEndpointSource;
 
-/** The life of a gateway process. */
-public final class Serving {
+/** Runs a gateway in this process until the process gets a signal to stop. */
+public final class GatewayRunner {
 
-    private Serving() {}
+    private GatewayRunner() {}
 
     /**
-     * Serves with the given decisions; returns once the gateway has stopped.
+     * Starts a gateway and returns the exit code of the process once the gateway has stopped.
      *
-     * @param onCreated given the gateway before it is warmed up
+     * @param configFile the settings of the gateway
+     * @param dispatchers creates the dispatcher that decides where calls go
+     * @param configChange applied to the settings that were read
+     * @param endpointSourceWrapper applied to each source of endpoint updates
+     * @param onCreated receives the gateway before its warm-up
      */
     public static int serve(
-            Path file,
-            DispatcherFactory decisions,
-            UnaryOperator<GatewayConfig> changed,
-            UnaryOperator<EndpointSource> heard,
+            Path configFile,
+            DispatcherFactory dispatchers,
+            UnaryOperator<GatewayConfig> configChange,
+            UnaryOperator<EndpointSource> endpointSourceWrapper,
             Consumer<Gateway> onCreated)
             throws InterruptedException {
         GatewayConfig config;
         try {
-            config = changed.apply(GatewayConfig.load(file));
+            config = configChange.apply(GatewayConfig.load(configFile));
         } catch (InvalidConfigurationException e) {
             System.err.println(e.getMessage());
             return Program.WANTING;
         }
-        Logs.set(config.log());
+        Logs.configure(config.log());
         Gateway gateway = new Gateway(
-                config, decisions, (group, type) -> heard.apply(new HttpEndpointSource(config, group, type)));
+                config,
+                dispatchers,
+                (group, type) -> endpointSourceWrapper.apply(new HttpEndpointSource(config, group, type)));
         onCreated.accept(gateway);
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
--- a/app/src/main/java/wharfhinge/app/Logs.java
+++ b/app/src/main/java/wharfhinge/app/Logs.java
@@ -12,29 +12,29 @@
 import org.slf4j.LoggerFactory;
 import wharfhinge.config.GatewayConfig;
 
-/** Sets up logs: plain lines or JSON lines on standard output, written by a thread of their own. */
+/** Configures logging: plain or JSON lines on standard output, written by a background thread. */
 final class Logs {
-    private static final int WAITING = 8192;
+    private static final int QUEUE_SIZE = 8192;
 
     private Logs() {}
 
-    /** From here on logs go where the settings say; what the writer can't keep up with is left out, never waited for. */
-    static void set(GatewayConfig.Log settings) {
-        set(settings.json(), settings.level());
+    /** Configures logging by the settings. Events that do not fit into the queue of the writer are dropped; logging never blocks. */
+    static void configure(GatewayConfig.Log settings) {
+        configure(settings.json(), settings.level());
     }
 
-    /** The same with JSON or plain lines, from a level on. */
-    static void set(boolean json, String level) {
+    /** Configures logging with JSON or plain lines, at the given level and above. */
+    static void configure(boolean json, String level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         ConsoleAppender<ILoggingEvent> console = new ConsoleAppender<>();
         console.setContext(context);
-        console.setEncoder(json ? json(context) : plain(context));
+        console.setEncoder(json ? jsonEncoder(context) : plainEncoder(context));
         console.setImmediateFlush(true);
         console.start();
         AsyncAppender async = new AsyncAppender();
         async.setContext(context);
-        async.setQueueSize(WAITING);
+        async.setQueueSize(QUEUE_SIZE);
         async.setNeverBlock(true);
         async.setMaxFlushTime(1000);
         async.addAppender(console);
@@ -45,24 +45,24 @@
         context.getLogger("io.netty").setLevel(Level.WARN);
     }
 
-    /** Of one logger only warnings from here on. */
-    static void quiet(String logger) {
+    /** Restricts a logger to warnings and errors. */
+    static void warningsOnly(String logger) {
         ((LoggerContext) LoggerFactory.getILoggerFactory()).getLogger(logger).setLevel(Level.WARN);
     }
 
-    /** Writes what still waits. */
+    /** Writes the queued events and stops logging. */
     static void flush() {
         ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
     }
 
-    private static Encoder<ILoggingEvent> json(LoggerContext context) {
+    private static Encoder<ILoggingEvent> jsonEncoder(LoggerContext context) {
         LogstashEncoder encoder = new LogstashEncoder();
         encoder.setContext(context);
         encoder.start();
         return encoder;
     }
 
-    private static Encoder<ILoggingEvent> plain(LoggerContext context) {
+    private static Encoder<ILoggingEvent> plainEncoder(LoggerContext context) {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setContext(context);
         encoder.setPattern("%d{HH:mm:ss.SSS} %-5level %logger{0} %msg %kvp%n");
--- a/app/src/main/java/wharfhinge/app/Main.java
+++ b/app/src/main/java/wharfhinge/app/Main.java
@@ -6,12 +6,12 @@
 import wharfhinge.app.drill.DrillGatewayCommand;
 import wharfhinge.app.measure.MeasureCommand;
 
-/** The command line. Exit codes: 0 done, 1 found wanting, 2 used wrongly. */
+/** The command line. Exit codes: 0 success, 1 failure or invalid input, 2 wrong usage. */
 @Command(
         name = "wharfhinge",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "A gateway for calls on workers that load functions on demand.",
+        description = "A gateway that dispatches calls to workers which load functions on demand.",
         synopsisSubcommandLabel = "COMMAND",
         subcommands = {
             ServeCommand.class,
@@ -33,7 +33,7 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is needed");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing command");
     }
 
     /** Runs a command and exits with its code. */
@@ -41,12 +41,13 @@
         if (args.length == 1 && args[0].equals("platform")) {
             System.exit(
                     PlatformCommand
-                            .serve()); // takes signals first: reading the command line takes a while on part of a core
+                            .serve()); // installs its signal handlers first: parsing the command line is slow on a
+            // fraction of a core
         }
         System.exit(commandLine().execute(args));
     }
 
-    /** The command line, as tests use it too. */
+    /** Creates the command line; tests use it too. */
     static CommandLine commandLine() {
         return new CommandLine(new Main()).setExecutionExceptionHandler((e, command, result) -> {
             command.getErr().println("wharfhinge: " + (e.getMessage() == null ? e : e.getMessage()));
--- a/app/src/main/java/wharfhinge/app/PackageCommand.java
+++ b/app/src/main/java/wharfhinge/app/PackageCommand.java
@@ -22,7 +22,7 @@
 import wharfhinge.worker.pack.PackageBuilder;
 import wharfhinge.worker.pack.PackageReader;
 
-/** Function packages. */
+/** The command {@code package}: builds, shows and verifies function packages. */
 @Command(
         name = "package",
         mixinStandardHelpOptions = true,
@@ -41,7 +41,8 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "build, inspect, verify or key is needed");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "missing subcommand: build, inspect, verify or key");
     }
 
     private static PackageReader.Contents read(Path file, List<PublicKey> keys)
@@ -51,7 +52,7 @@
         }
     }
 
-    /** Builds one. */
+    /** The command {@code package build}. */
     @Command(
             name = "build",
             mixinStandardHelpOptions = true,
@@ -62,84 +63,98 @@
                 names = "--classes",
                 required = true,
                 paramLabel = "FOLDER",
-                description = "Compiled classes and resources.")
+                description = "Folder with the compiled classes and resources of the function.")
         private Path classes;
 
         @Option(
                 names = "--entry",
                 required = true,
-                description = "The class that implements wharfhinge.worker.api.Function.")
+                description = "Full name of the class that implements wharfhinge.worker.api.Function.")
         private String entry;
 
-        @Option(names = "--name", required = true, description = "The package's name.")
+        @Option(names = "--name", required = true, description = "Name of the function that the package holds.")
         private String name;
 
-        @Option(names = "--pkg-version", defaultValue = "1", description = "Its version; default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--pkg-version",
+                defaultValue = "1",
+                description = "Version of the package; default ${DEFAULT-VALUE}.")
         private String version;
 
-        @Option(names = "--memory-mb", required = true, description = "Memory of one copy.")
+        @Option(
+                names = "--memory-mb",
+                required = true,
+                description = "Memory that one copy of the function takes, in MB.")
         private int memoryMb;
 
         @Option(
                 names = "--lanes",
                 defaultValue = "1",
-                description = "Calls that a copy runs at a time; default ${DEFAULT-VALUE}.")
+                description = "Slots of a copy (calls that it runs concurrently); default ${DEFAULT-VALUE}.")
         private int lanes;
 
         @Option(
                 names = "--effect",
                 defaultValue = "idempotent",
-                description = "idempotent, keyed or at-most-once; " + "default ${DEFAULT-VALUE}.")
+                description = "Effect of a call: idempotent, keyed or at-most-once; " + "default ${DEFAULT-VALUE}.")
         private String effect;
 
-        @Option(names = "--call-ms", defaultValue = "10000", description = "A call's limit; default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--call-ms",
+                defaultValue = "10000",
+                description = "Time limit of a call, in milliseconds; default ${DEFAULT-VALUE}.")
         private int callMillis;
 
         @Option(
                 names = "--start-ms",
                 defaultValue = "10000",
-                description = "A start's limit; default ${DEFAULT-VALUE}.")
+                description = "Time limit of the start of a copy, in milliseconds; default ${DEFAULT-VALUE}.")
         private int startMillis;
 
-        @Option(names = "--sign", paramLabel = "KEY", description = "Signs with this private key.")
+        @Option(
+                names = "--sign",
+                paramLabel = "KEY",
+                description =
+                        "Private key that signs the package (see: package key); the package is not signed if left out.")
         private Path key;
 
         @Option(
                 names = "--out",
                 required = true,
                 paramLabel = "FILE",
-                description = "Where to; NAME.pkg in a store's folder.")
+                description = "Package file to write; a package store serves it from its folder under NAME.pkg.")
         private Path out;
 
         @Override
         public Integer call() throws IOException {
-            Path part = out.resolveSibling(out.getFileName() + ".building");
-            try (OutputStream to = Files.newOutputStream(part)) {
+            Path temporaryFile = out.resolveSibling(out.getFileName() + ".building");
+            try (OutputStream output = Files.newOutputStream(temporaryFile)) {
                 PackageBuilder.write(
                         new Manifest(name, version, entry, memoryMb, lanes, effect, callMillis, startMillis, Map.of()),
                         PackageBuilder.classes(classes),
                         key == null ? null : Keys.privateKey(key),
-                        to);
-                Files.move(part, out, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+                        output);
+                Files.move(temporaryFile, out, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             } catch (InvalidPackageException e) {
                 System.err.println(e.getMessage());
                 return Program.WANTING;
             } finally {
-                Files.deleteIfExists(part);
+                Files.deleteIfExists(temporaryFile);
             }
             System.out.println(out + " " + Files.size(out) + " bytes");
             return Program.OK;
         }
     }
 
-    /** Shows one. */
+    /** The command {@code package inspect}. */
     @Command(
             name = "inspect",
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
-            description = "Shows a package's manifest; whole or refused as a worker without keys would.")
+            description =
+                    "Prints the manifest of a package; refuses a damaged package as a worker without trusted keys does.")
     static final class Inspect implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "The package.")
+        @Parameters(paramLabel = "FILE", description = "Package file.")
         private Path file;
 
         @Override
@@ -148,7 +163,9 @@
                 PackageReader.Contents contents = read(file, List.of());
                 System.out.print(new String(contents.manifest().format(), java.nio.charset.StandardCharsets.UTF_8));
                 System.out.println(
-                        contents.signed() ? "# signed, not checked here: package verify --key" : "# not signed");
+                        contents.signed()
+                                ? "# signed; the signature is not checked here, see: package verify --key"
+                                : "# not signed");
                 return Program.OK;
             } catch (InvalidPackageException e) {
                 System.err.println(file + ": " + e.getMessage());
@@ -157,20 +174,21 @@
         }
     }
 
-    /** Checks one. */
+    /** The command {@code package verify}. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
-            description = "Checks packages as a worker with these keys would; exits with 1 unless all are taken.")
+            description =
+                    "Verifies packages as a worker with these trusted keys does; exits with 1 unless all are accepted.")
     static final class Verify implements Callable<Integer> {
         @Option(
                 names = "--key",
                 paramLabel = "FILE",
-                description = "A trusted public key; without any, signatures are not asked for.")
+                description = "Trusted public key; may be repeated. Without any key, signatures are not required.")
         private List<Path> keyFiles = new ArrayList<>();
 
-        @Parameters(arity = "1..*", paramLabel = "FILE", description = "Packages.")
+        @Parameters(arity = "1..*", paramLabel = "FILE", description = "Package files.")
         private List<Path> files;
 
         @Override
@@ -179,28 +197,28 @@
             for (Path key : keyFiles) {
                 keys.add(Keys.publicKey(key));
             }
-            int code = Program.OK;
+            int exitCode = Program.OK;
             for (Path file : files) {
                 try {
                     read(file, keys);
                     System.out.println(file + ": taken");
                 } catch (InvalidPackageException e) {
                     System.err.println(file + ": refused: " + e.getMessage());
-                    code = Program.WANTING;
+                    exitCode = Program.WANTING;
                 }
             }
-            return code;
+            return exitCode;
         }
     }
 
-    /** Makes keys. */
+    /** The command {@code package key}. */
     @Command(
             name = "key",
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
-            description = "Makes a publisher's Ed25519 key: FILE (private) and FILE.pub.")
+            description = "Generates the Ed25519 key pair of a publisher: FILE (private) and FILE.pub (public).")
     static final class Key implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "Where to; must not exist.")
+        @Parameters(paramLabel = "FILE", description = "Private key file to write; must not exist.")
         private Path file;
 
         @Override
--- a/app/src/main/java/wharfhinge/app/Program.java
+++ b/app/src/main/java/wharfhinge/app/Program.java
@@ -2,20 +2,20 @@
 
 import picocli.CommandLine.IVersionProvider;
 
-/** What all commands share. */
+/** Exit codes, main class and version, which all commands share. */
 public final class Program {
-    /** Exit code: done. */
+    /** Exit code: success. */
     public static final int OK = 0;
-    /** Exit code: what was looked at is not as it should be. */
+    /** Exit code: the command failed, or what it checked is invalid. */
     public static final int WANTING = 1;
     /** Exit code: the command line is wrong. */
     public static final int USAGE = 2;
-    /** The class to start a process of this program with. */
+    /** Main class with which processes of this program are started. */
     public static final String MAIN = "wharfhinge.app.Main";
 
     private Program() {}
 
-    /** The version that the build wrote into the jar. */
+    /** Reads the version that the build wrote into the jar. */
     public static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/app/src/main/java/wharfhinge/app/ReplayCommand.java
+++ b/app/src/main/java/wharfhinge/app/ReplayCommand.java
@@ -35,172 +35,188 @@
 import wharfhinge.policy.CacheAwareDispatcher;
 import wharfhinge.policy.Dispatcher;
 
-/** Replays what a gateway captured. */
+/** The command {@code replay}: replays the capture of a gateway. */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Tells a capture's events to fresh decisions and compares what they decide with what was decided; exits with 1 at "
-                        + "the first difference, or where the capture has a gap.")
+                "Replays the events of a capture to a new dispatcher and compares its actions with the captured ones; exits with 1 at "
+                        + "the first difference, or if the capture has a gap.")
 final class ReplayCommand implements Callable<Integer> {
-    private static final int SHOWN = 10;
+    private static final int MAX_SHOWN_DIFFERENCES = 10;
 
     @Parameters(
             arity = "1..*",
             paramLabel = "CAPTURE",
-            description = "A segment, a folder with one gateway's segments, or a fixture "
-                    + "(.jsonl). Several are merged by --merge alone.")
+            description = "A capture segment, a folder with the segments of one gateway, or a fixture "
+                    + "(.jsonl). Several are allowed with --merge and --find only.")
     private List<Path> files;
 
-    @Option(names = "--until", paramLabel = "S", description = "Stops so many seconds after the capture's first frame.")
+    @Option(
+            names = "--until",
+            paramLabel = "S",
+            description = "Stops this many seconds after the first frame of the capture; replays all if left out.")
     private Double until;
 
     @Option(
             names = "--call",
             paramLabel = "ID",
-            description = "Tells why this call went where it went; the client's id or the " + "gateway's own.")
-    private String call;
+            description = "Explains how this call was dispatched; the id is the client's or the " + "gateway's.")
+    private String callToExplain;
 
     @Option(
             names = "--what-if",
             paramLabel = "SETTINGS",
-            description = "The same events under other settings: what would differ.")
-    private Path whatIf;
+            description =
+                    "Gateway settings, XML file: prints which actions would differ for the same events under these settings.")
+    private Path otherSettingsFile;
 
     @Option(
             names = "--log",
             paramLabel = "FILE",
-            description = "Writes each event with what the replay decided on it, a line each.")
+            description = "File to write: one line for each event with the actions of the replay.")
     private Path log;
 
     @Option(
             names = "--reduce",
             paramLabel = "SYMPTOM",
-            description = "Cuts the capture down to the least that still shows this, such as "
-                    + "'attempt worker=127.0.0.1:7001 >= 3 and refuse >= 1', and writes it to --out.")
-    private String symptom;
+            description = "Minimizes the capture to few frames for which this failure predicate still holds, such as "
+                    + "'attempt worker=127.0.0.1:7001 >= 3 and refuse >= 1', and writes them to --out.")
+    private String failureExpression;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Where a reduced capture goes, as a fixture.")
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
+            description = "Fixture file (.jsonl) to which --reduce writes the minimized capture.")
     private Path out;
 
     @Option(
             names = "--most-replays",
             defaultValue = "2000",
-            description = "Replays that reducing may take. Default ${DEFAULT-VALUE}.")
+            description = "Limit of the replays that --reduce runs. Default ${DEFAULT-VALUE}.")
     private int mostReplays;
 
     @Option(
             names = "--merge",
-            description = "Prints the frames of all captures on one time line, by their wall clocks.")
+            description = "Prints the frames of all captures, ordered by the wall clocks of their gateways.")
     private boolean merge;
 
     @Option(
             names = "--skew",
             paramLabel = "GATEWAY=MS",
-            description = "With --merge: this gateway's wall clock is so much ahead.")
-    private Map<String, Double> skews = new HashMap<>();
+            description =
+                    "With --merge: how far the wall clock of this gateway is ahead, in milliseconds; may be repeated.")
+    private Map<String, Double> clockOffsets = new HashMap<>();
 
     @Option(
             names = "--align",
-            description = "With --merge: takes the skew of each gateway's clock to the first's as it is estimated from "
-                    + "the changes of the list that both were told, where --skew does not tell it.")
+            description = "With --merge: corrects the clock offset of each gateway to the first one, estimated from "
+                    + "the endpoint updates that both received, unless --skew gives it.")
     private boolean align;
 
     @Option(
             names = "--find",
             paramLabel = "ID",
-            description = "Names the segments and times that tell of this call, without replaying; "
-                    + "about one in a hundred blocks is named in vain.")
-    private String find;
+            description = "Prints the segments and times of the blocks that contain this call, without replaying; "
+                    + "about one in a hundred blocks is a false positive.")
+    private String callToFind;
 
     @Option(
             names = "--symptom",
             paramLabel = "CLASS",
-            description = "In place of the expression of --reduce: a class with a constructor "
-                    + "without arguments that is a Predicate<List<Frame>>, found in --classes.")
-    private String symptomClass;
+            description =
+                    "Failure predicate in place of the expression of --reduce: a class from --classes that implements "
+                            + "Predicate<List<Frame>> and has a constructor without arguments.")
+    private String failurePredicateClass;
 
-    @Option(names = "--classes", paramLabel = "PATH", split = ":", description = "Jars and folders of --symptom.")
+    @Option(
+            names = "--classes",
+            paramLabel = "PATH",
+            split = ":",
+            description = "Class path of the class that --symptom names: jars and folders.")
     private List<Path> classes = new ArrayList<>();
 
     @Override
     public Integer call() throws IOException, InvalidConfigurationException {
         if (merge) {
-            return merged();
+            return printMerged();
         }
-        if (find != null) {
-            return found();
+        if (callToFind != null) {
+            return findBlocks();
         }
         if (files.size() > 1) {
             System.err.println("replay: found " + files.size() + " captures, allowed: one, or --merge");
             return Program.USAGE;
         }
-        List<String> troubles = new ArrayList<>();
-        List<Frame> frames = frames(files.get(0), troubles);
+        List<String> faults = new ArrayList<>();
+        List<Frame> frames = readFrames(files.get(0), faults);
         if (frames.isEmpty()) {
-            System.err.println(files.get(0) + ": holds no frames");
+            System.err.println(files.get(0) + ": contains no frames");
             return Program.WANTING;
         }
-        long end = until == null ? lastOf(files.get(0)) : frames.get(0).at() + (long) (until * 1e9);
-        troubles.forEach(t -> System.out.println("trouble: " + t));
-        if (symptom != null || symptomClass != null) {
-            return reduced(frames);
+        long end =
+                until == null ? lastRelevantNanos(files.get(0)) : frames.get(0).at() + (long) (until * 1e9);
+        faults.forEach(t -> System.out.println("trouble: " + t));
+        if (failureExpression != null || failurePredicateClass != null) {
+            return minimize(frames);
         }
-        if (whatIf != null) {
-            return otherSettings(frames, end);
+        if (otherSettingsFile != null) {
+            return replayWithOtherSettings(frames, end);
         }
-        return replayed(frames, end, troubles.isEmpty());
+        return replayAndCompare(frames, end, faults.isEmpty());
     }
 
-    private static List<Frame> frames(Path file, List<String> troubles) throws IOException {
+    private static List<Frame> readFrames(Path file, List<String> faults) throws IOException {
         if (file.toString().endsWith(".jsonl")) {
             return FrameJson.fixture(Files.readAllLines(file));
         }
         Capture capture = CaptureReader.read(file);
-        troubles.addAll(capture.faults());
+        faults.addAll(capture.faults());
         return capture.frames();
     }
 
-    private Integer replayed(List<Frame> frames, long end, boolean whole) throws IOException {
-        CallExplanation account = new CallExplanation(call == null ? "" : call);
+    private Integer replayAndCompare(List<Frame> frames, long end, boolean complete) throws IOException {
+        CallExplanation explanation = new CallExplanation(callToExplain == null ? "" : callToExplain);
         Replayer.Result result;
-        try (BufferedWriter decided = log == null ? null : Files.newBufferedWriter(log)) {
+        try (BufferedWriter logWriter = log == null ? null : Files.newBufferedWriter(log)) {
             result = new Replayer().replay(frames, end, new Replayer.Watcher() {
                 @Override
                 public void before(long index, Frame frame, Dispatcher dispatcher) {
-                    if (call != null) {
-                        account.before(index, frame, dispatcher);
+                    if (callToExplain != null) {
+                        explanation.before(index, frame, dispatcher);
                     }
                 }
 
                 @Override
                 public void after(long index, Frame frame, List<RecordedAction> replayed) {
-                    if (call != null) {
-                        account.after(index, frame, replayed);
+                    if (callToExplain != null) {
+                        explanation.after(index, frame, replayed);
                     }
-                    write(decided, new Frame(frame.at(), frame.event(), replayed, frame.thrown()));
+                    write(logWriter, new Frame(frame.at(), frame.event(), replayed, frame.thrown()));
                 }
             });
         }
-        if (call != null) {
-            account.lines().forEach(System.out::println);
-            if (account.lines().isEmpty()) {
-                System.out.println("call " + call + " is not in this capture");
+        if (callToExplain != null) {
+            explanation.lines().forEach(System.out::println);
+            if (explanation.lines().isEmpty()) {
+                System.out.println("call " + callToExplain + " is not in this capture");
             }
         }
         System.out.printf(
-                "%d frames compared in %d lives, %d after a gap left out, %d lost%n",
+                "%d frames compared in %d incarnations, %d skipped after a gap, %d lost%n",
                 result.compared(), result.incarnations(), result.skipped(), result.gaps());
         if (result.difference() != null) {
             result.difference().lines().forEach(System.out::println);
             return Program.WANTING;
         }
         System.out.println(
-                whole && result.gaps() == 0
+                complete && result.gaps() == 0
                         ? "all decisions are the same"
-                        : "all decisions that can be compared are the same; the capture is not whole");
-        return whole && result.gaps() == 0 && (call == null || !account.lines().isEmpty())
+                        : "all decisions that can be compared are the same; the capture is incomplete");
+        return complete
+                        && result.gaps() == 0
+                        && (callToExplain == null || !explanation.lines().isEmpty())
                 ? Program.OK
                 : Program.WANTING;
     }
@@ -216,13 +232,13 @@
         }
     }
 
-    /** Counterfactual: the events stay those that the captured decisions led to. */
-    private Integer otherSettings(List<Frame> frames, long end) throws InvalidConfigurationException {
-        GatewayConfig other = GatewayConfig.load(whatIf);
-        long[] first = {-1};
-        long[] differ = {0};
+    /** Replays with other settings. The events stay those that the captured actions led to. */
+    private Integer replayWithOtherSettings(List<Frame> frames, long end) throws InvalidConfigurationException {
+        GatewayConfig otherConfig = GatewayConfig.load(otherSettingsFile);
+        long[] firstDifference = {-1};
+        long[] differences = {0};
         List<String> shown = new ArrayList<>();
-        Replayer.Result result = new Replayer(CacheAwareDispatcher::new, captured -> other.dispatcherSettings())
+        Replayer.Result result = new Replayer(CacheAwareDispatcher::new, captured -> otherConfig.dispatcherSettings())
                 .counterfactual(frames, end, new Replayer.Watcher() {
                     @Override
                     public void before(long index, Frame frame, Dispatcher dispatcher) {}
@@ -230,9 +246,9 @@
                     @Override
                     public void after(long index, Frame frame, List<RecordedAction> replayed) {
                         if (!replayed.equals(frame.acts())) {
-                            first[0] = first[0] < 0 ? index : first[0];
-                            differ[0]++;
-                            if (shown.size() < 2 * SHOWN) {
+                            firstDifference[0] = firstDifference[0] < 0 ? index : firstDifference[0];
+                            differences[0]++;
+                            if (shown.size() < 2 * MAX_SHOWN_DIFFERENCES) {
                                 shown.add("frame " + index + " captured "
                                         + frame.acts().stream()
                                                 .map(RecordedAction::line)
@@ -245,31 +261,37 @@
                         }
                     }
                 });
-        System.out.println("counterfactual: the same events under the settings of " + whatIf);
+        System.out.println("counterfactual: the same events under the settings of " + otherSettingsFile);
         shown.forEach(System.out::println);
         System.out.printf(
-                "%d of %d frames would be decided otherwise%s%n",
-                differ[0],
+                "%d of %d frames would have other actions%s%n",
+                differences[0],
                 result.compared(),
-                first[0] < 0
+                firstDifference[0] < 0
                         ? ""
-                        : "; valid to frame " + first[0]
-                                + ": what follows are events that the captured decisions led to, not these");
+                        : "; valid to frame " + firstDifference[0]
+                                + ": later events result from the captured actions, not from these");
         return Program.OK;
     }
 
-    private Integer reduced(List<Frame> frames) throws IOException {
+    private Integer minimize(List<Frame> frames) throws IOException {
         if (out == null) {
-            System.err.println("--reduce: --out is needed");
+            System.err.println("--reduce: missing --out");
             return Program.USAGE;
         }
         try {
-            Predicate<List<Frame>> wanted = symptomClass == null ? new FailurePredicate(symptom)::matches : ofClass();
-            TraceMinimizer reducer = new TraceMinimizer(wanted, mostReplays);
-            List<Frame> few = reducer.minimize(frames);
-            Files.write(out, TraceMinimizer.fixtureLines("shows: " + (symptom == null ? symptomClass : symptom), few));
+            Predicate<List<Frame>> predicate =
+                    failurePredicateClass == null ? new FailurePredicate(failureExpression)::matches : loadPredicate();
+            TraceMinimizer minimizer = new TraceMinimizer(predicate, mostReplays);
+            List<Frame> minimized = minimizer.minimize(frames);
+            Files.write(
+                    out,
+                    TraceMinimizer.fixtureLines(
+                            "shows: " + (failureExpression == null ? failurePredicateClass : failureExpression),
+                            minimized));
             System.out.printf(
-                    "%d frames of %d after %d replays, in %s%n", few.size(), frames.size(), reducer.replays(), out);
+                    "%d frames of %d after %d replays, in %s%n",
+                    minimized.size(), frames.size(), minimizer.replays(), out);
             return Program.OK;
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
@@ -278,47 +300,49 @@
     }
 
     @SuppressWarnings("unchecked")
-    private Predicate<List<Frame>> ofClass() throws IOException {
+    private Predicate<List<Frame>> loadPredicate() throws IOException {
         List<URL> urls = new ArrayList<>();
         for (Path path : classes) {
             urls.add(path.toUri().toURL());
         }
         try {
-            Object made = Class.forName(
-                            symptomClass,
+            Object instance = Class.forName(
+                            failurePredicateClass,
                             true,
                             new URLClassLoader(
                                     urls.toArray(new URL[0]), getClass().getClassLoader()))
                     .getDeclaredConstructor()
                     .newInstance();
-            if (made instanceof Predicate) {
-                return (Predicate<List<Frame>>) made;
+            if (instance instanceof Predicate) {
+                return (Predicate<List<Frame>>) instance;
             }
             throw new IllegalArgumentException(
-                    "--symptom: found " + symptomClass + ", allowed: a Predicate<List<Frame>>");
+                    "--symptom: found " + failurePredicateClass + ", allowed: a Predicate<List<Frame>>");
         } catch (ReflectiveOperationException | LinkageError e) {
             throw new IllegalArgumentException(
-                    "--symptom: found " + symptomClass + ", which can't be made from " + classes + ": " + e, e);
+                    "--symptom: found " + failurePredicateClass + ", which cannot be instantiated from " + classes
+                            + ": " + e,
+                    e);
         }
     }
 
-    /** Nothing that comes after the last block which may tell of the call is needed for its account. */
-    private long lastOf(Path at) throws IOException {
-        if (call == null || at.toString().endsWith(".jsonl")) {
+    /** Time of the last block that may contain the call; later frames are not needed to explain it. */
+    private long lastRelevantNanos(Path at) throws IOException {
+        if (callToExplain == null || at.toString().endsWith(".jsonl")) {
             return Long.MAX_VALUE;
         }
         return CaptureReader.index(at).stream()
-                .filter(b -> b.names().mightContain(call))
+                .filter(b -> b.names().mightContain(callToExplain))
                 .mapToLong(CaptureReader.BlockHead::lastNanos)
                 .max()
                 .orElse(Long.MAX_VALUE);
     }
 
-    private Integer found() throws IOException {
+    private Integer findBlocks() throws IOException {
         int blocks = 0;
         for (Path file : files) {
             for (CaptureReader.BlockHead b : CaptureReader.index(file)) {
-                if (b.names().mightContain(find)) {
+                if (b.names().mightContain(callToFind)) {
                     blocks++;
                     System.out.printf(
                             "%s at byte %d: %s, %.1f s, %d frames%n",
@@ -330,42 +354,44 @@
                 }
             }
         }
-        System.out.println(blocks == 0 ? "call " + find + " is in none of these captures" : blocks + " blocks");
+        System.out.println(blocks == 0 ? "call " + callToFind + " is in none of these captures" : blocks + " blocks");
         return blocks == 0 ? Program.WANTING : Program.OK;
     }
 
-    private record Placed(long wallUs, String gateway, Frame frame) {}
+    private record TimedFrame(long wallMicros, String gateway, Frame frame) {}
 
-    private long aheadUs(Capture first, Capture capture) {
-        Optional<ClockOffset> skew = ClockOffset.estimate(first, capture);
+    private long clockOffsetMicros(Capture first, Capture capture) {
+        Optional<ClockOffset> offset = ClockOffset.estimate(first, capture);
         System.out.println("# " + capture.gateway()
-                + skew.map(s -> String.format(
+                + offset.map(s -> String.format(
                                 Locale.ROOT,
-                                ": clock %.1f ms ahead of %s's, estimated from %d changes of the list, half of them within %.1f ms",
+                                ": clock %.1f ms ahead of %s's, estimated from %d endpoint updates, half of them within %.1f ms",
                                 s.offsetMicros() / 1000.0,
                                 first.gateway(),
                                 s.samples(),
                                 s.spreadMicros() / 1000.0))
-                        .orElse(": shares no change of the list with " + first.gateway()
-                                + ", its clock's skew can't be estimated"));
-        Double told = skews.get(capture.gateway());
-        return told != null
-                ? (long) (told * 1000)
-                : align ? skew.map(ClockOffset::offsetMicros).orElse(0L) : 0;
+                        .orElse(": shares no endpoint update with " + first.gateway()
+                                + ", its clock offset cannot be estimated"));
+        Double given = clockOffsets.get(capture.gateway());
+        return given != null
+                ? (long) (given * 1000)
+                : align ? offset.map(ClockOffset::offsetMicros).orElse(0L) : 0;
     }
 
-    private Integer merged() throws IOException {
-        List<Placed> all = new ArrayList<>();
+    private Integer printMerged() throws IOException {
+        List<TimedFrame> all = new ArrayList<>();
         Capture first = null;
         for (Path file : files) {
             Capture capture = CaptureReader.read(file);
             capture.faults().forEach(t -> System.out.println("trouble: " + t));
-            long aheadUs = first == null ? 0 : aheadUs(first, capture);
+            long offsetMicros = first == null ? 0 : clockOffsetMicros(first, capture);
             first = first == null ? capture : first;
-            capture.frames().forEach(f -> all.add(new Placed(capture.wallMicros(f) - aheadUs, capture.gateway(), f)));
+            capture.frames()
+                    .forEach(f -> all.add(new TimedFrame(capture.wallMicros(f) - offsetMicros, capture.gateway(), f)));
         }
-        all.sort(Comparator.comparingLong(Placed::wallUs)); // stable: one gateway's frames keep their order
-        all.forEach(p -> System.out.println(p.wallUs + " " + p.gateway + " " + FrameJson.line(p.frame)));
+        all.sort(Comparator.comparingLong(
+                TimedFrame::wallMicros)); // the sort is stable: frames of one gateway keep their order
+        all.forEach(p -> System.out.println(p.wallMicros + " " + p.gateway + " " + FrameJson.line(p.frame)));
         return Program.OK;
     }
 }
--- a/app/src/main/java/wharfhinge/app/ServeCommand.java
+++ b/app/src/main/java/wharfhinge/app/ServeCommand.java
@@ -7,19 +7,20 @@
 import picocli.CommandLine.Option;
 import wharfhinge.engine.DispatcherFactory;
 
-/** Runs a gateway until it is told to stop. */
+/** The command {@code serve}: runs a gateway until it gets a signal to stop. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "Runs a gateway until it gets a TERM or INT signal, then answers what is open and ends.")
+        description =
+                "Runs a gateway until it gets a TERM or INT signal; then it completes the calls in flight and exits.")
 final class ServeCommand implements Callable<Integer> {
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "The settings, an XML file.")
+    @Option(names = "--config", required = true, paramLabel = "FILE", description = "Gateway settings, XML file.")
     private Path config;
 
     @Override
     public Integer call() throws InterruptedException {
-        return Serving.serve(
+        return GatewayRunner.serve(
                 config,
                 DispatcherFactory.CACHE_AWARE,
                 UnaryOperator.identity(),
--- a/app/src/main/java/wharfhinge/app/StandInCommand.java
+++ b/app/src/main/java/wharfhinge/app/StandInCommand.java
@@ -19,12 +19,12 @@
 import wharfhinge.standin.Trace;
 import wharfhinge.standin.WorkerStandIn;
 
-/** Runs stand-ins to try a gateway against by hand. */
+/** The command {@code stand-in}: runs emulators, against which a gateway can be tried by hand. */
 @Command(
         name = "stand-in",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "Runs scripted peers on loopback until stopped.",
+        description = "Runs emulators of workers, package store and endpoint service on loopback until stopped.",
         synopsisSubcommandLabel = "KIND",
         subcommands = {
             StandInCommand.Fleet.class,
@@ -38,7 +38,8 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a kind of stand-in is needed");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "missing kind of emulator: fleet, worker, roster or store");
     }
 
     private static int untilStopped() throws InterruptedException {
@@ -47,145 +48,166 @@
     }
 
     private static List<WorkerStandIn> workers(
-            Scenario scenario, EventLoopGroup group, int first, int count, int store, Trace trace) {
+            Scenario scenario, EventLoopGroup group, int firstPort, int count, int storePort, Trace trace) {
         List<WorkerStandIn> workers = new ArrayList<>();
-        HttpCaller fetches = new HttpCaller(group, store);
+        HttpCaller storeClient = new HttpCaller(group, storePort);
         for (int i = 0; i < count; i++) {
-            workers.add(
-                    new WorkerStandIn(group, first == 0 ? 0 : first + i, scenario.worker(i, false), fetches, trace));
+            workers.add(new WorkerStandIn(
+                    group, firstPort == 0 ? 0 : firstPort + i, scenario.worker(i, false), storeClient, trace));
             System.out.println("worker " + workers.get(i).id());
         }
         return workers;
     }
 
-    private static void list(RosterStandIn roster, String worker, Scenario scenario, int i) {
-        var spec = scenario.worker(i, false);
+    private static void reportWorker(RosterStandIn roster, String worker, Scenario scenario, int i) {
+        var workerSpec = scenario.worker(i, false);
         roster.report(new RosterEntry(
                 worker,
-                spec.zone(),
-                spec.kind(),
-                spec.cell(),
+                workerSpec.zone(),
+                workerSpec.kind(),
+                workerSpec.cell(),
                 RosterEntry.State.UP,
-                spec.cores(),
-                2 * spec.coldMillis(),
+                workerSpec.cores(),
+                2 * workerSpec.coldMillis(),
                 "b0"));
     }
 
-    /** Store, workers and the roster that lists them. */
+    /** The command {@code stand-in fleet}: a package store, workers and the endpoint service that lists them. */
     @Command(
             name = "fleet",
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
-            description = "A store, workers and a roster that lists them.")
+            description = "Emulates a package store, workers and the endpoint service that lists them.")
     static final class Fleet implements Callable<Integer> {
         @Option(
                 names = "--scenario",
                 paramLabel = "FILE",
-                description = "Figures of the fleet; the bad day's if left out.")
-        private Path scenario;
+                description = "Scenario that describes the fleet, XML file; bad-day if left out.")
+        private Path scenarioFile;
 
         @Option(
                 names = "--port",
                 defaultValue = "8500",
-                description = "The roster's port; the store has the next one, "
-                        + "the workers those that follow. Default ${DEFAULT-VALUE}.")
+                description = "Port of the endpoint service; the package store takes the next port, "
+                        + "the workers those after it. Default ${DEFAULT-VALUE}.")
         private int port;
 
         @Override
         public Integer call() throws Exception {
-            Scenario day = Scenarios.load(scenario, "bad-day");
+            Scenario scenario = Scenarios.load(scenarioFile, "bad-day");
             Trace trace = new Trace(System::nanoTime);
             EventLoopGroup group = Net.group(4);
-            RosterStandIn roster = new RosterStandIn(group, port, day.roster().lagMillis(), trace);
+            RosterStandIn roster =
+                    new RosterStandIn(group, port, scenario.roster().lagMillis(), trace);
             StoreStandIn store = new StoreStandIn(
-                    group, port + 1, day.store().fullPace(), day.store().most(), trace);
+                    group,
+                    port + 1,
+                    scenario.store().fullPace(),
+                    scenario.store().most(),
+                    trace);
             List<WorkerStandIn> workers =
-                    workers(day, group, port + 2, day.workers().count(), store.port(), trace);
+                    workers(scenario, group, port + 2, scenario.workers().count(), store.port(), trace);
             for (int i = 0; i < workers.size(); i++) {
-                list(roster, workers.get(i).id(), day, i);
+                reportWorker(roster, workers.get(i).id(), scenario, i);
             }
             System.out.println("roster http://127.0.0.1:" + roster.port());
             return untilStopped();
         }
     }
 
-    /** Workers. */
+    /** The command {@code stand-in worker}. */
     @Command(
             name = "worker",
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
-            description = "Scripted workers.")
+            description = "Emulates workers.")
     static final class Worker implements Callable<Integer> {
         @Option(
                 names = "--scenario",
                 paramLabel = "FILE",
-                description = "Figures of the fleet; the bad day's if left out.")
-        private Path scenario;
+                description = "Scenario that describes the fleet, XML file; bad-day if left out.")
+        private Path scenarioFile;
 
-        @Option(names = "--port", required = true, description = "The first one's port; 0 takes any.")
+        @Option(
+                names = "--port",
+                required = true,
+                description = "Port of the first worker; the others take the next ones. 0 takes free ports.")
         private int port;
 
-        @Option(names = "--count", defaultValue = "1", description = "How many. Default ${DEFAULT-VALUE}.")
+        @Option(names = "--count", defaultValue = "1", description = "Number of workers. Default ${DEFAULT-VALUE}.")
         private int count;
 
-        @Option(names = "--store-port", required = true, description = "Where they fetch from.")
+        @Option(names = "--store-port", required = true, description = "Port of the package store on loopback.")
         private int store;
 
         @Override
         public Integer call() throws Exception {
-            workers(Scenarios.load(scenario, "bad-day"), Net.group(4), port, count, store, new Trace(System::nanoTime));
+            workers(
+                    Scenarios.load(scenarioFile, "bad-day"),
+                    Net.group(4),
+                    port,
+                    count,
+                    store,
+                    new Trace(System::nanoTime));
             return untilStopped();
         }
     }
 
-    /** A roster. */
+    /** The command {@code stand-in roster}. */
     @Command(
             name = "roster",
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
-            description = "A roster that lists the workers named.")
+            description = "Emulates an endpoint service that lists the given workers.")
     static final class Roster implements Callable<Integer> {
-        @Option(names = "--port", required = true, description = "Its port.")
+        @Option(names = "--port", required = true, description = "Port of the endpoint service.")
         private int port;
 
-        @Option(names = "--lag-ms", defaultValue = "300", description = "How late it is. Default ${DEFAULT-VALUE}.")
+        @Option(
+                names = "--lag-ms",
+                defaultValue = "300",
+                description = "Delay of its endpoint updates, in milliseconds. Default ${DEFAULT-VALUE}.")
         private long lag;
 
-        @Option(names = "--worker", required = true, paramLabel = "ADDRESS:PORT", description = "A worker; repeatable.")
+        @Option(
+                names = "--worker",
+                required = true,
+                paramLabel = "ADDRESS:PORT",
+                description = "Address of a worker; may be repeated.")
         private List<String> workers;
 
         @Override
         public Integer call() throws Exception {
             RosterStandIn roster = new RosterStandIn(Net.group(1), port, lag, new Trace(System::nanoTime));
-            Scenario day = Scenarios.load(null, "bad-day");
+            Scenario scenario = Scenarios.load(null, "bad-day");
             for (int i = 0; i < workers.size(); i++) {
-                list(roster, workers.get(i), day, i);
+                reportWorker(roster, workers.get(i), scenario, i);
             }
             System.out.println("roster http://127.0.0.1:" + roster.port());
             return untilStopped();
         }
     }
 
-    /** A store. */
+    /** The command {@code stand-in store}. */
     @Command(
             name = "store",
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
-            description = "A store that slows when crowded and turns fetches away past its limit.")
+            description = "Emulates a package store that slows down under load and rejects fetches beyond its limit.")
     static final class Store implements Callable<Integer> {
-        @Option(names = "--port", required = true, description = "Its port.")
+        @Option(names = "--port", required = true, description = "Port of the package store.")
         private int port;
 
         @Option(
                 names = "--full-pace",
                 defaultValue = "8",
-                description = "Fetches at full pace. Default ${DEFAULT-VALUE}.")
+                description = "Concurrent fetches up to which it does not slow down. Default ${DEFAULT-VALUE}.")
         private int fullPace;
 
         @Option(
                 names = "--most",
                 defaultValue = "32",
-                description = "Fetches in hand at most. Default ${DEFAULT-VALUE}.")
+                description = "Limit of concurrent fetches. Default ${DEFAULT-VALUE}.")
         private int most;
 
         @Override
--- a/app/src/main/java/wharfhinge/app/FirstLogs.java
+++ b/app/src/main/java/wharfhinge/app/StartupLogConfigurator.java
@@ -9,10 +9,10 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Logs until a command sets them up by its own settings: warnings, on standard error. In code, since reading the same from XML takes a
- * third of the time that a dispatcher needs to start.
+ * Logging until a command configures it by its own settings: warnings and errors, on standard error. This is Java code because reading
+ * the same from XML takes a third of the time that a dispatcher needs to start.
  */
-public final class FirstLogs extends ContextAwareBase implements Configurator {
+public final class StartupLogConfigurator extends ContextAwareBase implements Configurator {
     @Override
     public ExecutionStatus configure(LoggerContext context) {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
--- a/app/src/main/java/wharfhinge/app/StoreCommand.java
+++ b/app/src/main/java/wharfhinge/app/StoreCommand.java
@@ -9,23 +9,26 @@
 import wharfhinge.standin.Net;
 import wharfhinge.worker.store.Store;
 
-/** Serves packages to workers until stopped. */
+/** The command {@code store}: serves function packages to workers until the process is stopped. */
 @Command(
         name = "store",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "Serves the packages (NAME.pkg) of a folder to workers, until stopped.")
+        description = "Serves the function packages (NAME.pkg) of a folder to workers until stopped.")
 final class StoreCommand implements Callable<Integer> {
-    @Option(names = "--folder", required = true, paramLabel = "FOLDER", description = "Where the packages are.")
+    @Option(names = "--folder", required = true, paramLabel = "FOLDER", description = "Folder with the packages.")
     private Path folder;
 
-    @Option(names = "--port", defaultValue = "8600", description = "The port on loopback; default ${DEFAULT-VALUE}.")
+    @Option(
+            names = "--port",
+            defaultValue = "8600",
+            description = "Port on the loopback address; default ${DEFAULT-VALUE}.")
     private int port;
 
     @Option(
             names = "--most",
             defaultValue = "64",
-            description = "Fetches in hand beyond which it turns away with 503; " + "default ${DEFAULT-VALUE}.")
+            description = "Limit of concurrent fetches, beyond which it answers 503; " + "default ${DEFAULT-VALUE}.")
     private int most;
 
     @Override
--- a/app/src/main/java/wharfhinge/app/WorkerCommand.java
+++ b/app/src/main/java/wharfhinge/app/WorkerCommand.java
@@ -9,21 +9,21 @@
 import wharfhinge.worker.WorkerServer;
 import wharfhinge.worker.WorkerSettings;
 
-/** Runs a worker until it is told to stop. */
+/** The command {@code worker}: runs a worker until it gets a signal to stop. */
 @Command(
         name = "worker",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
         description =
-                "Runs a worker that loads packages and runs calls, until it gets a TERM or INT signal; then it drains.")
+                "Runs a worker that loads functions and runs calls until it gets a TERM or INT signal; then it drains and exits.")
 final class WorkerCommand implements Callable<Integer> {
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "The settings, an XML file.")
+    @Option(names = "--config", required = true, paramLabel = "FILE", description = "Worker settings, XML file.")
     private Path config;
 
     @Option(
             names = "--log-level",
             defaultValue = "info",
-            description = "error, warn, info or debug; default ${DEFAULT-VALUE}.")
+            description = "Lowest level that is logged: error, warn, info or debug; default ${DEFAULT-VALUE}.")
     private String level;
 
     @Override
@@ -35,7 +35,7 @@
             System.err.println(e.getMessage());
             return Program.WANTING;
         }
-        Logs.set(false, level);
+        Logs.configure(false, level);
         WorkerServer server = new WorkerServer(settings, config.toAbsolutePath().getParent());
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
@@ -50,7 +50,7 @@
                         "stop"));
         System.out.println(
                 "worker " + settings.name() + " 127.0.0.1:" + server.port() + " boot " + server.incarnation());
-        System.gc(); // what reading the settings left is given back before calls come
+        System.gc(); // frees the memory that reading the settings took before calls arrive
         server.await();
         return Program.OK;
     }
--- a/app/src/main/java/wharfhinge/app/drill/DrillGatewayCommand.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillGatewayCommand.java
@@ -8,8 +8,8 @@
 import java.util.function.UnaryOperator;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import wharfhinge.app.GatewayRunner;
 import wharfhinge.app.Program;
-import wharfhinge.app.Serving;
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.gateway.Gateway;
 import wharfhinge.worker.ProcessorWaitWatch;
@@ -37,13 +37,13 @@
     @Override
     public Integer call() throws InterruptedException {
         return mutant == null
-                ? Serving.serve(
+                ? GatewayRunner.serve(
                         config,
                         DispatcherFactory.CACHE_AWARE,
                         UnaryOperator.identity(),
                         UnaryOperator.identity(),
                         this::watch)
-                : Serving.serve(config, mutant.factory(), mutant::change, mutant::heard, this::watch);
+                : GatewayRunner.serve(config, mutant.factory(), mutant::change, mutant::heard, this::watch);
     }
 
     private void watch(Gateway gateway) {
--- a/app/src/test/java/wharfhinge/app/FirstLogsTest.java
+++ b/app/src/test/java/wharfhinge/app/FirstLogsTest.java
@@ -15,11 +15,13 @@
     @Test
     void warningsGoToStandardErrorWithoutAnyXml() {
         LoggerContext context = new LoggerContext();
-        new FirstLogs().configure(context);
+        new StartupLogConfigurator().configure(context);
         var root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         assertEquals(Level.WARN, root.getLevel());
         Iterator<Appender<ILoggingEvent>> all = root.iteratorForAppenders();
         assertEquals("System.err", ((ConsoleAppender<ILoggingEvent>) all.next()).getTarget());
-        assertNull(FirstLogs.class.getResource("/logback.xml"), "is read before anything else where it is there");
+        assertNull(
+                StartupLogConfigurator.class.getResource("/logback.xml"),
+                "is read before anything else where it is there");
     }
 }
