--- a/app/src/main/java/wharfhinge/app/CheckCommand.java
+++ b/app/src/main/java/wharfhinge/app/CheckCommand.java
@@ -27,7 +27,7 @@
                 System.out.println(file + ": valid, gateway " + config.name());
             } catch (InvalidConfigurationException e) {
                 System.out.println(e.getMessage());
-                exitCode = Program.WANTING;
+                exitCode = Program.FAILURE;
             }
         }
         return exitCode;
--- a/app/src/main/java/wharfhinge/app/GatewayRunner.java
+++ b/app/src/main/java/wharfhinge/app/GatewayRunner.java
@@ -37,7 +37,7 @@
             config = configChange.apply(GatewayConfig.load(configFile));
         } catch (InvalidConfigurationException e) {
             System.err.println(e.getMessage());
-            return Program.WANTING;
+            return Program.FAILURE;
         }
         Logs.configure(config.log());
         Gateway gateway = new Gateway(
--- a/app/src/main/java/wharfhinge/app/LabCommand.java
+++ b/app/src/main/java/wharfhinge/app/LabCommand.java
@@ -34,8 +34,8 @@
             mixinStandardHelpOptions = true,
             versionProvider = Program.Version.class,
             description =
-                    "Simulates an overload: load at --calm of the fleet's capacity, at --peak for ten seconds, then at --calm again. Prints a "
-                            + "row for each two seconds, or with --seeds a line for each run; exits with 1 if a rule is broken.")
+                    "Simulates an overload: load at --calm of the fleet's capacity, at --peak for ten seconds, then at --calm again. "
+                            + "Prints a row for each two seconds, or with --seeds a line for each run; exits with 1 if a rule is broken.")
     static final class StormCommand implements Callable<Integer> {
         /** Memory of a worker, in copies; there are ninety functions and eight workers. */
         enum Memory {
@@ -227,7 +227,7 @@
             List<String> faults =
                     runs.stream().flatMap(p -> p.faults().stream()).limit(5).toList();
             faults.forEach(System.out::println);
-            return faults.isEmpty() ? Program.OK : Program.WANTING;
+            return faults.isEmpty() ? Program.OK : Program.FAILURE;
         }
 
         private static double mean(List<StormRun.Played> runs, double fromS, double toS) {
--- a/app/src/main/java/wharfhinge/app/Main.java
+++ b/app/src/main/java/wharfhinge/app/Main.java
@@ -51,7 +51,7 @@
     static CommandLine commandLine() {
         return new CommandLine(new Main()).setExecutionExceptionHandler((e, command, result) -> {
             command.getErr().println("wharfhinge: " + (e.getMessage() == null ? e : e.getMessage()));
-            return Program.WANTING;
+            return Program.FAILURE;
         });
     }
 }
--- a/app/src/main/java/wharfhinge/app/PackageCommand.java
+++ b/app/src/main/java/wharfhinge/app/PackageCommand.java
@@ -137,7 +137,7 @@
                 Files.move(temporaryFile, out, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
             } catch (InvalidPackageException e) {
                 System.err.println(e.getMessage());
-                return Program.WANTING;
+                return Program.FAILURE;
             } finally {
                 Files.deleteIfExists(temporaryFile);
             }
@@ -169,7 +169,7 @@
                 return Program.OK;
             } catch (InvalidPackageException e) {
                 System.err.println(file + ": " + e.getMessage());
-                return Program.WANTING;
+                return Program.FAILURE;
             }
         }
     }
@@ -204,7 +204,7 @@
                     System.out.println(file + ": taken");
                 } catch (InvalidPackageException e) {
                     System.err.println(file + ": refused: " + e.getMessage());
-                    exitCode = Program.WANTING;
+                    exitCode = Program.FAILURE;
                 }
             }
             return exitCode;
--- a/app/src/main/java/wharfhinge/app/Program.java
+++ b/app/src/main/java/wharfhinge/app/Program.java
@@ -7,7 +7,7 @@
     /** Exit code: success. */
     public static final int OK = 0;
     /** Exit code: the command failed, or what it checked is invalid. */
-    public static final int WANTING = 1;
+    public static final int FAILURE = 1;
     /** Exit code: the command line is wrong. */
     public static final int USAGE = 2;
     /** Main class with which processes of this program are started. */
--- a/app/src/main/java/wharfhinge/app/ReplayCommand.java
+++ b/app/src/main/java/wharfhinge/app/ReplayCommand.java
@@ -153,11 +153,11 @@
         List<Frame> frames = readFrames(files.get(0), faults);
         if (frames.isEmpty()) {
             System.err.println(files.get(0) + ": contains no frames");
-            return Program.WANTING;
+            return Program.FAILURE;
         }
         long end =
                 until == null ? lastRelevantNanos(files.get(0)) : frames.get(0).at() + (long) (until * 1e9);
-        faults.forEach(t -> System.out.println("trouble: " + t));
+        faults.forEach(t -> System.out.println("fault: " + t));
         if (failureExpression != null || failurePredicateClass != null) {
             return minimize(frames);
         }
@@ -208,7 +208,7 @@
                 result.compared(), result.incarnations(), result.skipped(), result.gaps());
         if (result.difference() != null) {
             result.difference().lines().forEach(System.out::println);
-            return Program.WANTING;
+            return Program.FAILURE;
         }
         System.out.println(
                 complete && result.gaps() == 0
@@ -218,7 +218,7 @@
                         && result.gaps() == 0
                         && (callToExplain == null || !explanation.lines().isEmpty())
                 ? Program.OK
-                : Program.WANTING;
+                : Program.FAILURE;
     }
 
     private static void write(BufferedWriter to, Frame frame) {
@@ -295,7 +295,7 @@
             return Program.OK;
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
-            return Program.WANTING;
+            return Program.FAILURE;
         }
     }
 
@@ -355,7 +355,7 @@
             }
         }
         System.out.println(blocks == 0 ? "call " + callToFind + " is in none of these captures" : blocks + " blocks");
-        return blocks == 0 ? Program.WANTING : Program.OK;
+        return blocks == 0 ? Program.FAILURE : Program.OK;
     }
 
     private record TimedFrame(long wallMicros, String gateway, Frame frame) {}
@@ -383,7 +383,7 @@
         Capture first = null;
         for (Path file : files) {
             Capture capture = CaptureReader.read(file);
-            capture.faults().forEach(t -> System.out.println("trouble: " + t));
+            capture.faults().forEach(t -> System.out.println("fault: " + t));
             long offsetMicros = first == null ? 0 : clockOffsetMicros(first, capture);
             first = first == null ? capture : first;
             capture.frames()
--- a/app/src/main/java/wharfhinge/app/StoreCommand.java
+++ b/app/src/main/java/wharfhinge/app/StoreCommand.java
@@ -35,7 +35,7 @@
     public Integer call() throws InterruptedException {
         if (!Files.isDirectory(folder)) {
             System.err.println("--folder: found " + folder + ", allowed: a folder");
-            return Program.WANTING;
+            return Program.FAILURE;
         }
         try (Store store = new Store(Net.group(2), port, folder, most)) {
             System.out.println("store 127.0.0.1:" + store.port());
--- a/app/src/main/java/wharfhinge/app/WorkerCommand.java
+++ b/app/src/main/java/wharfhinge/app/WorkerCommand.java
@@ -33,7 +33,7 @@
             settings = XmlFile.load(config, WorkerSettings.schema(), WorkerSettings.class, (read, faults) -> {});
         } catch (InvalidConfigurationException e) {
             System.err.println(e.getMessage());
-            return Program.WANTING;
+            return Program.FAILURE;
         }
         Logs.configure(false, level);
         WorkerServer server = new WorkerServer(settings, config.toAbsolutePath().getParent());
--- a/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
@@ -10,97 +10,98 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import wharfhinge.app.drill.ClientFleet.Answer;
-import wharfhinge.app.drill.ClientFleet.Ended;
-import wharfhinge.app.drill.ClientFleet.Ends;
+import wharfhinge.app.drill.ClientFleet.CallCounts;
+import wharfhinge.app.drill.ClientFleet.CallOutcome;
+import wharfhinge.app.drill.ClientFleet.CompletedCall;
 import wharfhinge.client.WharfhingeClient;
 import wharfhinge.standin.HttpCaller;
 import wharfhinge.standin.LoadClients.CallClass;
 import wharfhinge.standin.Net;
 import wharfhinge.standin.Scenario;
 
-/** Days on which the client libraries are what is tried. Each prints a table. */
+/** Fault injection tests of the client libraries. Each prints a table. */
 final class ClientDrills {
     private static final double WARM_UP_S = 5;
-    private static final int PLAIN_TRIES = 3;
-    private static final double WELL = 0.95;
+    private static final int PLAIN_ATTEMPTS = 3;
+    private static final double RECOVERED_SHARE = 0.95;
 
     private ClientDrills() {}
 
     /**
-     * Gateways are replaced one after the other while both libraries call through them: a new process binds the same ports beside the
-     * old one, which then is told to stop. The share of calls that were failed or late meanwhile.
+     * Replaces the gateways one after the other while both libraries call through them: a new process binds the same ports as the
+     * old one, which then gets a signal to stop. Returns the share of calls that failed or were late meanwhile.
      */
     static double rollingRestart(Scenario scenario, Path folder, double seconds) throws Exception {
-        long wanting = 0;
+        long notServed = 0;
         long all = 0;
         System.out.println("| gateways | library | calls | served | refused | failed | late | tries | slowest ms |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
         try (ClientFleet fleet = new ClientFleet(scenario, folder, "")) {
             fleet.start();
-            fleet.play(WARM_UP_S, false); // loads copies and the gateways' compilers; not counted
+            fleet.callThroughBothLibraries(
+                    WARM_UP_S, false); // not counted: loads the copies and warms up the gateways' JIT compilers
             for (boolean restart : new boolean[] {false, true}) {
-                for (Ends e : fleet.play(seconds, restart)) {
+                for (CallCounts counts : fleet.callThroughBothLibraries(seconds, restart)) {
                     System.out.printf(
                             "| %s | %s | %d | %d | %d | %d | %d | %d | %d |%n",
                             restart ? "each replaced" : "stand",
-                            e.library(),
-                            e.all(),
-                            e.of("served"),
-                            e.of("refused"),
-                            e.of("failed"),
-                            e.of("late"),
-                            e.tries(),
-                            e.slowestMillis());
-                    all += restart ? e.all() : 0;
-                    wanting += restart ? e.of("failed") + e.of("late") : 0;
+                            counts.library(),
+                            counts.all(),
+                            counts.of("served"),
+                            counts.of("refused"),
+                            counts.of("failed"),
+                            counts.of("late"),
+                            counts.attempts(),
+                            counts.slowestMillis());
+                    all += restart ? counts.all() : 0;
+                    notServed += restart ? counts.of("failed") + counts.of("late") : 0;
                 }
             }
         }
-        System.out.println(wanting == 0 ? "no call was failed or late" : wanting + " calls were failed or late");
-        return wanting / (double) Math.max(1, all);
+        System.out.println(notServed == 0 ? "no call failed or was late" : notServed + " calls failed or were late");
+        return notServed / (double) Math.max(1, all);
     }
 
-    /** Three tries at once after each other, each with the whole patience: what teams wrote by hand. */
+    /** A naive client: up to three attempts without back-off, each with the whole deadline, as hand-written retry loops have it. */
     private static ClientFleet.Caller plainLoop(List<HttpCaller> gateways) {
         return new ClientFleet.Caller() {
             @Override
-            public void call(String function, CallClass type, String tenant, Consumer<Answer> ended) {
-                next(function, type, 1, ended);
+            public void call(String function, CallClass callClass, String tenant, Consumer<CallOutcome> onEnd) {
+                attempt(function, callClass, 1, onEnd);
             }
 
-            private void next(String function, CallClass type, int number, Consumer<Answer> ended) {
+            private void attempt(String function, CallClass callClass, int attemptNumber, Consumer<CallOutcome> onEnd) {
                 HttpCaller gateway = gateways.get(ThreadLocalRandom.current().nextInt(gateways.size()));
                 Map<String, String> headers = Map.of(
                         "wh-class",
-                        type.name(),
+                        callClass.name(),
                         "wh-deadline-ms",
-                        Long.toString(type.giveUpMillis()),
+                        Long.toString(callClass.giveUpMillis()),
                         "wh-memory-mb",
-                        Double.toString(type.memoryMb()),
+                        Double.toString(callClass.memoryMb()),
                         "wh-lanes",
-                        Integer.toString(type.lanes()),
+                        Integer.toString(callClass.lanes()),
                         "wh-load-ms",
-                        Double.toString(type.loadMillis()),
+                        Double.toString(callClass.loadMillis()),
                         "wh-cost-us",
-                        Long.toString((long) (type.workMillis() * 1000)));
+                        Long.toString((long) (callClass.workMillis() * 1000)));
                 gateway.call(HttpMethod.POST, "/v1/call/" + function, headers, new byte[0], new HttpCaller.Reply() {
                     @Override
-                    public void answered(int status, HttpHeaders h, byte[] body) {
-                        if (status == 200 || number == PLAIN_TRIES) {
-                            ended.accept(new Answer(
-                                    status == 200 ? "served" : status == 503 ? "refused" : "failed", number));
+                    public void answered(int status, HttpHeaders replyHeaders, byte[] body) {
+                        if (status == 200 || attemptNumber == PLAIN_ATTEMPTS) {
+                            onEnd.accept(new CallOutcome(
+                                    status == 200 ? "served" : status == 503 ? "refused" : "failed", attemptNumber));
                         } else {
-                            next(function, type, number + 1, ended);
+                            attempt(function, callClass, attemptNumber + 1, onEnd);
                         }
                     }
 
                     @Override
                     public void broken(boolean wasSent) {
-                        if (number == PLAIN_TRIES) {
-                            ended.accept(new Answer("failed", number));
+                        if (attemptNumber == PLAIN_ATTEMPTS) {
+                            onEnd.accept(new CallOutcome("failed", attemptNumber));
                         } else {
-                            next(function, type, number + 1, ended);
+                            attempt(function, callClass, attemptNumber + 1, onEnd);
                         }
                     }
                 });
@@ -108,110 +109,123 @@
         };
     }
 
-    /** Too many calls for a while, by clients of the library and by plain loops of three tries. */
-    static void storm(Scenario scenario, Path folder, double capacityPerS) throws Exception {
+    /** Overloads the fleet for ten seconds, once with clients of the library and once with naive retry loops. */
+    static void retryStorm(Scenario scenario, Path folder, double capacityPerS) throws Exception {
         System.out.println(
                 "| clients | in time before | calls in the storm | in time | tries a call | in time after it | as before after s |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
-        double before = 4;
-        double storm = 10;
-        double after = 8;
-        for (String clients : List.of("library over http", "plain loop of three tries")) {
+        double beforeSeconds = 4;
+        double stormSeconds = 10;
+        double afterSeconds = 8;
+        for (String clientKind : List.of("library over http", "plain loop of three tries")) {
             EventLoopGroup group = Net.group(2);
-            try (ClientFleet fleet = new ClientFleet(scenario, folder.resolve(clients.substring(0, 5)), "")) {
+            try (ClientFleet fleet = new ClientFleet(scenario, folder.resolve(clientKind.substring(0, 5)), "")) {
                 fleet.start();
                 WharfhingeClient client = fleet.client("http");
-                List<HttpCaller> plain = new ArrayList<>();
-                fleet.ports().forEach(port -> plain.add(new HttpCaller(group, port)));
+                List<HttpCaller> plainClients = new ArrayList<>();
+                fleet.ports().forEach(port -> plainClients.add(new HttpCaller(group, port)));
                 ClientFleet.Caller caller =
-                        clients.startsWith("library") ? ClientFleet.caller(client) : plainLoop(plain);
+                        clientKind.startsWith("library") ? ClientFleet.caller(client) : plainLoop(plainClients);
                 fleet.load(caller, null, WARM_UP_S, s -> 0.5 * capacityPerS);
-                List<Ended> all = fleet.load(
+                List<CompletedCall> all = fleet.load(
                         caller,
                         null,
-                        before + storm + after,
-                        s -> s >= before && s < before + storm ? 1.5 * capacityPerS : 0.5 * capacityPerS);
+                        beforeSeconds + stormSeconds + afterSeconds,
+                        s -> s >= beforeSeconds && s < beforeSeconds + stormSeconds
+                                ? 1.5 * capacityPerS
+                                : 0.5 * capacityPerS);
                 client.close();
-                List<Ended> during = all.stream()
-                        .filter(e -> e.dueMillis() >= before * 1000 && e.dueMillis() < (before + storm) * 1000)
+                List<CompletedCall> stormCalls = all.stream()
+                        .filter(e -> e.dueMillis() >= beforeSeconds * 1000
+                                && e.dueMillis() < (beforeSeconds + stormSeconds) * 1000)
                         .toList();
-                List<Ended> later = all.stream()
-                        .filter(e -> e.dueMillis() >= (before + storm) * 1000)
+                List<CompletedCall> laterCalls = all.stream()
+                        .filter(e -> e.dueMillis() >= (beforeSeconds + stormSeconds) * 1000)
                         .toList();
-                double usual = inTime(
-                        all.stream().filter(e -> e.dueMillis() < before * 1000).toList());
-                int well = 0; // the first second from which on all are as before
-                for (int second = (int) after - 1; second >= 0; second--) {
-                    int from = (int) ((before + storm) * 1000) + 1000 * second;
-                    if (inTime(later.stream()
+                double shareBefore = inTime(all.stream()
+                        .filter(e -> e.dueMillis() < beforeSeconds * 1000)
+                        .toList());
+                int recoverySeconds = 0; // first second after the storm from which on the share in time is as before it
+                for (int second = (int) afterSeconds - 1; second >= 0; second--) {
+                    int from = (int) ((beforeSeconds + stormSeconds) * 1000) + 1000 * second;
+                    if (inTime(laterCalls.stream()
                                     .filter(e -> e.dueMillis() >= from && e.dueMillis() < from + 1000)
                                     .toList())
-                            < WELL * usual) {
-                        well = second + 1;
+                            < RECOVERED_SHARE * shareBefore) {
+                        recoverySeconds = second + 1;
                         break;
                     }
                 }
                 System.out.printf(
                         "| %s | %.1f%% | %d | %.1f%% | %.2f | %.1f%% | %s |%n",
-                        clients,
-                        100 * usual,
-                        during.size(),
-                        100 * inTime(during),
-                        during.stream()
-                                .mapToInt(e -> e.answer().tries())
+                        clientKind,
+                        100 * shareBefore,
+                        stormCalls.size(),
+                        100 * inTime(stormCalls),
+                        stormCalls.stream()
+                                .mapToInt(e -> e.outcome().attempts())
                                 .average()
                                 .orElse(0),
-                        100 * inTime(later),
-                        well == (int) after ? "not within " + well : Integer.toString(well));
+                        100 * inTime(laterCalls),
+                        recoverySeconds == (int) afterSeconds
+                                ? "not within " + recoverySeconds
+                                : Integer.toString(recoverySeconds));
             } finally {
                 group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             }
         }
     }
 
-    private static double inTime(List<Ended> of) {
-        return of.stream().filter(Ended::inTime).count() / (double) Math.max(1, of.size());
+    private static double inTime(List<CompletedCall> calls) {
+        return calls.stream().filter(CompletedCall::inTime).count() / (double) Math.max(1, calls.size());
     }
 
-    /** One tenant at ten times its share beside another that stays within its own; the same without the flood. */
+    /**
+     * Runs a tenant within its share alone and beside a tenant at ten times its share, both with and without admission control by tenant.
+     */
     static void flood(Scenario scenario, Path folder, double capacityPerS, double fullAt) throws Exception {
-        String door = "<door full-at='" + fullAt
+        String admissionSettings = "<door full-at='" + fullAt
                 + "'><tenant name='calm' weight='1'/><tenant name='flood' weight='1'/></door>\n  ";
         System.out.println("| door | flood | calm's calls | in time | p50 ms | p99 ms | flood's in time a second |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         double seconds = 12;
-        for (String limits : List.of(door, "")) {
-            try (ClientFleet fleet =
-                    new ClientFleet(scenario, folder.resolve(limits.isEmpty() ? "without" : "with"), limits)) {
+        for (String extraSettings : List.of(admissionSettings, "")) {
+            try (ClientFleet fleet = new ClientFleet(
+                    scenario, folder.resolve(extraSettings.isEmpty() ? "without" : "with"), extraSettings)) {
                 fleet.start();
                 for (boolean flooded : new boolean[] {false, true}) {
-                    WharfhingeClient calm = fleet.client("http");
-                    WharfhingeClient other = fleet.client("http");
-                    fleet.load(ClientFleet.caller(calm), "calm", WARM_UP_S, s -> 0.3 * capacityPerS);
-                    List<Ended> floods = new ArrayList<>();
-                    Thread beside = new Thread(() -> floods.addAll(
-                            fleet.load(ClientFleet.caller(other), "flood", seconds, s -> 5 * capacityPerS)));
+                    WharfhingeClient calmClient = fleet.client("http");
+                    WharfhingeClient floodClient = fleet.client("http");
+                    fleet.load(ClientFleet.caller(calmClient), "calm", WARM_UP_S, s -> 0.3 * capacityPerS);
+                    List<CompletedCall> floodCalls = new ArrayList<>();
+                    Thread floodThread = new Thread(() -> floodCalls.addAll(
+                            fleet.load(ClientFleet.caller(floodClient), "flood", seconds, s -> 5 * capacityPerS)));
                     if (flooded) {
-                        beside.start();
+                        floodThread.start();
                     }
-                    List<Ended> got = fleet.load(ClientFleet.caller(calm), "calm", seconds, s -> 0.3 * capacityPerS);
-                    beside.join();
-                    calm.close();
-                    other.close();
-                    List<Long> took = got.stream()
-                            .filter(e -> e.answer().kind().equals("served"))
-                            .map(Ended::tookMillis)
+                    List<CompletedCall> calmCalls =
+                            fleet.load(ClientFleet.caller(calmClient), "calm", seconds, s -> 0.3 * capacityPerS);
+                    floodThread.join();
+                    calmClient.close();
+                    floodClient.close();
+                    List<Long> latencies = calmCalls.stream()
+                            .filter(e -> e.outcome().kind().equals("served"))
+                            .map(CompletedCall::tookMillis)
                             .sorted()
                             .toList();
                     System.out.printf(
                             "| %s | %s | %d | %.1f%% | %d | %d | %.0f |%n",
-                            limits.isEmpty() ? "none" : "by tenant",
+                            extraSettings.isEmpty() ? "none" : "by tenant",
                             flooded ? "yes" : "no",
-                            got.size(),
-                            100.0 * got.stream().filter(Ended::inTime).count() / got.size(),
-                            took.get(took.size() / 2),
-                            took.get((int) (took.size() * 0.99)),
-                            floods.stream().filter(Ended::inTime).count() / seconds);
+                            calmCalls.size(),
+                            100.0
+                                    * calmCalls.stream()
+                                            .filter(CompletedCall::inTime)
+                                            .count()
+                                    / calmCalls.size(),
+                            latencies.get(latencies.size() / 2),
+                            latencies.get((int) (latencies.size() * 0.99)),
+                            floodCalls.stream().filter(CompletedCall::inTime).count() / seconds);
                 }
             }
         }
--- a/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
@@ -34,12 +34,12 @@
 import wharfhinge.standin.WorkerModel;
 import wharfhinge.standin.WorkerStandIn;
 
-/** Gateways in processes of their own before scripted workers, called through the client libraries. */
+/** Gateways in processes of their own, with emulated workers behind them, called through the client libraries. */
 final class ClientFleet implements AutoCloseable {
-    private static final int CONNECT_MS = 500;
+    private static final int CONNECT_TIMEOUT_MS = 500;
 
-    /** What became of the calls of one library. */
-    record Ends(String library, Map<String, Long> byKind, long tries, long slowestMillis) {
+    /** How the calls through one client library ended. */
+    record CallCounts(String library, Map<String, Long> byKind, long attempts, long slowestMillis) {
         long of(String kind) {
             return byKind.getOrDefault(kind, 0L);
         }
@@ -57,21 +57,21 @@
     private final StoreStandIn store;
     private final List<WorkerStandIn> workers = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
-    private final List<Path> settings = new ArrayList<>();
-    private final List<String> http = new ArrayList<>();
-    private final List<String> grpc = new ArrayList<>();
+    private final List<Path> settingsFiles = new ArrayList<>();
+    private final List<String> httpAddresses = new ArrayList<>();
+    private final List<String> grpcAddresses = new ArrayList<>();
 
-    /** {@code more} goes into each gateway's settings. */
-    ClientFleet(Scenario scenario, Path folder, String more) throws IOException, InterruptedException {
+    /** Prepares a fleet; {@code extraSettings} is inserted into the settings of each gateway. */
+    ClientFleet(Scenario scenario, Path folder, String extraSettings) throws IOException, InterruptedException {
         this.scenario = scenario;
         this.folder = Files.createDirectories(folder);
         roster = new RosterStandIn(group, 0, scenario.roster().lagMillis(), trace);
         store = new StoreStandIn(
                 group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
-        HttpCaller fetches = new HttpCaller(group, store.port());
+        HttpCaller storeClient = new HttpCaller(group, store.port());
         for (int i = 0; i < scenario.workers().count(); i++) {
             WorkerModel.Spec spec = scenario.worker(i, false);
-            WorkerStandIn worker = new WorkerStandIn(group, 0, spec, fetches, trace);
+            WorkerStandIn worker = new WorkerStandIn(group, 0, spec, storeClient, trace);
             workers.add(worker);
             roster.report(new RosterEntry(
                     worker.id(),
@@ -92,10 +92,10 @@
                     file,
                     Files.readString(file)
                             .replace("<clients ", "<clients reuse-port=\"true\" ")
-                            .replace("<log ", more + "<grpc port=\"" + grpcPort + "\"/>\n  <log "));
-            settings.add(file);
-            http.add("127.0.0.1:" + port);
-            grpc.add("127.0.0.1:" + grpcPort);
+                            .replace("<log ", extraSettings + "<grpc port=\"" + grpcPort + "\"/>\n  <log "));
+            settingsFiles.add(file);
+            httpAddresses.add("127.0.0.1:" + port);
+            grpcAddresses.add("127.0.0.1:" + grpcPort);
             gateways.add(new GatewayProcess("gw" + i, port, file, null, trace));
         }
     }
@@ -105,16 +105,19 @@
         Thread.sleep(500);
     }
 
-    /** Calls for so long through each library, half of the scenario's rate each; restarts every gateway in turn, or none. */
-    List<Ends> play(double seconds, boolean restart) throws Exception {
-        List<Ends> ends = new ArrayList<>();
+    /**
+     * Calls through both libraries, each at half of the scenario's rate; with {@code restart} replaces every gateway in turn meanwhile.
+     * Returns how the calls ended, by library.
+     */
+    List<CallCounts> callThroughBothLibraries(double seconds, boolean restart) throws Exception {
+        List<CallCounts> counts = new ArrayList<>();
         List<Thread> threads = new ArrayList<>();
         for (String library : List.of("http", "grpc")) {
             Thread thread = new Thread(
                     () -> {
-                        Ends got = load(library, seconds);
-                        synchronized (ends) {
-                            ends.add(got);
+                        CallCounts libraryCounts = load(library, seconds);
+                        synchronized (counts) {
+                            counts.add(libraryCounts);
                         }
                     },
                     "load-" + library);
@@ -123,63 +126,64 @@
         }
         for (int i = 0; restart && i < gateways.size(); i++) {
             Thread.sleep((long) (seconds * 1000 / (gateways.size() + 1)));
-            GatewayProcess old = gateways.get(i);
-            GatewayProcess fresh = new GatewayProcess("gw" + i, old.port(), settings.get(i), null, trace);
-            fresh.start();
-            Thread.sleep(500); // it has its list
-            gateways.set(i, fresh);
-            old.stop();
+            GatewayProcess oldProcess = gateways.get(i);
+            GatewayProcess newProcess =
+                    new GatewayProcess("gw" + i, oldProcess.port(), settingsFiles.get(i), null, trace);
+            newProcess.start();
+            Thread.sleep(500); // until it has received the endpoint list
+            gateways.set(i, newProcess);
+            oldProcess.stop();
         }
         for (Thread thread : threads) {
             thread.join();
         }
-        return ends;
+        return counts;
     }
 
-    /** A caller of one call: tells once what became of it. */
+    /** Sends one call and reports its end once. */
     interface Caller {
         /** {@code tenant} may be null. */
-        void call(String function, CallClass type, String tenant, Consumer<Answer> ended);
+        void call(String function, CallClass callClass, String tenant, Consumer<CallOutcome> onEnd);
     }
 
-    /** What became of a call, in a word, and how many tries it took. */
-    record Answer(String kind, int tries) {}
+    /** How a call ended, in a word, and how many attempts it took. */
+    record CallOutcome(String kind, int attempts) {}
 
-    /** One call that ended; {@code tookMs} counts from when it was due. */
-    record Ended(long dueMillis, CallClass type, String tenant, Answer answer, long tookMillis) {
+    /** A call that ended; {@code tookMillis} counts from the time at which it was due. */
+    record CompletedCall(long dueMillis, CallClass callClass, String tenant, CallOutcome outcome, long tookMillis) {
         boolean inTime() {
-            return answer.kind.equals("served") && tookMillis <= type.aimMillis();
+            return outcome.kind.equals("served") && tookMillis <= callClass.aimMillis();
         }
     }
 
     static Caller caller(WharfhingeClient client) {
-        return (function, type, tenant, ended) -> {
-            Duration deadline = Duration.ofMillis(type.giveUpMillis());
-            Call.Builder call = type.effect().equals("idempotent")
-                    ? Call.safe(function, type.name(), deadline)
-                    : Call.once(function, type.name(), deadline);
+        return (function, callClass, tenant, onEnd) -> {
+            Duration deadline = Duration.ofMillis(callClass.giveUpMillis());
+            Call.Builder call = callClass.effect().equals("idempotent")
+                    ? Call.safe(function, callClass.name(), deadline)
+                    : Call.once(function, callClass.name(), deadline);
             client.call(call.tenant(tenant)
-                            .copy(type.memoryMb(), type.lanes(), type.loadMillis())
-                            .costUs((long) (type.workMillis() * 1000))
+                            .copy(callClass.memoryMb(), callClass.lanes(), callClass.loadMillis())
+                            .costUs((long) (callClass.workMillis() * 1000))
                             .build())
-                    .thenAccept(r -> ended.accept(
-                            new Answer(r.getClass().getSimpleName().toLowerCase(Locale.ROOT), r.attempts())));
+                    .thenAccept(r -> onEnd.accept(
+                            new CallOutcome(r.getClass().getSimpleName().toLowerCase(Locale.ROOT), r.attempts())));
         };
     }
 
     WharfhingeClient client(String library) {
         return library.equals("http")
                 ? new WharfhingeClient(
-                        new HttpTransport(Duration.ofMillis(CONNECT_MS), 8, 1 << 20, null, null),
+                        new HttpTransport(Duration.ofMillis(CONNECT_TIMEOUT_MS), 8, 1 << 20, null, null),
                         ClientPolicy.DEFAULT,
-                        http)
+                        httpAddresses)
                 : new WharfhingeClient(
-                        new GrpcTransport(Duration.ofMillis(CONNECT_MS), 1 << 20, null, null),
+                        new GrpcTransport(Duration.ofMillis(CONNECT_TIMEOUT_MS), 1 << 20, null, null),
                         ClientPolicy.DEFAULT,
-                        grpc);
+                        grpcAddresses);
     }
 
-    /** Copies that stand, functions with one, and loads begun since the start. */
+    /** Counts over all workers: copies, functions that have a copy, and loads begun since the start. */
     int[] copies() {
         Map<String, Integer> all = new LinkedHashMap<>();
         workers.forEach(w -> w.model().held().forEach((function, count) -> all.merge(function, count, Integer::sum)));
@@ -190,58 +194,59 @@
         };
     }
 
-    /** Ports of the gateways over HTTP. */
+    /** HTTP ports of the gateways. */
     List<Integer> ports() {
         return gateways.stream().map(GatewayProcess::port).toList();
     }
 
-    /** Calls at a rate that may change with the second since the start; waits for the last answers. */
-    List<Ended> load(Caller caller, String tenant, double seconds, DoubleUnaryOperator perS) {
-        List<Ended> all = Collections.synchronizedList(new ArrayList<>());
+    /** Calls at a rate that is a function of the seconds since the start; waits for the last answers. */
+    List<CompletedCall> load(Caller caller, String tenant, double seconds, DoubleUnaryOperator callsPerSecond) {
+        List<CompletedCall> all = Collections.synchronizedList(new ArrayList<>());
         LongAdder open = new LongAdder();
         List<CallClass> classes = scenario.offered().classes();
         Random random = new Random(scenario.seed());
-        long begin = System.nanoTime();
-        double at = 0;
-        while (at < seconds) {
-            long due = begin + (long) (at * 1e9);
-            while (System.nanoTime() < due) {
-                LockSupport.parkNanos(Math.max(1, due - System.nanoTime()));
+        long startNanos = System.nanoTime();
+        double atSeconds = 0;
+        while (atSeconds < seconds) {
+            long dueNanos = startNanos + (long) (atSeconds * 1e9);
+            while (System.nanoTime() < dueNanos) {
+                LockSupport.parkNanos(Math.max(1, dueNanos - System.nanoTime()));
             }
-            CallClass type = random.nextDouble() < classes.get(0).share() ? classes.get(0) : classes.get(1);
+            CallClass callClass = random.nextDouble() < classes.get(0).share() ? classes.get(0) : classes.get(1);
             String function = "f"
                     + (int) (Math.pow(random.nextDouble(), 2)
                             * scenario.offered().functions());
-            long dueMillis = (long) (at * 1000);
+            long dueMillis = (long) (atSeconds * 1000);
             open.increment();
-            caller.call(function, type, tenant, answer -> {
-                all.add(new Ended(dueMillis, type, tenant, answer, (System.nanoTime() - due) / 1_000_000));
+            caller.call(function, callClass, tenant, outcome -> {
+                all.add(new CompletedCall(
+                        dueMillis, callClass, tenant, outcome, (System.nanoTime() - dueNanos) / 1_000_000));
                 open.decrement();
             });
-            at += 1 / perS.applyAsDouble(at);
+            atSeconds += 1 / callsPerSecond.applyAsDouble(atSeconds);
         }
-        for (int waits = 0; open.sum() > 0 && waits < 900; waits++) {
+        for (int polls = 0; open.sum() > 0 && polls < 900; polls++) {
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(10));
         }
         return all;
     }
 
-    private Ends load(String library, double seconds) {
+    private CallCounts load(String library, double seconds) {
         WharfhingeClient client = client(library);
-        List<Ended> all =
+        List<CompletedCall> all =
                 load(caller(client), null, seconds, s -> scenario.offered().perS() / 2);
         Map<String, Long> byKind = new LinkedHashMap<>();
-        all.forEach(e -> byKind.merge(e.answer.kind, 1L, Long::sum));
+        all.forEach(e -> byKind.merge(e.outcome.kind, 1L, Long::sum));
         try {
             client.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return new Ends(
+        return new CallCounts(
                 library,
                 byKind,
-                all.stream().mapToLong(e -> e.answer.tries).sum(),
-                all.stream().mapToLong(Ended::tookMillis).max().orElse(0));
+                all.stream().mapToLong(e -> e.outcome.attempts).sum(),
+                all.stream().mapToLong(CompletedCall::tookMillis).max().orElse(0));
     }
 
     @Override
--- a/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
@@ -15,16 +15,17 @@
 import wharfhinge.standin.judge.Judge;
 import wharfhinge.standin.judge.MemoryJudge;
 
-/** Plays a day over real gateways and judges it from the traffic. */
+/** The command {@code drill}: fault injection tests over real gateway processes, which the trace verifier checks. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "Plays a scenario over real gateways on loopback and judges the five rules from the traffic; "
-                + "exits with 1 unless all are kept.")
+        description =
+                "Runs a fault injection test over gateway processes on loopback and checks the five rules on its traffic; "
+                        + "exits with 1 unless all are kept.")
 public final class DrillCommand implements Callable<Integer> {
-    /** Every kind of trouble; name, seconds from the start, length, part, size, extra. */
-    private static final List<String> EACH = List.of(
+    /** Every kind of fault, as in {@code --trouble}: name, start and length in seconds, part, size, extra. */
+    private static final List<String> SINGLE_FAULTS = List.of(
             "calm",
             "answer_lost,2,5,0.5,0.25,0",
             "answer_lost,2,5,0.5,0.25,1",
@@ -51,78 +52,90 @@
             "roster_silent,2,5,0,0,0;restart,3,0.5,0.2,0,0",
             "store_shut,3,3,0,0,0");
 
-    private static final List<String> CLIENTS = List.of("rolling-restart", "retry-storm", "flood", "storm");
-    private static final double CALM_BEARS = 240; // calls a second that the workers of the scenario calm can serve
-    private static final double MOST_NOT_SERVED = 0.001;
-    private static final double REAL_MEMORY = 0.04; // so that a day's copies fit one machine
+    private static final List<String> CLIENT_DRILLS = List.of("rolling-restart", "retry-storm", "flood", "storm");
+    private static final double CALM_CAPACITY_PER_S = 240; // of the workers of the scenario "calm"
+    private static final double MAX_NOT_SERVED_SHARE = 0.001;
+    private static final double REAL_WORKER_MEMORY_SHARE = 0.04; // so that the copies of a scenario fit one machine
 
     @Parameters(
             arity = "0..1",
             paramLabel = "NAME",
             defaultValue = "bad-day",
-            description = "One of bad-day, calm, loads-on-call, bad-day-chains, chains, workers, forty-workers, "
-                    + "incident-release, incident-workers-gone, incident-gateways-gone, "
-                    + "rolling-restart (gateways replaced one by one under both client libraries), retry-storm, flood, storm (--memory, --peak, --gateways, --loads-on-call); "
-                    + "default ${DEFAULT-VALUE}.")
+            description =
+                    "Scenario, one of bad-day, calm, loads-on-call, bad-day-chains, chains, workers, forty-workers, "
+                            + "incident-release, incident-workers-gone, incident-gateways-gone, "
+                            + "rolling-restart (replaces gateways one by one under both client libraries), "
+                            + "retry-storm, flood, storm (--memory, --peak, --gateways, --loads-on-call); "
+                            + "default ${DEFAULT-VALUE}.")
     private String name;
 
-    @Option(names = "--scenario", paramLabel = "FILE", description = "A scenario of your own in place of a name.")
+    @Option(names = "--scenario", paramLabel = "FILE", description = "Scenario file, XML; replaces NAME.")
     private Path file;
 
     @Option(
             names = "--mutant",
-            description = "Breaks a guard on purpose: ${COMPLETION-CANDIDATES}. The drill is then "
-                    + "expected to end with a broken rule, and to exit with 1.")
+            description = "Safeguard to disable: ${COMPLETION-CANDIDATES}. The drill is then "
+                    + "expected to find a broken rule and to exit with 1.")
     private Mutant mutant;
 
     @Option(
             names = "--trouble",
             paramLabel = "NAME,AT,FOR,PART,SIZE,EXTRA",
             split = ";",
-            description = "Troubles in place of the scenario's own; times in seconds.")
+            description = "Faults that replace those of the scenario; AT and FOR in seconds.")
     private List<String> troubles;
 
-    @Option(names = "--seconds", description = "How long calls are offered.")
+    @Option(names = "--seconds", description = "Length of the run in seconds; the scenario's own if left out.")
     private Double seconds;
 
-    @Option(names = "--out", paramLabel = "FOLDER", description = "Keeps settings, logs and the trace there.")
+    @Option(
+            names = "--out",
+            paramLabel = "FOLDER",
+            description = "Folder for settings, logs and the trace; a temporary one if left out.")
     private Path out;
 
-    @Option(names = "--each", description = "Plays every kind of trouble by itself, on short days, and prints a table.")
+    @Option(
+            names = "--each",
+            description = "Runs the scenario briefly with each kind of fault alone, and prints a table.")
     private boolean each;
 
     @Option(
             names = "--mutants",
             paramLabel = "RUNS",
-            description = "Plays the scenario so many times with each mutant that breaks one of the "
-                    + "five rules, and prints in how many the judge found it; exits with 1 unless in all.")
+            description = "Number of runs of the scenario with each mutant that breaks one of the "
+                    + "five rules; prints in how many runs the broken rule was found and exits with 1 unless in all.")
     private Integer mutants;
 
-    @Option(names = "--load", defaultValue = "1", description = "Offers so many times the scenario's calls.")
+    @Option(
+            names = "--load",
+            defaultValue = "1",
+            description = "Factor by which the scenario's call rate is multiplied; default ${DEFAULT-VALUE}.")
     private double load;
 
-    @Option(names = "--chain-share", description = "The part of what is offered that is chains.")
+    @Option(
+            names = "--chain-share",
+            description = "Part of the requests that are chains; the scenario's own if left out.")
     private Double chainShare;
 
     @Option(
             names = "--real-workers",
-            description = "In place of scripted workers processes of the project's own worker, with "
-                    + "a twenty-fifth of the memory; their books are held against what their processes hold.")
+            description =
+                    "Runs worker processes in place of emulated workers, with "
+                            + "a twenty-fifth of the memory, and compares their memory accounting with the memory of the processes.")
     private boolean realWorkers;
 
     @Option(
             names = "--capture",
-            description =
-                    "Has each gateway capture what its decisions are told and decide, for " + "'replay', into --out.")
+            description = "Lets each gateway write a capture for the command " + "'replay' into --out.")
     private boolean capture;
 
-    @Option(names = "--workers", description = "So many workers.")
+    @Option(names = "--workers", description = "Number of workers; the scenario's own if left out.")
     private Integer workers;
     /** Memory of a worker in the storm, in copies. */
     enum Memory {
-        /** Just all functions on the whole fleet. */
+        /** The whole fleet holds each function about once. */
         TIGHT(12),
-        /** All functions on each worker. */
+        /** Each worker holds all functions. */
         AMPLE(90);
 
         private final int copies;
@@ -135,39 +148,40 @@
     @Option(
             names = "--memory",
             defaultValue = "TIGHT",
-            description = "With storm: ${COMPLETION-CANDIDATES}; default ${DEFAULT-VALUE}.")
+            description = "With storm: memory of a worker, ${COMPLETION-CANDIDATES}; default ${DEFAULT-VALUE}.")
     private Memory memory;
 
     @Option(
             names = "--peak",
             defaultValue = "1.5",
-            description = "With storm: times the capacity; default ${DEFAULT-VALUE}.")
+            description = "With storm: load at its peak, as a multiple of the capacity; default ${DEFAULT-VALUE}.")
     private double peak;
 
-    @Option(names = "--gateways", description = "With storm: so many.")
+    @Option(names = "--gateways", description = "With storm: number of gateways; the scenario's own if left out.")
     private Integer gateways;
 
     @Option(
             names = "--full-at",
             defaultValue = "0.4",
-            description = "With flood: part of its aim that an answer may take before the fleet "
-                    + "counts as full. Default ${DEFAULT-VALUE}.")
+            description = "With flood: part of its latency objective that an answer may take before the fleet "
+                    + "counts as saturated. Default ${DEFAULT-VALUE}.")
     private double fullAt;
 
-    @Option(names = "--loads-on-call", description = "With storm: workers load what they are called for.")
+    @Option(names = "--loads-on-call", description = "With storm: workers load a function when they are called for it.")
     private boolean loadsOnCall;
 
     @Option(
             names = "--compare-chains",
-            description = "Plays the scenario 'chains' at 0.5, 0.8, 1 and 1.3 times its load with "
-                    + "one deadline, with a clock for each step, and without early refusal, and prints a table.")
+            description = "Runs the scenario 'chains' at each load of --loads with "
+                    + "one deadline, with a deadline for each step, and without early rejection, and prints a table.")
     private boolean compareChains;
 
     @Option(
             names = "--loads",
             split = ",",
             defaultValue = "0.5,0.8,1,1.3",
-            description = "With --compare-chains: these loads; default ${DEFAULT-VALUE}.")
+            description =
+                    "With --compare-chains: factors by which the call rate is multiplied; default ${DEFAULT-VALUE}.")
     private double[] loads;
 
     @Option(
@@ -178,186 +192,196 @@
     @Override
     public Integer call() throws Exception {
         if (compareChains) {
-            return playChains();
+            return compareChains();
         }
         if (each) {
-            return playEach();
+            return runSingleFaults();
         }
         if (mutants != null) {
-            return playMutants();
+            return runMutants();
         }
-        if (CLIENTS.contains(name)) {
-            return playClients();
+        if (CLIENT_DRILLS.contains(name)) {
+            return runClientDrill();
         }
-        Scenario day = scenario();
+        Scenario scenario = scenario();
         Path folder = out == null ? Files.createTempDirectory("wharfhinge-drill") : Files.createDirectories(out);
-        System.out.println("drill " + day.name() + (mutant == null ? "" : " with mutant " + mutant.word()) + ": "
-                + day.gateways() + " gateways, " + day.workers().count() + " workers, " + day.seconds()
+        System.out.println("drill " + scenario.name() + (mutant == null ? "" : " with mutant " + mutant.label()) + ": "
+                + scenario.gateways() + " gateways, " + scenario.workers().count() + " workers, " + scenario.seconds()
                 + " s; files in "
                 + folder);
         Judge.Verdict verdict;
-        MemoryJudge memory;
-        try (Day played = new Day(day, mutant, folder, capture)) {
-            verdict = played.play();
-            memory = played.memory();
-            if (!played.leftOut().isEmpty()) {
-                System.out.println("left out, since real workers can't be made to suffer it: " + played.leftOut());
+        MemoryJudge memoryJudge;
+        try (DrillRun drillRun = new DrillRun(scenario, mutant, folder, capture)) {
+            verdict = drillRun.run();
+            memoryJudge = drillRun.memoryJudge();
+            if (!drillRun.unsupportedFaults().isEmpty()) {
+                System.out.println("left out, since worker processes do not support these faults: "
+                        + drillRun.unsupportedFaults());
             }
         }
         Judge.report(verdict).forEach(System.out::println);
-        if (memory != null) {
-            memory.faults().stream().limit(5).forEach(System.out::println);
-            System.out.println(memory.summary());
+        if (memoryJudge != null) {
+            memoryJudge.faults().stream().limit(5).forEach(System.out::println);
+            System.out.println(memoryJudge.summary());
         }
-        return verdict.kept() == 5 && (memory == null || memory.faults().isEmpty()) ? Program.OK : Program.WANTING;
+        return verdict.kept() == 5
+                        && (memoryJudge == null || memoryJudge.faults().isEmpty())
+                ? Program.OK
+                : Program.FAILURE;
     }
 
-    /** The scenario as the options change it. */
+    /** Reads the scenario and applies the options to it. */
     private Scenario scenario() throws Exception {
-        Scenario day = Scenarios.load(file, name);
-        day.load(load);
+        Scenario scenario = Scenarios.load(file, name);
+        scenario.load(load);
         if (chainShare != null) {
-            day.chainShare(chainShare);
+            scenario.chainShare(chainShare);
         }
         if (seconds != null) {
-            day.seconds(seconds);
+            scenario.seconds(seconds);
         }
         if (workers != null) {
-            day.workers(workers);
+            scenario.workers(workers);
         }
-        if (realWorkers && !day.workers().real()) {
-            day.real(REAL_MEMORY);
+        if (realWorkers && !scenario.workers().real()) {
+            scenario.real(REAL_WORKER_MEMORY_SHARE);
         }
         if (troubles != null) {
-            day.troubles().clear();
-            troubles.stream().filter(t -> !t.isBlank()).forEach(t -> day.troubles()
-                    .add(trouble(t)));
+            scenario.troubles().clear();
+            troubles.stream().filter(t -> !t.isBlank()).forEach(t -> scenario.troubles()
+                    .add(parseFault(t)));
         }
-        return day;
+        return scenario;
     }
 
-    private int playMutants() throws Exception {
+    private int runMutants() throws Exception {
         System.out.println("| mutant | rule | found in runs | times broken in each |");
         System.out.println("| --- | --- | --- | --- |");
         boolean all = true;
-        for (Mutant one : Mutant.OF_EACH_RULE) {
+        for (Mutant candidate : Mutant.OF_EACH_RULE) {
             List<Integer> broken = new ArrayList<>();
             for (int run = 0; run < mutants; run++) {
-                try (Day played = new Day(scenario(), one, Files.createTempDirectory("wharfhinge-drill"))) {
-                    broken.add(played.play()
+                try (DrillRun drillRun =
+                        new DrillRun(scenario(), candidate, Files.createTempDirectory("wharfhinge-drill"))) {
+                    broken.add(drillRun.run()
                             .broken()
-                            .getOrDefault(one.rule(), List.of())
+                            .getOrDefault(candidate.rule(), List.of())
                             .size());
                 }
             }
             long found = broken.stream().filter(n -> n > 0).count();
             all &= found == mutants;
-            System.out.println("| " + one + " | " + one.rule() + " | " + found + " of " + mutants + " | "
+            System.out.println("| " + candidate + " | " + candidate.rule() + " | " + found + " of " + mutants + " | "
                     + broken.stream().map(String::valueOf).collect(Collectors.joining(", ")) + " |");
         }
-        return all ? Program.OK : Program.WANTING;
+        return all ? Program.OK : Program.FAILURE;
     }
 
-    private int playClients() throws Exception {
+    private int runClientDrill() throws Exception {
         Path folder = out == null ? Files.createTempDirectory("wharfhinge-drill") : Files.createDirectories(out);
-        Scenario day = Scenarios.load(file, name.equals("rolling-restart") || name.equals("storm") ? name : "calm");
-        day.load(load);
+        Scenario scenario =
+                Scenarios.load(file, name.equals("rolling-restart") || name.equals("storm") ? name : "calm");
+        scenario.load(load);
         if (name.equals("storm")) {
-            day.memoryMb(memory.copies * day.offered().classes().get(0).memoryMb());
-            day.loadsOnCall(loadsOnCall);
-            day.gateways(gateways == null ? day.gateways() : gateways);
-            return new StormDrill(day, peak).play(folder) ? Program.OK : Program.WANTING;
+            scenario.memoryMb(
+                    memory.copies * scenario.offered().classes().get(0).memoryMb());
+            scenario.loadsOnCall(loadsOnCall);
+            scenario.gateways(gateways == null ? scenario.gateways() : gateways);
+            return new StormDrill(scenario, peak).run(folder) ? Program.OK : Program.FAILURE;
         }
         if (name.equals("rolling-restart")) {
-            return ClientDrills.rollingRestart(day, folder, seconds == null ? day.seconds() : seconds) < MOST_NOT_SERVED
+            return ClientDrills.rollingRestart(scenario, folder, seconds == null ? scenario.seconds() : seconds)
+                            < MAX_NOT_SERVED_SHARE
                     ? Program.OK
-                    : Program.WANTING;
+                    : Program.FAILURE;
         } else if (name.equals("retry-storm")) {
-            ClientDrills.storm(day, folder, CALM_BEARS);
+            ClientDrills.retryStorm(scenario, folder, CALM_CAPACITY_PER_S);
         } else {
-            ClientDrills.flood(day, folder, CALM_BEARS, fullAt);
+            ClientDrills.flood(scenario, folder, CALM_CAPACITY_PER_S, fullAt);
         }
         return Program.OK;
     }
 
-    private int playChains() throws Exception {
+    private int compareChains() throws Exception {
         System.out.println(
                 "| load | way | rules kept | chains | in time | work done ms | wasted ms | let through, made it | "
                         + "single calls in time |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- | --- |");
-        for (double times : loads) {
-            for (Mutant way : new Mutant[] {null, Mutant.CLOCK_FOR_EACH_STEP, Mutant.NO_EARLY_REFUSAL}) {
-                row(times, way, way == null ? "one deadline" : way.word(), false);
+        for (double loadFactor : loads) {
+            for (Mutant variant : new Mutant[] {null, Mutant.CLOCK_FOR_EACH_STEP, Mutant.NO_EARLY_REFUSAL}) {
+                printRow(loadFactor, variant, variant == null ? "one deadline" : variant.label(), false);
             }
             if (singles) {
-                row(times, null, "no chains", true);
+                printRow(loadFactor, null, "no chains", true);
             }
         }
         return Program.OK;
     }
 
-    private void row(double times, Mutant way, String word, boolean singlesOnly) throws Exception {
-        Scenario day = Scenarios.load(file, "chains");
-        day.load(times);
-        if (singlesOnly) { // as many single calls a second as beside chains
-            day.load(1 - day.offered().chainShare());
-            day.chainShare(0);
+    private void printRow(double loadFactor, Mutant variant, String label, boolean singlesOnly) throws Exception {
+        Scenario scenario = Scenarios.load(file, "chains");
+        scenario.load(loadFactor);
+        if (singlesOnly) { // keeps the rate of single calls of the run with chains
+            scenario.load(1 - scenario.offered().chainShare());
+            scenario.chainShare(0);
         }
-        day.seconds(seconds == null ? day.seconds() : seconds);
-        try (Day played = new Day(day, way, Files.createTempDirectory("wharfhinge-drill"))) {
-            Judge.Verdict verdict = played.play();
-            Map<String, String> f = verdict.figures();
-            Map<String, Long> g = played.figures();
+        scenario.seconds(seconds == null ? scenario.seconds() : seconds);
+        try (DrillRun drillRun = new DrillRun(scenario, variant, Files.createTempDirectory("wharfhinge-drill"))) {
+            Judge.Verdict verdict = drillRun.run();
+            Map<String, String> figures = verdict.figures();
+            Map<String, Long> gatewayMetrics = drillRun.gatewayMetrics();
             System.out.printf(
                     "| %s | %s | %d of 5 | %s | %s | %s | %s | %d, %d | %s |%n",
-                    times,
-                    word,
+                    loadFactor,
+                    label,
                     verdict.kept(),
-                    f.get("chains"),
-                    f.get("chains in time"),
-                    f.get("work done ms"),
-                    f.get("work wasted ms"),
-                    g.getOrDefault("chain_let_through", 0L),
-                    g.getOrDefault("chain_let_through_served", 0L),
-                    f.get("singles in time"));
+                    figures.get("chains"),
+                    figures.get("chains in time"),
+                    figures.get("work done ms"),
+                    figures.get("work wasted ms"),
+                    gatewayMetrics.getOrDefault("chain_let_through", 0L),
+                    gatewayMetrics.getOrDefault("chain_let_through_served", 0L),
+                    figures.get("singles in time"));
         }
     }
 
-    private int playEach() throws Exception {
+    private int runSingleFaults() throws Exception {
         System.out.println("| trouble | rules kept | in time | late | refusals | failures | loads per call |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
-        int wanting = 0;
-        for (String text : EACH) {
-            Scenario day = Scenarios.load(file, name);
-            day.seconds(seconds == null ? 9 : seconds);
-            day.troubles().clear();
-            for (String one : text.equals("calm") ? new String[0] : text.split(";")) {
-                day.troubles().add(trouble(one));
+        int failedRuns = 0;
+        for (String faultTexts : SINGLE_FAULTS) {
+            Scenario scenario = Scenarios.load(file, name);
+            scenario.seconds(seconds == null ? 9 : seconds);
+            scenario.troubles().clear();
+            for (String faultText : faultTexts.equals("calm") ? new String[0] : faultTexts.split(";")) {
+                scenario.troubles().add(parseFault(faultText));
             }
             Judge.Verdict verdict;
-            try (Day played = new Day(day, mutant, Files.createTempDirectory("wharfhinge-drill"))) {
-                verdict = played.play();
+            try (DrillRun drillRun = new DrillRun(scenario, mutant, Files.createTempDirectory("wharfhinge-drill"))) {
+                verdict = drillRun.run();
             }
-            wanting += verdict.kept() == 5 ? 0 : 1;
-            Map<String, String> f = verdict.figures();
-            System.out.println(
-                    "| " + text.replace(";", " and ") + " | " + verdict.kept() + " of 5 | " + f.get("in time")
-                            + " | " + f.get("late") + " | " + f.get("refusals") + " | " + f.get("failures") + " | "
-                            + f.get("loads per call") + " |");
+            failedRuns += verdict.kept() == 5 ? 0 : 1;
+            Map<String, String> figures = verdict.figures();
+            System.out.println("| " + faultTexts.replace(";", " and ") + " | " + verdict.kept() + " of 5 | "
+                    + figures.get("in time")
+                    + " | " + figures.get("late") + " | " + figures.get("refusals") + " | " + figures.get("failures")
+                    + " | "
+                    + figures.get("loads per call") + " |");
             if (verdict.kept() < 5) {
                 Judge.report(verdict).forEach(System.err::println);
             }
         }
-        System.out.println("days with all rules kept: " + (EACH.size() - wanting) + " of " + EACH.size());
-        return wanting == 0 ? Program.OK : Program.WANTING;
+        System.out.println(
+                "days with all rules kept: " + (SINGLE_FAULTS.size() - failedRuns) + " of " + SINGLE_FAULTS.size());
+        return failedRuns == 0 ? Program.OK : Program.FAILURE;
     }
 
-    private static Scenario.Trouble trouble(String text) {
-        String[] f = text.split(",");
+    private static Scenario.Trouble parseFault(String text) {
+        String[] fields = text.split(",");
         double[] figures = new double[5];
-        for (int i = 1; i < f.length; i++) {
-            figures[i - 1] = Double.parseDouble(f[i]);
+        for (int i = 1; i < fields.length; i++) {
+            figures[i - 1] = Double.parseDouble(fields[i]);
         }
-        return new Scenario.Trouble(f[0], figures[0], figures[1], figures[2], figures[3], figures[4]);
+        return new Scenario.Trouble(fields[0], figures[0], figures[1], figures[2], figures[3], figures[4]);
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/DrillGatewayCommand.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillGatewayCommand.java
@@ -14,24 +14,29 @@
 import wharfhinge.gateway.Gateway;
 import wharfhinge.worker.ProcessorWaitWatch;
 
-/** A gateway that tells when the machine did not run it, where wanted with a guard broken on purpose; only drills start it. */
+/**
+ * The command {@code drill-gateway}, which only drills start: runs a gateway that reports when its threads waited for a processor, if
+ * wanted with one safeguard disabled.
+ */
 @Command(
         name = "drill-gateway",
         hidden = true,
         mixinStandardHelpOptions = true,
         versionProvider = Program.Version.class,
-        description = "A gateway for drills, where wanted with one guard broken on purpose.")
+        description = "Runs a gateway for fault injection tests, if wanted with one safeguard disabled.")
 public final class DrillGatewayCommand implements Callable<Integer> {
-    /** Begins the word of a line of the trace on standard output. */
-    static final String NOT_RUN = "gw-not-run";
+    /** Event name of a trace line on standard output: a thread of the gateway waited for a processor. */
+    static final String PROCESSOR_WAIT = "gw-not-run";
 
-    @Option(names = "--config", required = true, paramLabel = "FILE", description = "The settings.")
+    @Option(names = "--config", required = true, paramLabel = "FILE", description = "Gateway settings, XML file.")
     private Path config;
 
-    @Option(names = "--name", required = true, description = "What the trace calls it.")
+    @Option(names = "--name", required = true, description = "Name of the gateway in the trace.")
     private String name;
 
-    @Option(names = "--mutant", description = "One of ${COMPLETION-CANDIDATES}; none where left out.")
+    @Option(
+            names = "--mutant",
+            description = "Safeguard to disable, one of ${COMPLETION-CANDIDATES}; none if left out.")
     private Mutant mutant;
 
     @Override
@@ -42,15 +47,20 @@
                         DispatcherFactory.CACHE_AWARE,
                         UnaryOperator.identity(),
                         UnaryOperator.identity(),
-                        this::watch)
-                : GatewayRunner.serve(config, mutant.factory(), mutant::change, mutant::heard, this::watch);
+                        this::watchProcessorWaits)
+                : GatewayRunner.serve(
+                        config,
+                        mutant.dispatchers(),
+                        mutant::changeConfig,
+                        mutant::wrapEndpointSource,
+                        this::watchProcessorWaits);
     }
 
-    private void watch(Gateway gateway) {
+    private void watchProcessorWaits(Gateway gateway) {
         for (EventExecutor loop : gateway.eventLoops()) {
-            ProcessorWaitWatch.start((EventLoop) loop, this::printNotRun);
+            ProcessorWaitWatch.start((EventLoop) loop, this::printProcessorWait);
         }
-        ProcessorWaitWatch engine = new ProcessorWaitWatch(this::printNotRun);
+        ProcessorWaitWatch engine = new ProcessorWaitWatch(this::printProcessorWait);
         gateway.eventLoops()
                 .scheduleWithFixedDelay(
                         () -> gateway.runOnEngine(engine),
@@ -59,7 +69,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    private void printNotRun(long millis) {
-        System.out.println(System.nanoTime() + "\t" + NOT_RUN + "\tgw=" + name + "\tms=" + millis);
+    private void printProcessorWait(long millis) {
+        System.out.println(System.nanoTime() + "\t" + PROCESSOR_WAIT + "\tgw=" + name + "\tms=" + millis);
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/ScriptedMember.java
+++ b/app/src/main/java/wharfhinge/app/drill/EmulatedWorker.java
@@ -3,12 +3,12 @@
 import wharfhinge.standin.WorkerModel;
 import wharfhinge.standin.WorkerStandIn;
 
-/** A worker that only plays figures. */
-final class ScriptedMember implements Member {
+/** An emulated worker: it loads and runs nothing, but answers by the figures of the scenario. */
+final class EmulatedWorker implements DrillWorker {
     private final WorkerStandIn worker;
     private final WorkerModel model;
 
-    ScriptedMember(WorkerStandIn worker) {
+    EmulatedWorker(WorkerStandIn worker) {
         this.worker = worker;
         this.model = worker.model();
     }
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public String boot() {
+    public String incarnation() {
         return model.boot();
     }
 
@@ -34,23 +34,23 @@
     }
 
     @Override
-    public boolean suffers(String trouble) {
+    public boolean supports(String fault) {
         return true;
     }
 
     @Override
-    public void hang(boolean now) {
-        model.hang(now);
+    public void hang(boolean on) {
+        model.hang(on);
     }
 
     @Override
-    public void errors(double share) {
+    public void failCalls(double share) {
         model.errors(share);
     }
 
     @Override
-    public void slower(double times) {
-        model.slower(times);
+    public void slowDown(double factor) {
+        model.slower(factor);
     }
 
     @Override
@@ -69,7 +69,7 @@
     }
 
     @Override
-    public void flush(double share) {
+    public void invalidateFunctions(double share) {
         model.flush(share);
     }
 
--- a/app/src/main/java/wharfhinge/app/drill/FreePorts.java
+++ b/app/src/main/java/wharfhinge/app/drill/FreePorts.java
@@ -4,23 +4,23 @@
 import java.net.BindException;
 import java.net.ServerSocket;
 
-/** Free ports below those that systems hand out by themselves, so that they still are free after a restart. */
+/** Finds free ports below the ephemeral range of the system, so that no other socket takes one while its process restarts. */
 final class FreePorts {
-    private static final int FIRST = 20_000;
-    private static final int COUNT = 12_000;
-    private static final int TRIES = 200;
+    private static final int FIRST_PORT = 20_000;
+    private static final int PORT_COUNT = 12_000;
+    private static final int MAX_ATTEMPTS = 200;
 
     private int next;
 
     int take() throws IOException {
-        for (int tries = 0; tries < TRIES; tries++) {
-            int port = FIRST + (int) ((ProcessHandle.current().pid() * 131 + 7L * next++) % COUNT);
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+            int port = FIRST_PORT + (int) ((ProcessHandle.current().pid() * 131 + 7L * next++) % PORT_COUNT);
             try (ServerSocket socket = new ServerSocket(port)) {
                 return socket.getLocalPort();
             } catch (BindException e) {
                 continue;
             }
         }
-        throw new IOException("no free port from " + FIRST + " on");
+        throw new IOException("no free port from " + FIRST_PORT + " on");
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/GatewayProcess.java
+++ b/app/src/main/java/wharfhinge/app/drill/GatewayProcess.java
@@ -14,12 +14,12 @@
 import wharfhinge.app.Program;
 import wharfhinge.standin.Trace;
 
-/** One gateway in a process of its own, to be killed, stopped and started again. */
+/** A gateway in a process of its own, which can be killed, stopped, suspended and started again. */
 final class GatewayProcess {
-    private static final long START_MS = 20_000;
-    /** A whole line: a killed process may leave half of one. */
-    private static final Pattern SPAN_NOT_RUN =
-            Pattern.compile("\\d+\t" + DrillGatewayCommand.NOT_RUN + "\tgw=\\w+\tms=\\d+");
+    private static final long START_TIMEOUT_MS = 20_000;
+    /** Matches complete lines only: a killed process may leave a part of one. */
+    private static final Pattern PROCESSOR_WAIT_LINE =
+            Pattern.compile("\\d+\t" + DrillGatewayCommand.PROCESSOR_WAIT + "\tgw=\\w+\tms=\\d+");
 
     private final String name;
     private final int port;
@@ -44,21 +44,21 @@
         return port;
     }
 
-    /** Starts all beside each other; returns once they take connections. */
+    /** Starts all gateways in parallel; returns once they take connections. */
     static void startAll(List<GatewayProcess> gateways) throws IOException, InterruptedException {
-        Together.all(gateways, gateways.size(), GatewayProcess::start);
+        ParallelActions.applyToAll(gateways, gateways.size(), GatewayProcess::start);
     }
 
-    /** Ends all beside each other, as an operator would. */
+    /** Stops all gateways in parallel, as an operator does. */
     static void stopAll(List<GatewayProcess> gateways) throws InterruptedException {
         try {
-            Together.all(gateways, gateways.size(), GatewayProcess::stop);
+            ParallelActions.applyToAll(gateways, gateways.size(), GatewayProcess::stop);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** Starts it; returns once it takes connections. */
+    /** Starts the process; returns once it takes connections. */
     void start() throws IOException, InterruptedException {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -73,14 +73,14 @@
             command.addAll(List.of("--mutant", mutant.name()));
         }
         Path log = log();
-        long before = Files.exists(log) ? Files.size(log) : 0;
+        long logSizeBefore = Files.exists(log) ? Files.size(log) : 0;
         process = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .start();
-        long end = System.nanoTime() + START_MS * 1_000_000L;
-        while (System.nanoTime() < end && process.isAlive()) {
-            if (saidReady(log, before)) {
+        long startDeadline = System.nanoTime() + START_TIMEOUT_MS * 1_000_000L;
+        while (System.nanoTime() < startDeadline && process.isAlive()) {
+            if (hasLoggedReady(log, logSizeBefore)) {
                 trace.note("gw-up", "gw", name);
                 return;
             }
@@ -89,10 +89,13 @@
         throw new IOException(name + " did not start, see " + log);
     }
 
-    /** Whether it said so from that byte on; a connection would not tell which of two on one port took it. */
-    private static boolean saidReady(Path log, long from) throws IOException {
+    /**
+     * Whether the log says from that byte on that the gateway takes calls. A trial connection would not do: two processes may share the
+     * port, and it would not show which of them accepted it.
+     */
+    private static boolean hasLoggedReady(Path log, long fromByte) throws IOException {
         try (InputStream in = Files.newInputStream(log)) {
-            in.skipNBytes(from);
+            in.skipNBytes(fromByte);
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).contains(" takes calls on ");
         }
     }
@@ -101,33 +104,33 @@
         return config.resolveSibling(name + ".log");
     }
 
-    /** Lines for the trace of spans in which the machine did not run it. */
-    List<String> spansNotRun() throws IOException {
+    /** Trace lines that the gateway printed about waits of its threads for a processor. */
+    List<String> processorWaitLines() throws IOException {
         try (Stream<String> lines = Files.lines(log(), StandardCharsets.UTF_8)) {
-            return lines.filter(SPAN_NOT_RUN.asMatchPredicate()).toList();
+            return lines.filter(PROCESSOR_WAIT_LINE.asMatchPredicate()).toList();
         }
     }
 
-    /** As a crash would. */
+    /** Kills the process, as a crash does. */
     void kill() throws InterruptedException {
         trace.note("gw-down", "gw", name);
         process.destroyForcibly().waitFor(5, TimeUnit.SECONDS);
     }
 
-    /** Stands still, or goes on. */
-    void stall(boolean now) throws IOException, InterruptedException {
-        if (now) {
+    /** Suspends the process, or resumes it. */
+    void stall(boolean on) throws IOException, InterruptedException {
+        if (on) {
             trace.note("gw-stalled", "gw", name);
         }
-        new ProcessBuilder("kill", now ? "-STOP" : "-CONT", Long.toString(process.pid()))
+        new ProcessBuilder("kill", on ? "-STOP" : "-CONT", Long.toString(process.pid()))
                 .start()
                 .waitFor();
-        if (!now) {
+        if (!on) {
             trace.note("gw-resumed", "gw", name);
         }
     }
 
-    /** Ends it as an operator would. */
+    /** Stops the process as an operator does: with TERM, then by force. */
     void stop() throws InterruptedException {
         if (process != null && process.isAlive()) {
             process.destroy();
--- a/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
+++ b/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
@@ -7,27 +7,27 @@
 import wharfhinge.standin.Scenario;
 import wharfhinge.standin.judge.Judge;
 
-/** Writes the settings file of a scenario's gateway. */
+/** Writes the settings file of a gateway of a scenario. */
 final class GatewaySettings {
-    private static final long MOST_ADVICE_MS = 2000;
+    private static final long MAX_RETRY_AFTER_MS = 2000;
 
     private GatewaySettings() {}
 
-    static Path write(Path folder, Scenario day, int number, int port, int rosterPort, boolean capture)
+    static Path write(Path folder, Scenario scenario, int number, int port, int rosterPort, boolean capture)
             throws IOException {
-        Judge.Rules r = day.judged();
+        Judge.Rules rules = scenario.judged();
         StringBuilder classes = new StringBuilder();
-        for (LoadClients.CallClass c : day.offered().classes()) {
+        for (LoadClients.CallClass callClass : scenario.offered().classes()) {
             classes.append(String.format(
                     "    <class name=\"%s\" effect=\"%s\" aim-ms=\"%d\" give-up-ms=\"%d\" " + "late-worth=\"0.2\"/>%n",
-                    c.name(), c.effect(), c.aimMillis(), c.giveUpMillis()));
+                    callClass.name(), callClass.effect(), callClass.aimMillis(), callClass.giveUpMillis()));
         }
-        String ration = r.rationMillis() == 0
+        String loadQuota = rules.rationMillis() == 0
                 ? ""
                 : String.format(
                         "<ration period-ms=\"%d\" anyway=\"%s\" ratio=\"%s\"/>",
-                        r.rationMillis(), r.rationAnyway(), r.rationRatio());
-        String text = String.format(
+                        rules.rationMillis(), rules.rationAnyway(), rules.rationRatio());
+        String settings = String.format(
                 """
             <wharfhinge xmlns="urn:wharfhinge:settings:1">
               <gateway name="gw%d" zone="%s" number="%d" group="%d" seed="%d"/>
@@ -50,33 +50,33 @@
                 number,
                 number % 2 == 0 ? "zone-a" : "zone-b",
                 number,
-                day.gateways(),
-                day.seed() * 100 + number,
+                scenario.gateways(),
+                scenario.seed() * 100 + number,
                 port,
                 Math.min(
-                        MOST_ADVICE_MS,
-                        day.offered().classes().stream()
+                        MAX_RETRY_AFTER_MS,
+                        scenario.offered().classes().stream()
                                 .mapToLong(LoadClients.CallClass::giveUpMillis)
                                 .max()
-                                .orElse(MOST_ADVICE_MS)),
-                day.workers().reports(),
-                day.secondCopies(),
-                day.workers().memoryMb(),
-                day.workers().notLoaded(),
-                day.workers().keepMillis(),
-                ration,
+                                .orElse(MAX_RETRY_AFTER_MS)),
+                scenario.workers().reports(),
+                scenario.secondCopies(),
+                scenario.workers().memoryMb(),
+                scenario.workers().notLoaded(),
+                scenario.workers().keepMillis(),
+                loadQuota,
                 classes,
-                r.stopSendingMillis(),
-                r.coldFrom(),
-                r.coldMillis(),
-                r.overloadFactor(),
-                r.tipMillis(),
-                r.graceMillis(),
+                rules.stopSendingMillis(),
+                rules.coldFrom(),
+                rules.coldMillis(),
+                rules.overloadFactor(),
+                rules.tipMillis(),
+                rules.graceMillis(),
                 rosterPort,
                 number,
                 capture ? "<capture folder=\"gw" + number + ".capture\" segment-mb=\"4\"/>" : "");
         Path file = folder.resolve("gw" + number + ".xml");
-        Files.writeString(file, text);
+        Files.writeString(file, settings);
         return file;
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/MemoryWatch.java
+++ b/app/src/main/java/wharfhinge/app/drill/MemorySampler.java
@@ -15,10 +15,10 @@
 import wharfhinge.standin.H2Caller;
 import wharfhinge.standin.judge.MemoryJudge;
 
-/** Samples worker processes one after the other until stopped, and has their books judged. */
-final class MemoryWatch {
-    private static final long PACE_MS = 20;
-    private static final int TRIES = 5;
+/** Samples the memory of worker processes in turn until stopped, and compares it with their memory accounting. */
+final class MemorySampler {
+    private static final long SAMPLE_INTERVAL_MS = 20;
+    private static final int MAX_ATTEMPTS = 5;
     private final EventLoopGroup group;
     private final List<WorkerProcess> workers;
     private final MemoryJudge judge = new MemoryJudge();
@@ -26,7 +26,7 @@
     private final Thread thread = new Thread(this::run, "memory-watch");
     private volatile boolean stopped;
 
-    MemoryWatch(EventLoopGroup group, List<WorkerProcess> workers) {
+    MemorySampler(EventLoopGroup group, List<WorkerProcess> workers) {
         this.group = group;
         this.workers = workers;
         thread.setDaemon(true);
@@ -40,9 +40,9 @@
                 if (worker.alive()) {
                     sample(worker);
                 }
-                Thread.sleep(PACE_MS);
+                Thread.sleep(SAMPLE_INTERVAL_MS);
             } catch (IOException | ExecutionException | TimeoutException | RuntimeException e) {
-                callers.remove(worker.pid()); // it died, or stands still: nothing to compare
+                callers.remove(worker.pid()); // the worker died or hangs: there is nothing to compare
             } catch (InterruptedException e) {
                 return;
             }
@@ -53,11 +53,11 @@
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
         long pid = worker.pid();
         H2Caller caller = callers.computeIfAbsent(pid, p -> new H2Caller(group, worker.port()));
-        String before = books(caller);
-        for (int tries = 1; ; tries++) {
+        String before = readAccounting(caller);
+        for (int attempt = 1; ; attempt++) {
             String smaps = Files.readString(Path.of("/proc/" + pid + "/smaps"));
-            String after = books(caller);
-            if (tries == TRIES || resident(before).equals(resident(after))) { // best while nothing moves
+            String after = readAccounting(caller);
+            if (attempt == MAX_ATTEMPTS || residentLine(before).equals(residentLine(after))) { // exact if unchanged
                 judge.sample(worker.id(), before, smaps, after);
                 return;
             }
@@ -65,14 +65,16 @@
         }
     }
 
-    private static String resident(String books) {
-        return books.lines()
+    private static String residentLine(String accounting) {
+        return accounting
+                .lines()
                 .filter(l -> l.startsWith("resident_kb"))
                 .findFirst()
                 .orElse("");
     }
 
-    private static String books(H2Caller caller) throws InterruptedException, ExecutionException, TimeoutException {
+    private static String readAccounting(H2Caller caller)
+            throws InterruptedException, ExecutionException, TimeoutException {
         return new String(
                 caller.send(HttpMethod.GET, "/memory", new byte[0])
                         .get(500, TimeUnit.MILLISECONDS)
@@ -80,7 +82,7 @@
                 StandardCharsets.US_ASCII);
     }
 
-    /** Stops, and gives what was found. */
+    /** Stops sampling and returns the check with its findings. */
     MemoryJudge stop() throws InterruptedException {
         stopped = true;
         thread.join(2000);
--- a/app/src/main/java/wharfhinge/app/drill/Mutant.java
+++ b/app/src/main/java/wharfhinge/app/drill/Mutant.java
@@ -21,26 +21,29 @@
 import wharfhinge.policy.RequestClass;
 import wharfhinge.protocol.RosterEntry;
 
-/** Gateways with one guard broken on purpose, at least one for each rule, so that the judge is seen to find it. */
+/**
+ * Variants of the gateway with one safeguard disabled, at least one for each rule; they show that the trace verifier finds the broken
+ * rule.
+ */
 enum Mutant {
-    /** Rule 1: every third answer that is no worker's is forgotten. */
+    /** Breaks rule 1: drops every third answer that does not come from a worker. */
     FORGETS_ANSWERS {
         @Override
-        DispatcherFactory factory() {
+        DispatcherFactory dispatchers() {
             return (now, seed, settings, actions) ->
-                    new CacheAwareDispatcher(now, seed, settings, new Forgetful(actions));
+                    new CacheAwareDispatcher(now, seed, settings, new AnswerDroppingActions(actions));
         }
     },
-    /** Rule 2: takes every class for one that is safe to repeat. */
+    /** Breaks rule 2: takes every class of calls as idempotent. */
     REPEATS_UNSAFE {
         @Override
-        DispatcherFactory factory() {
-            return (now, seed, s, actions) -> new CacheAwareDispatcher(
+        DispatcherFactory dispatchers() {
+            return (now, seed, settings, actions) -> new CacheAwareDispatcher(
                     now,
                     seed,
                     with(
-                            s,
-                            s.classes().stream()
+                            settings,
+                            settings.classes().stream()
                                     .map(c -> new RequestClass(
                                             c.name(),
                                             Effect.IDEMPOTENT,
@@ -53,14 +56,14 @@
                                             c.streaming(),
                                             c.latencyObjectiveStretch()))
                                     .toList(),
-                            s.functionLoading()),
+                            settings.functionLoading()),
                     actions);
         }
     },
-    /** Rule 3: does not hear that a worker leaves. */
+    /** Breaks rule 3: does not learn that a worker drains or is gone. */
     DEAF_TO_DRAINS {
         @Override
-        EndpointSource heard(EndpointSource source) {
+        EndpointSource wrapEndpointSource(EndpointSource source) {
             return new EndpointSource() {
                 @Override
                 public void start(Consumer<EndpointUpdate> updates) {
@@ -99,47 +102,48 @@
             };
         }
     },
-    /** Rule 4: takes a worker that has just started for a warm one. */
+    /** Breaks rule 4: takes a worker that has just started as warmed up. */
     COLD_AS_WARM {
         @Override
-        DispatcherFactory factory() {
-            return (now, seed, settings, actions) -> allWarm(new CacheAwareDispatcher(now, seed, settings, actions));
+        DispatcherFactory dispatchers() {
+            return (now, seed, settings, actions) ->
+                    withoutStartTimes(new CacheAwareDispatcher(now, seed, settings, actions));
         }
     },
-    /** Rule 5: knows no ration. */
+    /** Breaks rule 5: has no load quota. */
     UNRATIONED {
         @Override
-        DispatcherFactory factory() {
-            return (now, seed, s, actions) -> {
-                FunctionLoading f = s.functionLoading();
+        DispatcherFactory dispatchers() {
+            return (now, seed, settings, actions) -> {
+                FunctionLoading loading = settings.functionLoading();
                 return new CacheAwareDispatcher(
                         now,
                         seed,
                         with(
-                                s,
-                                s.classes(),
+                                settings,
+                                settings.classes(),
                                 new FunctionLoading(
-                                        f.idleRetentionNanos(),
-                                        f.loadOrdersAllowed(),
-                                        f.onMiss(),
-                                        f.loadTimeoutNanos(),
+                                        loading.idleRetentionNanos(),
+                                        loading.loadOrdersAllowed(),
+                                        loading.onMiss(),
+                                        loading.loadTimeoutNanos(),
                                         0,
                                         0,
                                         0,
-                                        f.idlePrice(),
-                                        f.memoryMbByKind(),
-                                        f.reportX0(),
-                                        f.reportX1(),
-                                        f.reportsConcurrency(),
-                                        f.reportsCacheStatus())),
+                                        loading.idlePrice(),
+                                        loading.memoryMbByKind(),
+                                        loading.reportX0(),
+                                        loading.reportX1(),
+                                        loading.reportsConcurrency(),
+                                        loading.reportsCacheStatus())),
                         actions);
             };
         }
     },
-    /** Rule 1, for chains: each step has the whole time for itself. */
+    /** Breaks rule 1 for chains: gives each step the whole deadline. */
     CLOCK_FOR_EACH_STEP {
         @Override
-        GatewayConfig change(GatewayConfig config) {
+        GatewayConfig changeConfig(GatewayConfig config) {
             return config.withChains(c -> new ChainSettings(
                     ChainSettings.Clock.DEADLINE_PER_STEP,
                     false,
@@ -152,10 +156,10 @@
                     c.reserveNanos()));
         }
     },
-    /** No rule is broken; for comparison: chains are never refused early. */
+    /** Breaks no rule, for comparison: never rejects a chain early. */
     NO_EARLY_REFUSAL {
         @Override
-        GatewayConfig change(GatewayConfig config) {
+        GatewayConfig changeConfig(GatewayConfig config) {
             return config.withChains(c -> new ChainSettings(
                     c.clock(),
                     false,
@@ -169,28 +173,28 @@
         }
     };
 
-    /** One for each of the five rules. */
+    /** One mutant for each of the five rules. */
     static final List<Mutant> OF_EACH_RULE =
             List.of(FORGETS_ANSWERS, REPEATS_UNSAFE, DEAF_TO_DRAINS, COLD_AS_WARM, UNRATIONED);
 
-    private static final int FORGETS = 3;
+    private static final int DROP_INTERVAL = 3;
 
-    /** The decisions it runs with. */
-    DispatcherFactory factory() {
+    /** Creates the dispatcher of the gateway. */
+    DispatcherFactory dispatchers() {
         return DispatcherFactory.CACHE_AWARE;
     }
 
-    /** The list as it hears it. */
-    EndpointSource heard(EndpointSource source) {
+    /** The source of endpoint updates of the gateway. */
+    EndpointSource wrapEndpointSource(EndpointSource source) {
         return source;
     }
 
-    /** The settings it runs with. */
-    GatewayConfig change(GatewayConfig config) {
+    /** The settings of the gateway. */
+    GatewayConfig changeConfig(GatewayConfig config) {
         return config;
     }
 
-    /** The rule whose guard is broken; 0 where none is. */
+    /** The rule that this mutant breaks; 0 if it breaks none. */
     int rule() {
         return switch (this) {
             case FORGETS_ANSWERS, CLOCK_FOR_EACH_STEP -> 1;
@@ -202,37 +206,38 @@
         };
     }
 
-    /** Its name on the command line. */
-    String word() {
+    /** Its name in tables and messages. */
+    String label() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static DispatcherSettings with(DispatcherSettings s, List<RequestClass> classes, FunctionLoading family) {
+    private static DispatcherSettings with(
+            DispatcherSettings settings, List<RequestClass> classes, FunctionLoading functionLoading) {
         return new DispatcherSettings(
-                s.groupSize(),
-                s.dispatcherNumber(),
-                s.tickNanos(),
-                s.zone(),
-                s.zones(),
-                s.kinds(),
-                s.discovery(),
-                s.weightReporting(),
-                s.priorityUnit(),
-                s.overQuotaPriorityWeight(),
+                settings.groupSize(),
+                settings.dispatcherNumber(),
+                settings.tickNanos(),
+                settings.zone(),
+                settings.zones(),
+                settings.kinds(),
+                settings.discovery(),
+                settings.weightReporting(),
+                settings.priorityUnit(),
+                settings.overQuotaPriorityWeight(),
                 classes,
-                s.tenants(),
-                family,
-                s.feedback(),
-                s.objectiveWeights(),
-                s.limits(),
-                s.protectionRules(),
-                s.prices(),
-                s.clientBehavior());
+                settings.tenants(),
+                functionLoading,
+                settings.feedback(),
+                settings.objectiveWeights(),
+                settings.limits(),
+                settings.protectionRules(),
+                settings.prices(),
+                settings.clientBehavior());
     }
 
-    /** Decisions that are told that no worker has just started. */
-    private static Dispatcher allWarm(Dispatcher to) {
-        return new ForwardingDispatcher(to) {
+    /** A dispatcher that does not learn when workers started, so that all count as warmed up. */
+    private static Dispatcher withoutStartTimes(Dispatcher delegate) {
+        return new ForwardingDispatcher(delegate) {
             @Override
             public void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries) {
                 super.onEndpointUpdate(
@@ -247,23 +252,23 @@
         };
     }
 
-    private static final class Forgetful extends ForwardingActions {
-        private int count;
+    private static final class AnswerDroppingActions extends ForwardingActions {
+        private int answerCount;
 
-        Forgetful(DispatcherActions to) {
-            super(to);
+        AnswerDroppingActions(DispatcherActions delegate) {
+            super(delegate);
         }
 
         @Override
         public void reject(String request, long coolDownNanos) {
-            if (++count % FORGETS != 0) {
+            if (++answerCount % DROP_INTERVAL != 0) {
                 super.reject(request, coolDownNanos);
             }
         }
 
         @Override
         public void fail(String request) {
-            if (++count % FORGETS != 0) {
+            if (++answerCount % DROP_INTERVAL != 0) {
                 super.fail(request);
             }
         }
--- a/app/src/main/java/wharfhinge/app/drill/WorkerProcess.java
+++ b/app/src/main/java/wharfhinge/app/drill/WorkerProcess.java
@@ -14,11 +14,14 @@
 import wharfhinge.standin.Trace;
 import wharfhinge.standin.WorkerModel;
 
-/** A worker in a process of its own: {@code wharfhinge worker}, with packages of {@link wharfhinge.app.drill.function.Work}. */
-public final class WorkerProcess implements Member {
-    private static final long START_MS = 30_000;
-    private static final Set<String> NOT_SUFFERED = Set.of("answer_lost", "handshake_slow", "flush");
-    private static final ScheduledExecutorService LATER = Executors.newSingleThreadScheduledExecutor(task -> {
+/**
+ * A worker in a process of its own: {@code wharfhinge worker}, with packages of
+ * {@link wharfhinge.app.drill.function.SimulatedFunction}.
+ */
+public final class WorkerProcess implements DrillWorker {
+    private static final long START_TIMEOUT_MS = 30_000;
+    private static final Set<String> UNSUPPORTED_FAULTS = Set.of("answer_lost", "handshake_slow", "flush");
+    private static final ScheduledExecutorService PAUSE_TIMER = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "pauses");
         thread.setDaemon(true);
         return thread;
@@ -31,12 +34,12 @@
     private final Trace trace;
     private volatile Process process;
     private volatile String id;
-    private volatile String boot;
+    private volatile String incarnation;
 
     /**
-     * A worker that is not started.
+     * Writes the settings file of a worker; does not start it.
      *
-     * @param settings its settings but for the port, {@code PORT}
+     * @param settings settings of the worker, with {@code PORT} in place of its port
      */
     public WorkerProcess(String name, int port, Path folder, String settings, WorkerModel.Spec spec, Trace trace)
             throws IOException {
@@ -48,7 +51,7 @@
         Files.writeString(config, settings.replace("PORT", Integer.toString(port)));
     }
 
-    /** Starts it; returns once it listens. */
+    /** Starts the process; returns once it listens. {@code cold} goes into the trace. */
     public void start(boolean cold) throws IOException, InterruptedException {
         Path log = folder.resolve(name + ".log");
         Path out = folder.resolve(name + ".out");
@@ -68,17 +71,17 @@
                         config.toString()))
                 .redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()))
                 .redirectOutput(out.toFile());
-        builder.environment().put("MALLOC_ARENA_MAX", "2"); // else each thread may keep an arena of its own
+        builder.environment().put("MALLOC_ARENA_MAX", "2"); // by default each thread may keep a malloc arena of its own
         process = builder.start();
-        long end = System.nanoTime() + START_MS * 1_000_000L;
-        while (System.nanoTime() < end && process.isAlive()) {
+        long startDeadline = System.nanoTime() + START_TIMEOUT_MS * 1_000_000L;
+        while (System.nanoTime() < startDeadline && process.isAlive()) {
             try (BufferedReader reader = Files.newBufferedReader(out, StandardCharsets.UTF_8)) {
                 String line = reader.readLine();
                 if (line != null && line.startsWith("worker ") && line.contains(" boot ")) {
                     String[] words = line.split(" ");
                     id = words[2];
-                    boot = words[4];
-                    note(cold);
+                    incarnation = words[4];
+                    traceStart(cold);
                     return;
                 }
             }
@@ -87,13 +90,13 @@
         throw new IOException(name + " did not start, see " + log);
     }
 
-    private void note(boolean cold) {
+    private void traceStart(boolean cold) {
         trace.note(
                 "start",
                 "worker",
                 id,
                 "boot",
-                boot,
+                incarnation,
                 "cold",
                 cold,
                 "cores",
@@ -106,12 +109,12 @@
                 spec.cell());
     }
 
-    /** The process. */
+    /** The id of the process. */
     public long pid() {
         return process.pid();
     }
 
-    /** Whether it runs. */
+    /** Whether the process runs. */
     public boolean alive() {
         return process != null && process.isAlive();
     }
@@ -121,14 +124,14 @@
         return id;
     }
 
-    /** Its port. */
+    /** The port that the worker listens on. */
     public int port() {
         return Integer.parseInt(id.substring(id.indexOf(':') + 1));
     }
 
     @Override
-    public String boot() {
-        return boot;
+    public String incarnation() {
+        return incarnation;
     }
 
     @Override
@@ -142,7 +145,10 @@
         start(true);
     }
 
-    /** What came and went, as the worker wrote it; its own word of its start is left out, for it does not know its cell. */
+    /**
+     * The trace lines that the worker wrote, without those of its start. This class traces the start itself, because the worker does not
+     * know its cell.
+     */
     List<String> events() throws IOException {
         Path file = folder.resolve(name + ".events");
         if (!Files.exists(file)) {
@@ -155,17 +161,17 @@
     }
 
     @Override
-    public boolean suffers(String trouble) {
-        return !NOT_SUFFERED.contains(trouble);
+    public boolean supports(String fault) {
+        return !UNSUPPORTED_FAULTS.contains(fault);
     }
 
     @Override
-    public void hang(boolean now) throws IOException, InterruptedException {
-        if (now) {
+    public void hang(boolean on) throws IOException, InterruptedException {
+        if (on) {
             trace.note("worker-stalled", "worker", id);
         }
-        signal(now ? "-STOP" : "-CONT");
-        if (!now) {
+        signal(on ? "-STOP" : "-CONT");
+        if (!on) {
             trace.note("worker-resumed", "worker", id);
         }
     }
@@ -173,7 +179,7 @@
     @Override
     public void pause(long ms) throws IOException, InterruptedException {
         hang(true);
-        LATER.schedule(
+        PAUSE_TIMER.schedule(
                 () -> {
                     hang(false);
                     return null;
@@ -191,38 +197,39 @@
     }
 
     @Override
-    public void errors(double share) throws IOException {
-        tell("errors", share);
+    public void failCalls(double share) throws IOException {
+        writeFaultFile("errors", share);
     }
 
     @Override
-    public void slower(double times) throws IOException {
-        tell("slower", times);
+    public void slowDown(double factor) throws IOException {
+        writeFaultFile("slower", factor);
     }
 
-    /** What the function reads before each call. */
-    private void tell(String what, double figure) throws IOException {
-        Path file = folder.resolve("told").resolve(process.pid() + "." + what);
+    /** Writes a fault file, which the function reads before each call. */
+    private void writeFaultFile(String faultName, double value) throws IOException {
+        Path file = folder.resolve("told").resolve(process.pid() + "." + faultName);
         Files.createDirectories(file.getParent());
-        Files.writeString(file, Double.toString(figure));
+        Files.writeString(file, Double.toString(value));
     }
 
     @Override
     public void loseAnswers(double share, boolean byReset) {
-        throw new UnsupportedOperationException("a real worker loses no answers by itself");
+        throw new UnsupportedOperationException("worker processes do not support lost answers");
     }
 
     @Override
     public void slowHandshakes(long ms) {
-        throw new UnsupportedOperationException("a real worker's handshakes take what they take");
+        throw new UnsupportedOperationException("worker processes do not support slow handshakes");
     }
 
     @Override
-    public void flush(double share) {
-        throw new UnsupportedOperationException("a real worker's functions are released by the store");
+    public void invalidateFunctions(double share) {
+        throw new UnsupportedOperationException(
+                "worker processes do not support invalidated functions; the package store releases them");
     }
 
-    /** As an operator ends it. */
+    /** Stops the process as an operator does: with TERM, then by force. */
     public void stop() throws InterruptedException {
         if (alive()) {
             process.destroy();
--- a/app/src/main/java/wharfhinge/app/drill/RealFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/WorkerProcessFleet.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import wharfhinge.app.drill.function.Work;
+import wharfhinge.app.drill.function.SimulatedFunction;
 import wharfhinge.standin.LoadClients;
 import wharfhinge.standin.Scenario;
 import wharfhinge.standin.Trace;
@@ -22,71 +22,73 @@
 import wharfhinge.worker.pack.PackageBuilder;
 import wharfhinge.worker.store.Store;
 
-/** A store with a signed package for each function of a day, and worker processes that fetch from it. */
-final class RealFleet implements AutoCloseable {
-    private static final int HOT = 10;
-    private static final double START_SHARE = 0.4; // of a load's time; the scripted fleet's fetch has the rest
+/** A package store with a signed package for each function of a scenario, and worker processes that fetch from it. */
+final class WorkerProcessFleet implements AutoCloseable {
+    private static final int HOT_FUNCTIONS = 10;
+    private static final double START_TIME_SHARE =
+            0.4; // of a load's time; in the emulated fleet the fetch takes the rest
 
     private final EventLoopGroup group;
     private final Path folder;
-    private final int most;
+    private final int maxFetches;
     private final int storePort;
     private final List<WorkerProcess> workers = new ArrayList<>();
     private Store store;
 
-    RealFleet(EventLoopGroup group, Scenario day, Path folder, Trace trace) throws IOException {
+    WorkerProcessFleet(EventLoopGroup group, Scenario scenario, Path folder, Trace trace) throws IOException {
         this.group = group;
         this.folder = folder;
-        this.most = day.store().most();
+        this.maxFetches = scenario.store().most();
         Files.createDirectories(folder.resolve("packages"));
         Keys.generate(folder.resolve("publisher"));
-        for (LoadClients.CallClass type : day.offered().classes()) {
-            for (int i = 0; i < day.offered().functions() + HOT; i++) {
-                int hot = i - day.offered().functions();
+        for (LoadClients.CallClass callClass : scenario.offered().classes()) {
+            for (int i = 0; i < scenario.offered().functions() + HOT_FUNCTIONS; i++) {
+                int hotIndex = i - scenario.offered().functions();
                 publish(
                         folder,
-                        type.name() + "-" + (hot < 0 ? Integer.toString(i) : "hot" + hot),
-                        (int) type.memoryMb(),
-                        type.lanes(),
-                        type.effect(),
-                        (long) (type.loadMillis() * START_SHARE));
+                        callClass.name() + "-" + (hotIndex < 0 ? Integer.toString(i) : "hot" + hotIndex),
+                        (int) callClass.memoryMb(),
+                        callClass.lanes(),
+                        callClass.effect(),
+                        (long) (callClass.loadMillis() * START_TIME_SHARE));
             }
         }
-        store = new Store(group, 0, folder.resolve("packages"), most);
+        store = new Store(group, 0, folder.resolve("packages"), maxFetches);
         storePort = store.port();
-        for (int i = 0; i < day.workers().count(); i++) {
+        for (int i = 0; i < scenario.workers().count(); i++) {
             String name = "worker" + i;
             int port;
-            try (ServerSocket free = new ServerSocket(0)) {
-                port = free.getLocalPort();
+            try (ServerSocket socket = new ServerSocket(0)) {
+                port = socket.getLocalPort();
             }
-            workers.add(new WorkerProcess(name, port, folder, settings(day, name), day.worker(i, false), trace));
+            workers.add(
+                    new WorkerProcess(name, port, folder, settings(scenario, name), scenario.worker(i, false), trace));
         }
     }
 
-    /** Packs {@link Work} as a function. */
+    /** Writes a signed package of {@link SimulatedFunction} into the folder of the package store. */
     static void publish(Path folder, String function, int memoryMb, int lanes, String effect, long startMillis)
             throws IOException {
         Map<String, byte[]> files = new TreeMap<>();
-        String path = Work.class.getName().replace('.', '/') + ".class";
-        try (InputStream in = Work.class.getClassLoader().getResourceAsStream(path)) {
-            files.put("classes/" + path, in.readAllBytes());
+        String classFile = SimulatedFunction.class.getName().replace('.', '/') + ".class";
+        try (InputStream in = SimulatedFunction.class.getClassLoader().getResourceAsStream(classFile)) {
+            files.put("classes/" + classFile, in.readAllBytes());
         }
         files.put("classes/start-ms", Long.toString(startMillis).getBytes(StandardCharsets.US_ASCII));
         files.put(
                 "classes/told",
                 folder.resolve("told").toAbsolutePath().toString().getBytes(StandardCharsets.UTF_8));
-        Manifest about =
-                new Manifest(function, "1", Work.class.getName(), memoryMb, lanes, effect, 60_000, 10_000, Map.of());
+        Manifest manifest = new Manifest(
+                function, "1", SimulatedFunction.class.getName(), memoryMb, lanes, effect, 60_000, 10_000, Map.of());
         try (OutputStream out = Files.newOutputStream(folder.resolve("packages").resolve(function + ".pkg"))) {
-            PackageBuilder.write(about, files, Keys.privateKey(folder.resolve("publisher")), out);
+            PackageBuilder.write(manifest, files, Keys.privateKey(folder.resolve("publisher")), out);
         } catch (InvalidPackageException e) {
             throw new IOException(e);
         }
     }
 
-    private String settings(Scenario day, String name) {
-        Scenario.Workers w = day.workers();
+    private String settings(Scenario scenario, String name) {
+        Scenario.Workers workerSettings = scenario.workers();
         return String.format(
                 """
             <worker xmlns="urn:wharfhinge:worker:1" name="%s">
@@ -103,36 +105,36 @@
             </worker>
             """,
                 name,
-                (int) w.memoryMb(),
-                w.queue(),
-                w.notLoaded(),
-                w.notLoaded().equals("load") ? "own" : "order",
-                w.keepMillis(),
-                w.loadsAtOnce(),
-                2 * w.loadsAtOnce(),
+                (int) workerSettings.memoryMb(),
+                workerSettings.queue(),
+                workerSettings.notLoaded(),
+                workerSettings.notLoaded().equals("load") ? "own" : "order",
+                workerSettings.keepMillis(),
+                workerSettings.loadsAtOnce(),
+                2 * workerSettings.loadsAtOnce(),
                 storePort,
                 name,
-                w.reportMillis(),
+                workerSettings.reportMillis(),
                 name);
     }
 
-    /** Starts all, as many at once as there are processors. */
+    /** Starts all workers, as many in parallel as there are processors. */
     List<WorkerProcess> start() throws IOException, InterruptedException {
-        Together.all(workers, Runtime.getRuntime().availableProcessors(), worker -> worker.start(false));
+        ParallelActions.applyToAll(workers, Runtime.getRuntime().availableProcessors(), worker -> worker.start(false));
         return workers;
     }
 
-    /** All of them. */
+    /** All worker processes. */
     List<WorkerProcess> processes() {
         return workers;
     }
 
-    /** Shuts the store, or opens it again under its address. */
-    synchronized void shut(boolean now) {
-        if (now) {
+    /** Closes the package store, or opens it again on the same port. */
+    synchronized void shut(boolean closed) {
+        if (closed) {
             store.close();
         } else {
-            store = new Store(group, storePort, folder.resolve("packages"), most);
+            store = new Store(group, storePort, folder.resolve("packages"), maxFetches);
         }
     }
 
@@ -144,8 +146,8 @@
         store.close();
     }
 
-    /** Ends all as an operator would. */
+    /** Stops all workers in parallel, as an operator does. */
     void stop() throws IOException, InterruptedException {
-        Together.all(workers, workers.size(), WorkerProcess::stop);
+        ParallelActions.applyToAll(workers, workers.size(), WorkerProcess::stop);
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/function/package-info.java
+++ b/app/src/main/java/wharfhinge/app/drill/function/package-info.java
@@ -1,2 +1,2 @@
-/** The function that drills and measurements pack for real workers; its classes see the worker's API alone. */
+/** The function that fault injection tests and measurements package for real workers; its classes use the worker API only. */
 package wharfhinge.app.drill.function;
--- a/app/src/test/java/wharfhinge/app/CommandLineTest.java
+++ b/app/src/test/java/wharfhinge/app/CommandLineTest.java
@@ -88,15 +88,15 @@
         Files.writeString(
                 wrong, Files.readString(Path.of(SAMPLE)).replace("8400", "x").replace("idempotent", "y"));
         Ran ran = run("check", SAMPLE, wrong.toString());
-        assertEquals(Program.WANTING, ran.code);
+        assertEquals(Program.FAILURE, ran.code);
         assertTrue(ran.text().contains("found 'x'") && ran.text().contains("found 'y'"), ran.text());
-        assertEquals(Program.WANTING, run("serve", "--config", wrong.toString()).code);
+        assertEquals(Program.FAILURE, run("serve", "--config", wrong.toString()).code);
     }
 
     @Test
     void anUnknownDrillIsNamed() {
         Ran ran = run("drill", "no-such-day");
-        assertEquals(Program.WANTING, ran.code);
+        assertEquals(Program.FAILURE, ran.code);
         assertTrue(
                 ran.text()
                         .contains(
@@ -113,7 +113,7 @@
         Files.write(classes.resolve("B.class"), new byte[] {1, 2, 3});
         assertEquals(Program.OK, run("package", "key", key).code);
         assertEquals(Program.OK, run("package", "key", other).code);
-        assertEquals(Program.WANTING, run("package", "key", key).code, "a key is never written over");
+        assertEquals(Program.FAILURE, run("package", "key", key).code, "a key is never written over");
         Ran built = run(
                 "package",
                 "build",
@@ -134,7 +134,7 @@
         assertTrue(shown.text().contains("entry=a.B") && shown.text().contains("# signed"), shown.text());
         assertEquals(Program.OK, run("package", "verify", "--key", key + ".pub", out).code);
         Ran refused = run("package", "verify", "--key", other + ".pub", out);
-        assertEquals(Program.WANTING, refused.code);
+        assertEquals(Program.FAILURE, refused.code);
         assertTrue(refused.text().contains("none of the 1 trusted keys"), refused.text());
         Ran wrong = run(
                 "package",
@@ -150,7 +150,7 @@
                 "--out",
                 out);
         assertTrue(
-                wrong.code == Program.WANTING && wrong.text().contains("entry a.C is not among the files"),
+                wrong.code == Program.FAILURE && wrong.text().contains("entry a.C is not among the files"),
                 wrong.text());
         assertEquals(Program.OK, run("package", "verify", out).code, "what was there stands");
     }
@@ -159,7 +159,7 @@
     void whatIsNoCaptureIsNamed() throws Exception {
         Path file = Files.writeString(folder.resolve("x.whcap"), "something else\n");
         Ran ran = run("replay", file.toString());
-        assertEquals(Program.WANTING, ran.code);
+        assertEquals(Program.FAILURE, ran.code);
         assertTrue(ran.text().contains("no capture, found 'something else'"), ran.text());
     }
 
@@ -170,7 +170,7 @@
                 "<worker xmlns='urn:wharfhinge:worker:1' name='w'>\n"
                         + "<listen port='99999'/>\n<memory copies-mb='0'/>\n<store url='ftp://x'/>\n<images folder='i'/>\n</worker>\n");
         Ran ran = run("worker", "--config", file.toString());
-        assertEquals(Program.WANTING, ran.code);
+        assertEquals(Program.FAILURE, ran.code);
         for (String place : List.of("99999", "'0'", "ftp://x")) {
             assertTrue(ran.text().contains(place), ran.text());
         }
--- a/app/src/test/java/wharfhinge/app/drill/DrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/DrillTest.java
@@ -33,8 +33,8 @@
                 day.troubles().add(t);
             }
         }
-        try (Day played = new Day(day, mutant, folder, mutant == null)) {
-            return played.play();
+        try (DrillRun played = new DrillRun(day, mutant, folder, mutant == null)) {
+            return played.run();
         }
     }
 
--- a/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
@@ -20,10 +20,10 @@
     @Test
     void aDayOverRealWorkersKeepsAllRulesAndTheBooksAreHonest() throws Exception {
         Scenario day = Scenarios.load(null, "workers");
-        try (Day played = new Day(day, null, folder)) {
-            Judge.Verdict verdict = played.play();
+        try (DrillRun played = new DrillRun(day, null, folder)) {
+            Judge.Verdict verdict = played.run();
             assertEquals(5, verdict.kept(), Judge.report(verdict).toString());
-            assertEquals(List.of(), played.memory().faults());
+            assertEquals(List.of(), played.memoryJudge().faults());
             assertTrue(
                     Integer.parseInt(verdict.figures().get("calls")) > 1000,
                     verdict.figures().toString());
