--- a/app/src/test/java/wharfhinge/app/CommandLineTest.java
+++ b/app/src/test/java/wharfhinge/app/CommandLineTest.java
@@ -88,15 +88,15 @@
         Files.writeString(
                 wrong, Files.readString(Path.of(SAMPLE)).replace("8400", "x").replace("idempotent", "y"));
         Execution execution = run("check", SAMPLE, wrong.toString());
-        assertEquals(Program.WANTING, execution.exitCode);
+        assertEquals(Program.FAILURE, execution.exitCode);
         assertTrue(execution.text().contains("found 'x'") && execution.text().contains("found 'y'"), execution.text());
-        assertEquals(Program.WANTING, run("serve", "--config", wrong.toString()).exitCode);
+        assertEquals(Program.FAILURE, run("serve", "--config", wrong.toString()).exitCode);
     }
 
     @Test
     void unknownScenario_isReportedWithTheAllowedOnes() {
         Execution execution = run("drill", "no-such-day");
-        assertEquals(Program.WANTING, execution.exitCode);
+        assertEquals(Program.FAILURE, execution.exitCode);
         assertTrue(
                 execution
                         .text()
@@ -114,7 +114,7 @@
         Files.write(classes.resolve("B.class"), new byte[] {1, 2, 3});
         assertEquals(Program.OK, run("package", "key", key).exitCode);
         assertEquals(Program.OK, run("package", "key", other).exitCode);
-        assertEquals(Program.WANTING, run("package", "key", key).exitCode, "an existing key is not overwritten");
+        assertEquals(Program.FAILURE, run("package", "key", key).exitCode, "an existing key is not overwritten");
         Execution built = run(
                 "package",
                 "build",
@@ -135,7 +135,7 @@
         assertTrue(shown.text().contains("entry=a.B") && shown.text().contains("# signed"), shown.text());
         assertEquals(Program.OK, run("package", "verify", "--key", key + ".pub", out).exitCode);
         Execution refused = run("package", "verify", "--key", other + ".pub", out);
-        assertEquals(Program.WANTING, refused.exitCode);
+        assertEquals(Program.FAILURE, refused.exitCode);
         assertTrue(refused.text().contains("none of the 1 trusted keys"), refused.text());
         Execution wrong = run(
                 "package",
@@ -151,7 +151,7 @@
                 "--out",
                 out);
         assertTrue(
-                wrong.exitCode == Program.WANTING && wrong.text().contains("entry a.C is not among the files"),
+                wrong.exitCode == Program.FAILURE && wrong.text().contains("entry a.C is not among the files"),
                 wrong.text());
         assertEquals(
                 Program.OK,
@@ -163,7 +163,7 @@
     void fileThatIsNoCapture_isReported() throws Exception {
         Path file = Files.writeString(folder.resolve("x.whcap"), "something else\n");
         Execution execution = run("replay", file.toString());
-        assertEquals(Program.WANTING, execution.exitCode);
+        assertEquals(Program.FAILURE, execution.exitCode);
         assertTrue(execution.text().contains("no capture, found 'something else'"), execution.text());
     }
 
@@ -174,7 +174,7 @@
                 "<worker xmlns='urn:wharfhinge:worker:1' name='w'>\n"
                         + "<listen port='99999'/>\n<memory copies-mb='0'/>\n<store url='ftp://x'/>\n<images folder='i'/>\n</worker>\n");
         Execution execution = run("worker", "--config", file.toString());
-        assertEquals(Program.WANTING, execution.exitCode);
+        assertEquals(Program.FAILURE, execution.exitCode);
         for (String place : List.of("99999", "'0'", "ftp://x")) {
             assertTrue(execution.text().contains(place), execution.text());
         }
--- a/app/src/test/java/wharfhinge/app/FirstLogsTest.java
+++ b/app/src/test/java/wharfhinge/app/FirstLogsTest.java
@@ -15,13 +15,13 @@
     @Test
     void warnings_goToStandardErrorWithoutXml() {
         LoggerContext context = new LoggerContext();
-        new FirstLogs().configure(context);
+        new StartupLogConfigurator().configure(context);
         var root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         assertEquals(Level.WARN, root.getLevel());
         Iterator<Appender<ILoggingEvent>> appenders = root.iteratorForAppenders();
         assertEquals("System.err", ((ConsoleAppender<ILoggingEvent>) appenders.next()).getTarget());
         assertNull(
-                FirstLogs.class.getResource("/logback.xml"),
+                StartupLogConfigurator.class.getResource("/logback.xml"),
                 "a logback.xml on the class path would take precedence over the configurator");
     }
 }
