--- a/stand-ins/src/main/java/wharfhinge/standin/Echo.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Echo.java
@@ -20,18 +20,18 @@
 import wharfhinge.protocol.CopyNote;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** Peers that cost as little as may be, for measurements; calls of the function {@code silent} get no answer. */
+/** Minimal-cost peers for measurements; calls of the function {@code silent} get no response. */
 public final class Echo {
-    private static final int MOST_BODY = 1 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
 
     private Echo() {}
 
-    /** Answers HTTP/1.1 calls with their body; tells the port. */
+    /** Starts an HTTP/1.1 server that echoes the body of each call; returns its port. */
     public static int plain(EventLoopGroup group) {
-        return Net.port(Net.listenHttp(group, 0, Answers::new));
+        return Net.port(Net.listenHttp(group, 0, EchoHandler::new));
     }
 
-    /** A worker that answers at once; tells the port. */
+    /** Starts a worker that responds at once with the body of the call; returns its port. */
     public static int worker(EventLoopGroup group) {
         return Net.port(Net.listen(group, group, 0, channel -> channel.pipeline()
                 .addLast(
@@ -44,13 +44,13 @@
                                 stream.pipeline()
                                         .addLast(
                                                 new Http2StreamFrameToHttpObjectCodec(true),
-                                                new HttpObjectAggregator(MOST_BODY),
-                                                new Answers());
+                                                new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                new EchoHandler());
                             }
                         }))));
     }
 
-    /** Passes HTTP/1.1 calls on to one of the ports, drawn at random; tells its own. */
+    /** Starts an HTTP/1.1 proxy that forwards each call to one of the ports, chosen at random; returns its own port. */
     public static int passThrough(EventLoopGroup group, int[] ports) {
         HttpCaller[] callers = new HttpCaller[ports.length];
         for (int i = 0; i < ports.length; i++) {
@@ -79,7 +79,7 @@
         }));
     }
 
-    private static final class Answers extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static final class EchoHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (request.uri().endsWith("/silent")) {
--- a/stand-ins/src/main/java/wharfhinge/standin/H2Caller.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/H2Caller.java
@@ -30,37 +30,37 @@
 import java.util.concurrent.CompletableFuture;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** One HTTP/2 connection with prior knowledge, as a gateway keeps to a worker; any thread may call. */
+/** One HTTP/2 connection with prior knowledge, such as a gateway keeps to a worker. Thread-safe. */
 public final class H2Caller implements AutoCloseable {
-    private static final int MOST_ANSWER = 1 << 20;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private final Channel channel;
     private final CompletableFuture<Void> goAway = new CompletableFuture<>();
 
-    /** An answer. */
+    /** The response to a request. */
     public record Answer(int status, HttpHeaders headers, byte[] body) {
-        /** What the worker says became of it. */
+        /** The outcome header of the worker, or {@code -} if it is absent. */
         public String outcome() {
             return headers.get(WorkerProtocol.OUTCOME, "-");
         }
     }
 
-    /** A request under way. */
+    /** A request in progress. */
     public static final class Open {
         private final CompletableFuture<Answer> answer = new CompletableFuture<>();
         private volatile Http2StreamChannel stream;
 
-        /** Its answer; fails where none will come. */
+        /** The response; completes exceptionally if none will come. */
         public CompletableFuture<Answer> answer() {
             return answer;
         }
 
-        /** Resets its stream, once it stands. */
+        /** Resets the stream, which must be open by now. */
         public void reset() {
             stream.writeAndFlush(new DefaultHttp2ResetFrame(Http2Error.CANCEL));
         }
     }
 
-    /** Connects to a port on loopback; throws where nobody listens. */
+    /** Connects to a port on loopback; throws if nothing listens there. */
     public H2Caller(EventLoopGroup group, int port) {
         channel = new Bootstrap()
                 .group(group)
@@ -69,8 +69,9 @@
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
-                    protected void initChannel(Channel c) {
-                        c.pipeline()
+                    protected void initChannel(Channel connection) {
+                        connection
+                                .pipeline()
                                 .addLast(
                                         Http2FrameCodecBuilder.forClient()
                                                 .encoderEnforceMaxConcurrentStreams(false)
@@ -87,7 +88,7 @@
 
                                             @Override
                                             public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                                                ctx.close(); // the worker died; its streams tell it
+                                                ctx.close(); // the worker died: each stream reports the loss
                                             }
                                         });
                     }
@@ -97,20 +98,20 @@
                 .channel();
     }
 
-    /** Done once the worker told this connection to go away. */
+    /** Completes when the worker sends GOAWAY on this connection. */
     public CompletableFuture<Void> goAway() {
         return goAway;
     }
 
-    /** Sends a request and waits for nothing; the future fails where no answer will come. */
+    /** Sends a request without waiting; the future completes exceptionally if no response will come. */
     public CompletableFuture<Answer> send(HttpMethod method, String path, byte[] body, String... headers) {
         return open(method, path, body, headers).answer;
     }
 
-    /** Sends a request. Headers are names and values in turn. */
+    /** Sends a request. {@code headers} alternates names and values. */
     public Open open(HttpMethod method, String path, byte[] body, String... headers) {
-        Open open = new Open();
-        CompletableFuture<Answer> answer = open.answer;
+        Open exchange = new Open();
+        CompletableFuture<Answer> answer = exchange.answer;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
         request.headers().set("x-http2-scheme", "http");
@@ -124,14 +125,15 @@
                         stream.pipeline()
                                 .addLast(
                                         new Http2StreamFrameToHttpObjectCodec(false),
-                                        new HttpObjectAggregator(MOST_ANSWER),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                         new SimpleChannelInboundHandler<FullHttpResponse>() {
                                             @Override
-                                            protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse r) {
+                                            protected void channelRead0(
+                                                    ChannelHandlerContext ctx, FullHttpResponse response) {
                                                 answer.complete(new Answer(
-                                                        r.status().code(),
-                                                        r.headers().copy(),
-                                                        ByteBufUtil.getBytes(r.content())));
+                                                        response.status().code(),
+                                                        response.headers().copy(),
+                                                        ByteBufUtil.getBytes(response.content())));
                                             }
 
                                             @Override
@@ -144,13 +146,13 @@
                 .open()
                 .addListener(opened -> {
                     if (opened.isSuccess()) {
-                        open.stream = (Http2StreamChannel) opened.getNow();
-                        open.stream.writeAndFlush(request);
+                        exchange.stream = (Http2StreamChannel) opened.getNow();
+                        exchange.stream.writeAndFlush(request);
                     } else {
                         answer.completeExceptionally(opened.cause());
                     }
                 });
-        return open;
+        return exchange;
     }
 
     @Override
--- a/stand-ins/src/main/java/wharfhinge/standin/HttpCaller.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/HttpCaller.java
@@ -24,26 +24,30 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentLinkedDeque;
 
-/** A plain HTTP/1.1 client on kept connections, one call at a time on each; any thread may call. */
+/** An HTTP/1.1 client of one port that reuses connections, one call at a time on each. Thread-safe. */
 public final class HttpCaller {
-    private static final int MOST_ANSWER = 1 << 24;
+    private static final int MAX_RESPONSE_BYTES = 1 << 24;
 
-    /** Told how a call goes, on an I/O thread. */
+    /** Receives the progress of a call on an I/O thread. */
     public interface Reply {
-        /** The request is on the wire. */
+        /** The request was written to the socket. */
         default void sent() {}
 
-        /** The whole answer came. */
+        /** The whole response was received. */
         void answered(int status, HttpHeaders headers, byte[] body);
 
-        /** No answer will come. */
+        /**
+         * No response will come: the connection failed or was closed.
+         *
+         * @param wasSent whether a connection existed, so that the request may have been sent
+         */
         void broken(boolean wasSent);
     }
 
     private final Bootstrap bootstrap;
     private final ConcurrentLinkedDeque<Channel> idle = new ConcurrentLinkedDeque<>();
 
-    /** A client of one port on loopback. */
+    /** A client of a port on loopback. */
     public HttpCaller(EventLoopGroup group, int port) {
         bootstrap = new Bootstrap()
                 .group(group)
@@ -56,101 +60,108 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new HttpClientCodec(), new HttpObjectAggregator(MOST_ANSWER), new Connection());
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                        new Connection());
                     }
                 });
     }
 
-    /** A call under way. */
+    /** A call in progress. */
     public final class Call {
         private final FullHttpRequest request;
-        private final Reply reply;
+        private final Reply responseHandler;
         private volatile Channel channel;
-        private volatile boolean over;
+        private volatile boolean finished;
 
-        private Call(FullHttpRequest request, Reply reply) {
+        private Call(FullHttpRequest request, Reply responseHandler) {
             this.request = request;
-            this.reply = reply;
+            this.responseHandler = responseHandler;
         }
 
-        /** Gives up: the connection is closed, and nothing more is told. */
+        /** Closes the connection; the handler receives nothing further. */
         public void abandon() {
-            over = true;
-            Channel c = channel;
-            if (c != null) {
-                c.close();
+            finished = true;
+            Channel current = channel;
+            if (current != null) {
+                current.close();
             }
         }
     }
 
-    /** Calls; {@code body} may be empty. */
+    /** Sends a request; {@code body} may be empty. */
     public Call call(
-            HttpMethod method, String path, Map<? extends CharSequence, String> headers, byte[] body, Reply reply) {
+            HttpMethod method,
+            String path,
+            Map<? extends CharSequence, String> headers,
+            byte[] body,
+            Reply responseHandler) {
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
         headers.forEach((name, value) -> request.headers().set(name, value));
         request.headers().set(HttpHeaderNames.HOST, "loopback").setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        Call call = new Call(request, reply);
-        Channel kept = idle.pollFirst();
-        while (kept != null && !kept.isActive()) {
-            kept = idle.pollFirst();
+        Call call = new Call(request, responseHandler);
+        Channel reused = idle.pollFirst();
+        while (reused != null && !reused.isActive()) {
+            reused = idle.pollFirst();
         }
-        if (kept != null) {
-            begin(kept, call);
+        if (reused != null) {
+            send(reused, call);
         } else {
-            bootstrap.connect().addListener((ChannelFuture done) -> {
-                if (done.isSuccess()) {
-                    begin(done.channel(), call);
-                } else if (!call.over) {
-                    call.over = true;
-                    reply.broken(false);
+            bootstrap.connect().addListener((ChannelFuture connected) -> {
+                if (connected.isSuccess()) {
+                    send(connected.channel(), call);
+                } else if (!call.finished) {
+                    call.finished = true;
+                    responseHandler.broken(false);
                 }
             });
         }
         return call;
     }
 
-    private static void begin(Channel channel, Call call) {
+    private static void send(Channel channel, Call call) {
         channel.eventLoop().execute(() -> {
             call.channel = channel;
-            if (call.over) {
+            if (call.finished) {
                 channel.close();
                 return;
             }
-            channel.pipeline().get(Connection.class).open = call;
+            channel.pipeline().get(Connection.class).currentCall = call;
             channel.writeAndFlush(call.request).addListener(written -> {
                 if (written.isSuccess()) {
-                    call.reply.sent();
+                    call.responseHandler.sent();
                 }
             });
         });
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private Call open;
+        private Call currentCall;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Call call = open;
-            open = null;
-            if (call == null || call.over) {
+            Call call = currentCall;
+            currentCall = null;
+            if (call == null || call.finished) {
                 ctx.close();
                 return;
             }
-            call.over = true;
+            call.finished = true;
             if (HttpUtil.isKeepAlive(response)) {
                 idle.addFirst(ctx.channel());
             } else {
                 ctx.close();
             }
-            call.reply.answered(response.status().code(), response.headers(), ByteBufUtil.getBytes(response.content()));
+            call.responseHandler.answered(
+                    response.status().code(), response.headers(), ByteBufUtil.getBytes(response.content()));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (open != null && !open.over) {
-                open.over = true;
-                open.reply.broken(true);
+            if (currentCall != null && !currentCall.finished) {
+                currentCall.finished = true;
+                currentCall.responseHandler.broken(true);
             }
         }
 
--- a/stand-ins/src/main/java/wharfhinge/standin/Net.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Net.java
@@ -20,21 +20,21 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Sockets of the stand-ins; loopback only. */
+/** Server sockets and HTTP helpers of the emulators; loopback only. */
 public final class Net {
     private static final String LOOPBACK = "127.0.0.1";
 
     private Net() {}
 
-    /** A group of I/O threads. */
+    /** Creates a group of I/O threads. */
     public static EventLoopGroup group(int threads) {
         return new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
     }
 
-    /** Listens on loopback; port 0 takes any that is free. */
-    static Channel listen(EventLoopGroup acceptor, EventLoopGroup group, int port, Consumer<Channel> accepted) {
+    /** Listens on loopback; port 0 selects a free port. */
+    static Channel listen(EventLoopGroup acceptorGroup, EventLoopGroup group, int port, Consumer<Channel> onAccepted) {
         return new ServerBootstrap()
-                .group(acceptor, group)
+                .group(acceptorGroup, group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(ChannelOption.SO_BACKLOG, 1024)
@@ -42,7 +42,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        accepted.accept(channel);
+                        onAccepted.accept(channel);
                     }
                 })
                 .bind(LOOPBACK, port)
@@ -50,14 +50,14 @@
                 .channel();
     }
 
-    /** Listens for HTTP/1.1 with whole requests. */
+    /** Listens for HTTP/1.1; the handler receives aggregated requests. */
     static Channel listenHttp(EventLoopGroup group, int port, Supplier<ChannelHandler> handler) {
         return listen(group, group, port, channel -> channel.pipeline()
                 .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 20), handler.get()));
     }
 
-    static int port(Channel listening) {
-        return ((java.net.InetSocketAddress) listening.localAddress()).getPort();
+    static int port(Channel listener) {
+        return ((java.net.InetSocketAddress) listener.localAddress()).getPort();
     }
 
     static FullHttpResponse response(int status, byte[] body) {
--- a/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
@@ -26,51 +26,51 @@
 import wharfhinge.protocol.RosterFrame;
 import wharfhinge.protocol.RosterProtocol;
 
-/** A roster that learns of changes late and pushes them; lives on one event loop. */
+/** Emulator of the endpoint service that publishes changes after a delay and pushes them to its streams. Runs on one event loop. */
 public final class RosterStandIn implements AutoCloseable {
-    private static final int BEAT_MS = 500;
+    private static final int HEARTBEAT_INTERVAL_MS = 500;
 
     private final EventLoop loop;
     private final Trace trace;
     private final Map<String, RosterEntry> entries = new LinkedHashMap<>();
     private final Map<String, Long> startedAt = new LinkedHashMap<>();
-    private final Map<Channel, String> watchers = new LinkedHashMap<>();
-    private volatile Channel listening;
+    private final Map<Channel, String> subscribers = new LinkedHashMap<>();
+    private volatile Channel listener;
     private final int port;
     private long revision = 1;
     private volatile long lagMillis;
-    private volatile boolean mute;
+    private volatile boolean silent;
 
-    /** A roster that tells changes {@code lagMs} after they are reported to it. */
+    /** Starts an endpoint service that publishes changes {@code lagMillis} after they are reported to it. */
     public RosterStandIn(EventLoopGroup group, int port, long lagMillis, Trace trace) {
         this.loop = group.next();
         this.trace = trace;
         this.lagMillis = lagMillis;
-        this.listening = Net.listenHttp(loop, port, Requests::new);
-        this.port = Net.port(listening);
+        this.listener = Net.listenHttp(loop, port, RequestHandler::new);
+        this.port = Net.port(listener);
         loop.scheduleAtFixedRate(
                 () -> push(new RosterFrame(RosterFrame.Kind.HEARTBEAT, 0, revision, List.of())),
-                BEAT_MS,
-                BEAT_MS,
+                HEARTBEAT_INTERVAL_MS,
+                HEARTBEAT_INTERVAL_MS,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Where it listens. */
+    /** The port that it listens on. */
     public int port() {
         return port;
     }
 
-    /** How late it is from now on. */
-    public void lag(long ms) {
-        lagMillis = ms;
+    /** Sets the delay of changes reported from now on. */
+    public void lag(long millis) {
+        lagMillis = millis;
     }
 
-    /** While mute its streams stand but say nothing, not even that they live. */
-    public void mute(boolean now) {
-        mute = now;
+    /** While silent, its streams stay open but carry nothing, not even heartbeats. */
+    public void mute(boolean isSilent) {
+        silent = isSilent;
     }
 
-    /** Reports a worker's state; it is told after the lag. A start is told by a boot not known before. */
+    /** Reports a worker's state, which is published after the delay. A new boot id marks a new start. */
     public void report(RosterEntry entry) {
         long at = System.nanoTime();
         loop.schedule(
@@ -79,70 +79,72 @@
                     if (before == null || !before.boot().equals(entry.boot())) {
                         startedAt.put(entry.id(), at - Math.max(0, entry.ageMillis()) * 1_000_000L);
                     }
-                    long from = revision++;
+                    long previousRevision = revision++;
                     if (entry.state() == RosterEntry.State.GONE) {
                         entries.remove(entry.id());
                     } else {
                         entries.put(entry.id(), entry);
                     }
-                    push(new RosterFrame(RosterFrame.Kind.CHANGES, from, revision, List.of(aged(entry))));
+                    push(new RosterFrame(
+                            RosterFrame.Kind.CHANGES, previousRevision, revision, List.of(withCurrentAge(entry))));
                 },
                 lagMillis,
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Sends a frame as it is, to try what a gateway makes of it. */
+    /** Sends a frame unchanged to all streams, to test how a gateway handles it. */
     public void push(RosterFrame frame) {
         loop.execute(() -> {
-            if (!mute) {
-                watchers.forEach((channel, gateway) -> write(channel, gateway, frame));
+            if (!silent) {
+                subscribers.forEach((channel, gateway) -> write(channel, gateway, frame));
             }
         });
     }
 
-    /** Cuts all streams and refuses new ones, or takes them again; not for its own event loop's thread. */
-    public void lost(boolean now) {
-        if (!now) {
-            listening = Net.listenHttp(loop, port, Requests::new);
+    /** Closes all streams and stops listening, or listens again. Must not be called on its own event loop. */
+    public void lost(boolean unreachable) {
+        if (!unreachable) {
+            listener = Net.listenHttp(loop, port, RequestHandler::new);
             return;
         }
         loop.submit(() -> {
-                    listening.close();
-                    new ArrayList<>(watchers.keySet()).forEach(Channel::close);
+                    listener.close();
+                    new ArrayList<>(subscribers.keySet()).forEach(Channel::close);
                 })
                 .syncUninterruptibly();
     }
 
-    private RosterEntry aged(RosterEntry e) {
-        long age = e.ageMillis() == RosterEntry.UNKNOWN_AGE
+    private RosterEntry withCurrentAge(RosterEntry entry) {
+        long age = entry.ageMillis() == RosterEntry.UNKNOWN_AGE
                 ? RosterEntry.UNKNOWN_AGE
-                : (System.nanoTime() - startedAt.get(e.id())) / 1_000_000L;
-        return new RosterEntry(e.id(), e.zone(), e.kind(), e.cell(), e.state(), e.weight(), age, e.boot());
+                : (System.nanoTime() - startedAt.get(entry.id())) / 1_000_000L;
+        return new RosterEntry(
+                entry.id(), entry.zone(), entry.kind(), entry.cell(), entry.state(), entry.weight(), age, entry.boot());
     }
 
-    private RosterFrame whole() {
+    private RosterFrame snapshot() {
         return new RosterFrame(
                 RosterFrame.Kind.ALL,
                 0,
                 revision,
-                entries.values().stream().map(this::aged).toList());
+                entries.values().stream().map(this::withCurrentAge).toList());
     }
 
     private void write(Channel channel, String gateway, RosterFrame frame) {
-        boolean all = frame.kind() == RosterFrame.Kind.ALL;
+        boolean isSnapshot = frame.kind() == RosterFrame.Kind.ALL;
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(frame.text(), StandardCharsets.UTF_8)));
         if (frame.kind() != RosterFrame.Kind.HEARTBEAT) {
-            for (RosterEntry e : frame.entries()) {
+            for (RosterEntry entry : frame.entries()) {
                 trace.note(
                         "told",
                         "gw",
                         gateway,
                         "worker",
-                        e.id(),
+                        entry.id(),
                         "state",
-                        e.state(),
+                        entry.state(),
                         "boot",
-                        e.boot(),
+                        entry.boot(),
                         "rev",
                         frame.revision());
             }
@@ -153,7 +155,7 @@
                     "rev",
                     frame.revision(),
                     "whole",
-                    all,
+                    isSnapshot,
                     "workers",
                     String.join(
                             ",", frame.entries().stream().map(RosterEntry::id).toList()));
@@ -163,38 +165,38 @@
     @Override
     public void close() {
         loop.submit(() -> {
-                    listening.close();
-                    new ArrayList<>(watchers.keySet()).forEach(Channel::close);
+                    listener.close();
+                    new ArrayList<>(subscribers.keySet()).forEach(Channel::close);
                 })
                 .syncUninterruptibly();
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             String gateway = request.headers().get(RosterProtocol.GATEWAY, "-");
             if (query.path().equals(RosterProtocol.LIST_PATH)) {
-                ctx.writeAndFlush(Net.response(200, whole().text().getBytes(StandardCharsets.UTF_8)))
+                ctx.writeAndFlush(Net.response(200, snapshot().text().getBytes(StandardCharsets.UTF_8)))
                         .addListener(ChannelFutureListener.CLOSE);
                 return;
             }
             HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
             ctx.writeAndFlush(response);
-            if (mute) {
+            if (silent) {
                 return;
             }
-            watchers.put(ctx.channel(), gateway);
-            List<String> from = query.parameters().get("from");
-            if (from == null || !from.get(0).equals(Long.toString(revision))) {
-                write(ctx.channel(), gateway, whole());
+            subscribers.put(ctx.channel(), gateway);
+            List<String> requestedRevision = query.parameters().get("from");
+            if (requestedRevision == null || !requestedRevision.get(0).equals(Long.toString(revision))) {
+                write(ctx.channel(), gateway, snapshot());
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            watchers.remove(ctx.channel());
+            subscribers.remove(ctx.channel());
         }
 
         @Override
--- a/stand-ins/src/main/java/wharfhinge/standin/StandstillWatch.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/StandstillWatch.java
@@ -8,42 +8,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Notes in the trace when an I/O thread of this process stood still or was behind, so that what its clients and workers
- * noted late is not held against a gateway. Each thread is asked to come round at a fixed pace until the watch is closed.
+ * Records in the trace when an I/O thread of this process was stalled or overloaded, so that the trace verifier does not blame a gateway
+ * for events that the emulated clients and workers recorded late. Runs a periodic task on each thread until closed.
  */
 public final class StandstillWatch implements AutoCloseable {
-    private static final long PACE_MS = 20;
-    private static final long STANDSTILL_MS = 100;
+    private static final long CHECK_INTERVAL_MS = 20;
+    private static final long STALL_THRESHOLD_MS = 100;
 
     private final Trace trace;
-    private final List<Future<?>> beats = new ArrayList<>();
+    private final List<Future<?>> checks = new ArrayList<>();
 
-    /** A watch over these threads that begins at once. */
+    /** Starts to watch these threads. */
     public StandstillWatch(EventExecutorGroup threads, Trace trace) {
         this.trace = trace;
         for (EventExecutor thread : threads) {
-            Beat beat = new Beat();
-            beats.add(thread.scheduleWithFixedDelay(beat, PACE_MS, PACE_MS, TimeUnit.MILLISECONDS));
+            StallCheck check = new StallCheck();
+            checks.add(
+                    thread.scheduleWithFixedDelay(check, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS));
         }
     }
 
-    /** Comes round on one thread, and notes how long it was away. */
-    private final class Beat implements Runnable {
-        private long lastAt = System.nanoTime();
+    /** Periodic task on one thread that records the time since its last run if that exceeds the threshold. */
+    private final class StallCheck implements Runnable {
+        private long lastRunAt = System.nanoTime();
 
         @Override
         public void run() {
             long now = System.nanoTime();
-            long awayMillis = TimeUnit.NANOSECONDS.toMillis(now - lastAt);
-            if (awayMillis > STANDSTILL_MS) {
-                trace.note("recorder-stalled", "ms", awayMillis);
+            long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(now - lastRunAt);
+            if (elapsedMillis > STALL_THRESHOLD_MS) {
+                trace.note("recorder-stalled", "ms", elapsedMillis);
             }
-            lastAt = now;
+            lastRunAt = now;
         }
     }
 
     @Override
     public void close() {
-        beats.forEach(beat -> beat.cancel(false));
+        checks.forEach(check -> check.cancel(false));
     }
 }
--- a/stand-ins/src/main/java/wharfhinge/standin/StoreStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/StoreStandIn.java
@@ -10,59 +10,67 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The store that workers fetch from: slows down when crowded, turns fetches away past a limit, and can be shut. */
+/**
+ * Emulator of the package store. Fetches take longer when more are in flight than it serves at full speed, are rejected above a limit, and
+ * are all rejected while it is unavailable.
+ */
 public final class StoreStandIn implements AutoCloseable {
-    private final int fullPace;
-    private final int most;
+    private final int fullSpeedFetches;
+    private final int maxFetches;
     private final Trace trace;
-    private final AtomicInteger inHand = new AtomicInteger();
-    private final Channel listening;
-    private volatile boolean shut;
+    private final AtomicInteger inFlight = new AtomicInteger();
+    private final Channel listener;
+    private volatile boolean unavailable;
 
-    /** Serves {@code fullPace} fetches at a time at full pace and turns away beyond {@code most}. */
-    public StoreStandIn(EventLoopGroup group, int port, int fullPace, int most, Trace trace) {
-        this.fullPace = fullPace;
-        this.most = most;
+    /**
+     * Starts the store.
+     *
+     * @param fullSpeedFetches concurrent fetches that are served at full speed
+     * @param maxFetches       concurrent fetches above which further ones are rejected
+     */
+    public StoreStandIn(EventLoopGroup group, int port, int fullSpeedFetches, int maxFetches, Trace trace) {
+        this.fullSpeedFetches = fullSpeedFetches;
+        this.maxFetches = maxFetches;
         this.trace = trace;
-        this.listening = Net.listenHttp(group, port, Fetches::new);
+        this.listener = Net.listenHttp(group, port, FetchHandler::new);
     }
 
-    /** Where it listens. */
+    /** The port that it listens on. */
     public int port() {
-        return Net.port(listening);
+        return Net.port(listener);
     }
 
-    /** Shuts or opens it. */
-    public void shut(boolean now) {
-        shut = now;
+    /** Makes the store unavailable, or available again. */
+    public void shut(boolean isUnavailable) {
+        unavailable = isUnavailable;
     }
 
     @Override
     public void close() {
-        listening.close().syncUninterruptibly();
+        listener.close().syncUninterruptibly();
     }
 
-    private final class Fetches extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class FetchHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
-            List<String> ms = query.parameters().get("ms");
-            int now = inHand.incrementAndGet();
-            if (shut || now > most || ms == null) {
-                inHand.decrementAndGet();
-                trace.note("fetch", "path", query.path(), "status", 503, "in_hand", now);
+            List<String> fetchMillis = query.parameters().get("ms");
+            int currentFetches = inFlight.incrementAndGet();
+            if (unavailable || currentFetches > maxFetches || fetchMillis == null) {
+                inFlight.decrementAndGet();
+                trace.note("fetch", "path", query.path(), "status", 503, "in_hand", currentFetches);
                 ctx.writeAndFlush(Net.response(503, new byte[0]));
                 return;
             }
-            double crowd = Math.max(1, now / (double) fullPace);
-            trace.note("fetch", "path", query.path(), "status", 200, "in_hand", now);
+            double slowdown = Math.max(1, currentFetches / (double) fullSpeedFetches);
+            trace.note("fetch", "path", query.path(), "status", 200, "in_hand", currentFetches);
             ctx.executor()
                     .schedule(
                             () -> {
-                                inHand.decrementAndGet();
+                                inFlight.decrementAndGet();
                                 ctx.writeAndFlush(Net.response(200, new byte[0]));
                             },
-                            (long) (Double.parseDouble(ms.get(0)) * crowd * 1000),
+                            (long) (Double.parseDouble(fetchMillis.get(0)) * slowdown * 1000),
                             TimeUnit.MICROSECONDS);
         }
     }
--- a/stand-ins/src/main/java/wharfhinge/standin/Trace.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Trace.java
@@ -9,19 +9,19 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the stand-ins saw on their sockets: lines of a time in nanoseconds, a word, and pairs of a name and a value, set
- * apart by tabs. Any thread may write; lines stand in the order of writing, which may differ from that of their times.
+ * Events that the emulators observed on their sockets. Each is a line of tab-separated fields: time in nanoseconds, event word, and
+ * {@code name=value} pairs. Thread-safe. Lines are kept in the order of writing, which may differ from the order of their times.
  */
 public final class Trace {
     private final LongSupplier clock;
     private final List<String> lines = new ArrayList<>();
 
-    /** A record on a clock that all its writers share. */
+    /** A trace whose writers share a clock. */
     public Trace(LongSupplier clock) {
         this.clock = clock;
     }
 
-    /** Notes something, with names and values in turn. */
+    /** Records an event; {@code pairs} alternates names and values. */
     public void note(String word, Object... pairs) {
         StringBuilder line =
                 new StringBuilder(96).append(clock.getAsLong()).append('\t').append(word);
@@ -34,14 +34,14 @@
         }
     }
 
-    /** Takes lines that another process recorded on the same clock. */
+    /** Adds lines that another process recorded on the same clock. */
     public void take(List<String> recorded) {
         synchronized (lines) {
             lines.addAll(recorded);
         }
     }
 
-    /** All lines so far. */
+    /** A copy of all lines recorded so far. */
     public List<String> lines() {
         synchronized (lines) {
             return List.copyOf(lines);
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
@@ -211,13 +211,13 @@
         return handshakeMillis;
     }
 
-    boolean hangs() {
+    boolean isHanging() {
         return hang;
     }
 
     // ---- Life -------------------------------------------------------------------------------
 
-    void started() {
+    void start() {
         loop.execute(() -> {
             begin(spec.cold());
             loop.scheduleAtFixedRate(
@@ -275,7 +275,7 @@
         trace.note("died", "worker", id);
     }
 
-    void reborn() {
+    void restart() {
         up = true;
         draining = false;
         begin(true);
@@ -315,7 +315,7 @@
     }
 
     /** Does something that came in, later while the worker stands still. */
-    void inbound(Runnable what) {
+    void runUnlessPaused(Runnable what) {
         long wait = pausedUntil - System.nanoTime();
         int of = life;
         if (wait <= 0) {
@@ -337,7 +337,7 @@
         loop.schedule(
                 () -> {
                     if (of == life) {
-                        inbound(what);
+                        runUnlessPaused(what);
                     }
                 },
                 (long) (ms * 1000),
@@ -368,7 +368,7 @@
             tipped.run();
             return;
         }
-        inbound(() -> {
+        runUnlessPaused(() -> {
             if (draining) {
                 end(call, AnswerCode.FULL, CopyNote.NONE);
             } else if (hang) {
@@ -488,7 +488,7 @@
     }
 
     /** The gateway stopped waiting: what waits is dropped, what runs goes on. */
-    void cancelled(Call call) {
+    void cancel(Call call) {
         if (up && !call.over) {
             trace.note("cancelled", "worker", id, "call", call.id, "attempt", call.attempt);
             call.over = true;
@@ -498,8 +498,8 @@
 
     // ---- Loads ------------------------------------------------------------------------------
 
-    void hold(Call figures, int count, BiConsumer<AnswerCode, Integer> ended) {
-        inbound(() -> {
+    void orderLoad(Call figures, int count, BiConsumer<AnswerCode, Integer> ended) {
+        runUnlessPaused(() -> {
             if (hang) {
                 return;
             }
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
@@ -25,25 +25,25 @@
 import wharfhinge.protocol.LoadReport;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** A scripted worker on a socket: speaks docs/protocol-worker.md and plays a {@link WorkerModel}. One event loop each. */
+/** Emulator of a worker: serves docs/protocol-worker.md on a socket and simulates the work by a {@link WorkerModel}. Runs on one event loop. */
 public final class WorkerStandIn implements AutoCloseable {
-    private static final int MOST_BODY = 1 << 22;
+    private static final int MAX_BODY_BYTES = 1 << 22;
 
     private final EventLoop loop;
     private final Trace trace;
     private final WorkerModel model;
     private final Set<Channel> connections = new LinkedHashSet<>();
     private final int port;
-    private Channel listening;
+    private Channel listener;
 
-    /** A worker that listens on a port of loopback, 0 for any. */
+    /** Starts a worker on a port of loopback; port 0 selects a free port. */
     public WorkerStandIn(EventLoopGroup group, int port, WorkerModel.Spec spec, HttpCaller store, Trace trace) {
         this.loop = group.next();
         this.trace = trace;
-        this.listening = Net.listen(loop, loop, port, this::accepted);
-        this.port = Net.port(listening);
-        this.model = new WorkerModel(loop, id(), spec, store, trace, this::down);
-        model.started();
+        this.listener = Net.listen(loop, loop, port, this::onAccepted);
+        this.port = Net.port(listener);
+        this.model = new WorkerModel(loop, id(), spec, store, trace, this::stopProcess);
+        model.start();
     }
 
     /** {@code address:port}. */
@@ -51,37 +51,38 @@
         return "127.0.0.1:" + port;
     }
 
-    /** What it plays; its methods may be called from any thread. */
+    /** The simulated state and faults; its public methods are thread-safe. */
     public WorkerModel model() {
         return model;
     }
 
-    /** Its process dies at once: connections are lost, nothing is answered, nothing listens. */
+    /** Simulates the death of the process: connections close without responses and nothing listens. */
     public void kill() {
-        loop.submit(this::down).syncUninterruptibly();
+        loop.submit(this::stopProcess).syncUninterruptibly();
     }
 
-    /** A new process under the same address: empty and cold. */
+    /** Starts a new incarnation at the same address, with no copies loaded and cold. */
     public void restart() {
-        if (listening == null) {
-            Channel again = Net.listen(loop, loop, port, this::accepted);
+        if (listener == null) {
+            Channel newListener = Net.listen(loop, loop, port, this::onAccepted);
             loop.submit(() -> {
-                        listening = again;
-                        model.reborn();
+                        listener = newListener;
+                        model.restart();
                     })
                     .syncUninterruptibly();
         }
     }
 
-    /** Tells all connections to go away; what is open is finished. */
+    /** Sends GOAWAY on all connections; open streams are completed. */
     public void goAway() {
-        loop.execute(() -> connections.forEach(c -> c.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR))));
+        loop.execute(() -> connections.forEach(
+                connection -> connection.writeAndFlush(new DefaultHttp2GoAwayFrame(Http2Error.NO_ERROR))));
     }
 
-    private void down() {
-        if (listening != null) {
-            listening.close();
-            listening = null;
+    private void stopProcess() {
+        if (listener != null) {
+            listener.close();
+            listener = null;
         }
         model.died();
         Set.copyOf(connections).forEach(Channel::close);
@@ -92,25 +93,25 @@
         kill();
     }
 
-    private void accepted(Channel channel) {
+    private void onAccepted(Channel channel) {
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
-        long slow = model.handshakeMillis();
-        if (slow == 0) {
-            pipeline(channel);
+        long delayMillis = model.handshakeMillis();
+        if (delayMillis == 0) {
+            addHandlers(channel);
         } else {
             channel.config().setAutoRead(false);
             loop.schedule(
                     () -> {
-                        pipeline(channel);
+                        addHandlers(channel);
                         channel.config().setAutoRead(true);
                     },
-                    slow,
+                    delayMillis,
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void pipeline(Channel channel) {
+    private void addHandlers(Channel channel) {
         channel.pipeline()
                 .addLast(
                         Http2FrameCodecBuilder.forServer()
@@ -123,23 +124,23 @@
                                 stream.pipeline()
                                         .addLast(
                                                 new Http2StreamFrameToHttpObjectCodec(true),
-                                                new HttpObjectAggregator(MOST_BODY),
-                                                new Requests());
+                                                new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                new RequestHandler());
                             }
                         }),
-                        new Closer());
+                        new CloseOnError());
     }
 
-    /** A connection that breaks is closed and no more said of it. */
-    private static final class Closer extends ChannelInboundHandlerAdapter {
+    /** Closes a connection on any error, without logging. */
+    private static final class CloseOnError extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private WorkerModel.Call open;
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private WorkerModel.Call openCall;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -147,80 +148,84 @@
             String gateway = request.headers().get(WorkerProtocol.GATEWAY, "-");
             String boot = request.headers().get(WorkerProtocol.BOOT);
             if (boot != null && !boot.equals(model.boot()) && !path.startsWith(WorkerProtocol.PROBE_PATH)) {
-                fenced(ctx, path); // meant for a process that is no more
+                rejectFenced(ctx, path); // addressed to an earlier incarnation
                 return;
             }
             if (path.startsWith(WorkerProtocol.CALL_PATH)) {
-                open = WorkerModel.Call.of(
+                openCall = WorkerModel.Call.of(
                         path.substring(WorkerProtocol.CALL_PATH.length()), request, gateway, new WorkerModel.Reply() {
                             @Override
-                            public void answer(AnswerCode code, CopyNote note, int company, byte[] body) {
+                            public void answer(AnswerCode code, CopyNote note, int concurrentCalls, byte[] body) {
                                 FullHttpResponse response = Net.response(code.status(), body);
                                 response.headers().set(WorkerProtocol.OUTCOME, code.word());
                                 if (note != CopyNote.NONE) {
                                     response.headers().set(WorkerProtocol.NOTE, note.word());
                                 }
-                                response.headers().setInt(WorkerProtocol.CONCURRENT_CALLS, company);
-                                reported(response);
-                                open = null;
+                                response.headers().setInt(WorkerProtocol.CONCURRENT_CALLS, concurrentCalls);
+                                addLoadReport(response);
+                                openCall = null;
                                 ctx.writeAndFlush(response);
                             }
 
                             @Override
                             public void reset() {
-                                open = null;
+                                openCall = null;
                                 ctx.close();
                             }
                         });
-                model.call(open);
+                model.call(openCall);
             } else if (path.startsWith(WorkerProtocol.COPIES_PATH)) {
-                copies(ctx, request, path.substring(WorkerProtocol.COPIES_PATH.length()), gateway);
+                handleCopies(ctx, request, path.substring(WorkerProtocol.COPIES_PATH.length()), gateway);
             } else {
                 trace.note("probe", "worker", id(), "gw", gateway);
-                model.inbound(() -> {
-                    if (!model.hangs()) {
+                model.runUnlessPaused(() -> {
+                    if (!model.isHanging()) {
                         FullHttpResponse response = Net.response(200, new byte[0]);
                         response.headers().set(WorkerProtocol.OUTCOME, AnswerCode.SERVED.word());
-                        reported(response);
+                        addLoadReport(response);
                         ctx.writeAndFlush(response);
                     }
                 });
             }
         }
 
-        private void fenced(ChannelHandlerContext ctx, String path) {
+        private void rejectFenced(ChannelHandlerContext ctx, String path) {
             trace.note("fenced", "worker", id(), "path", path);
             FullHttpResponse response = Net.response(AnswerCode.FULL.status(), new byte[0]);
             response.headers()
                     .set(WorkerProtocol.OUTCOME, AnswerCode.FULL.word())
                     .setInt(WorkerProtocol.COUNT, 0);
-            reported(response);
+            addLoadReport(response);
             ctx.writeAndFlush(response);
         }
 
-        private void copies(ChannelHandlerContext ctx, FullHttpRequest request, String rest, String gateway) {
+        private void handleCopies(
+                ChannelHandlerContext ctx, FullHttpRequest request, String functionAndQuery, String gateway) {
             if (request.method().equals(HttpMethod.DELETE)) {
-                trace.note("unload", "worker", id(), "fn", rest, "gw", gateway);
-                model.inbound(() -> {
-                    model.unload(rest);
+                trace.note("unload", "worker", id(), "fn", functionAndQuery, "gw", gateway);
+                model.runUnlessPaused(() -> {
+                    model.unload(functionAndQuery);
                     ctx.writeAndFlush(Net.response(204, new byte[0]));
                 });
                 return;
             }
-            int at = rest.indexOf(WorkerProtocol.COUNT_PARAMETER);
-            String function = at < 0 ? rest : rest.substring(0, at);
-            int count = at < 0 ? 0 : Integer.parseInt(rest.substring(at + WorkerProtocol.COUNT_PARAMETER.length()));
+            int queryStart = functionAndQuery.indexOf(WorkerProtocol.COUNT_PARAMETER);
+            String function = queryStart < 0 ? functionAndQuery : functionAndQuery.substring(0, queryStart);
+            int count = queryStart < 0
+                    ? 0
+                    : Integer.parseInt(
+                            functionAndQuery.substring(queryStart + WorkerProtocol.COUNT_PARAMETER.length()));
             trace.note("hold", "worker", id(), "fn", function, "count", count, "gw", gateway);
-            WorkerModel.Call figures = WorkerModel.Call.of(function, request, gateway, null);
-            model.hold(figures, count, (code, stand) -> {
+            WorkerModel.Call functionFigures = WorkerModel.Call.of(function, request, gateway, null);
+            model.orderLoad(functionFigures, count, (code, loadedCopies) -> {
                 FullHttpResponse response = Net.response(code.status(), new byte[0]);
-                response.headers().set(WorkerProtocol.OUTCOME, code.word()).setInt(WorkerProtocol.COUNT, stand);
-                reported(response);
+                response.headers().set(WorkerProtocol.OUTCOME, code.word()).setInt(WorkerProtocol.COUNT, loadedCopies);
+                addLoadReport(response);
                 ctx.writeAndFlush(response);
             });
         }
 
-        private void reported(FullHttpResponse response) {
+        private void addLoadReport(FullHttpResponse response) {
             response.headers()
                     .set(WorkerProtocol.REPORT, LoadReport.format(model.report()))
                     .set(WorkerProtocol.BOOT, model.boot());
@@ -228,9 +233,9 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (open != null) {
-                model.cancelled(open);
-                open = null;
+            if (openCall != null) {
+                model.cancel(openCall);
+                openCall = null;
             }
         }
 
--- a/stand-ins/src/main/java/wharfhinge/standin/fault/FaultInjection.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/fault/FaultInjection.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Makes system calls of a process fail while it runs, and steps its wall clock. A library in C, built by the machine's compiler and loaded
- * into that process alone (LD_PRELOAD), reads a table in a file that this object maps. Any thread.
+ * Makes system calls of a running process fail, and steps its wall clock. A C library, built by the machine's compiler and preloaded into
+ * that process alone ({@code LD_PRELOAD}), reads its rules from a table in a file that this object maps too. Thread-safe.
  */
 public final class FaultInjection {
-    /** What can be made to fail, in the order of the table. Reads and writes are those on sockets. */
+    /** The system calls that can be made to fail, in the order of the table. READ and WRITE concern sockets only. */
     public enum SystemCall {
         ACCEPT,
         SOCKET,
@@ -31,7 +31,7 @@
         FILE_SYNC
     }
 
-    /** Error numbers of Linux, as <em>errno(3)</em> lists them. */
+    /** Error numbers of Linux, see <em>errno(3)</em>. */
     public enum ErrorNumber {
         EINTR(4),
         EIO(5),
@@ -60,11 +60,11 @@
     private static final long COMPILER_TIMEOUT_SECONDS = 60;
     private static final int HEADER_BYTES = Long.BYTES;
     private static final int RULE_BYTES = 6 * Integer.BYTES;
-    private static final int ONE_IN = Integer.BYTES;
-    private static final int MAX_BYTES = 2 * Integer.BYTES;
-    private static final int COUNT = 3 * Integer.BYTES;
-    private static final int FAILED = 4 * Integer.BYTES;
-    private static final int TOTAL = 5 * Integer.BYTES;
+    private static final int ONE_IN_OFFSET = Integer.BYTES;
+    private static final int MAX_BYTES_OFFSET = 2 * Integer.BYTES;
+    private static final int COUNT_OFFSET = 3 * Integer.BYTES;
+    private static final int FAILED_OFFSET = 4 * Integer.BYTES;
+    private static final int TOTAL_OFFSET = 5 * Integer.BYTES;
 
     private final Path library;
     private final Path tableFile;
@@ -77,14 +77,14 @@
     }
 
     /**
-     * Builds the library in a folder.
+     * Builds the library and creates its table file in a folder.
      *
-     * @throws IOException where there is no C compiler named {@code cc}, or it fails; the message says which
+     * @throws IOException if there is no C compiler named {@code cc} or it fails; the message says which
      */
     public static FaultInjection build(Path folder) throws IOException, InterruptedException {
         Path source = folder.resolve(SOURCE);
-        try (InputStream text = FaultInjection.class.getResourceAsStream(SOURCE)) {
-            Files.copy(text, source, StandardCopyOption.REPLACE_EXISTING);
+        try (InputStream sourceStream = FaultInjection.class.getResourceAsStream(SOURCE)) {
+            Files.copy(sourceStream, source, StandardCopyOption.REPLACE_EXISTING);
         }
         Path library = folder.resolve("fault_injection.so");
         compile(source, library);
@@ -114,43 +114,43 @@
         }
     }
 
-    /** Has a process that is to be started with this environment load the library. */
+    /** Adds the variables that make a process started with this environment load the library. */
     public void addTo(Map<String, String> environment) {
         environment.put("LD_PRELOAD", library.toAbsolutePath().toString());
         environment.put("FAULT_TABLE", tableFile.toAbsolutePath().toString());
     }
 
-    /** From now on one in so many of these calls fails with this error. */
+    /** From now on, one in every {@code oneIn} of these calls fails with this error. */
     public void fail(SystemCall call, ErrorNumber error, int oneIn) {
-        table.putInt(offset(call) + ONE_IN, oneIn);
-        table.putInt(offset(call) + COUNT, 0);
+        table.putInt(offset(call) + ONE_IN_OFFSET, oneIn);
+        table.putInt(offset(call) + COUNT_OFFSET, 0);
         table.putInt(offset(call), error.value);
     }
 
-    /** From now on these calls read or write no more than so many bytes. */
+    /** From now on, each of these calls transfers at most {@code maxBytes} bytes. */
     public void shorten(SystemCall call, int maxBytes) {
-        table.putInt(offset(call) + MAX_BYTES, maxBytes);
+        table.putInt(offset(call) + MAX_BYTES_OFFSET, maxBytes);
     }
 
-    /** From now on these calls do as the kernel says. */
+    /** Removes all faults from these calls: from now on they go to the kernel unchanged. */
     public void stop(SystemCall call) {
         table.putInt(offset(call), 0);
-        table.putInt(offset(call) + MAX_BYTES, 0);
+        table.putInt(offset(call) + MAX_BYTES_OFFSET, 0);
     }
 
-    /** Steps the wall clock to so much after the machine's, or before where negative. */
+    /** Sets the process's wall clock {@code millis} ahead of the machine's, or behind it if negative. */
     public void stepWallClock(long millis) {
         table.putLong(0, TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    /** How many of these calls failed so far by {@link #fail}. */
+    /** The number of these calls that {@link #fail} has made fail so far. */
     public int failed(SystemCall call) {
-        return table.getInt(offset(call) + FAILED);
+        return table.getInt(offset(call) + FAILED_OFFSET);
     }
 
-    /** How many of these calls were made so far. */
+    /** The number of these calls made so far. */
     public int total(SystemCall call) {
-        return table.getInt(offset(call) + TOTAL);
+        return table.getInt(offset(call) + TOTAL_OFFSET);
     }
 
     private static int offset(SystemCall call) {
--- a/stand-ins/src/main/java/wharfhinge/standin/fault/package-info.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/fault/package-info.java
@@ -1,2 +1,2 @@
-/** Faults of the operating system, injected into processes under test. */
+/** Injects system call failures and wall-clock steps into processes under test. */
 package wharfhinge.standin.fault;
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
@@ -17,7 +17,7 @@
  */
 public final class Judge {
     private static final long MS = 1_000_000L;
-    private static final long SLACK = Standstills.SLACK_NANOS;
+    private static final long SLACK = StallIntervals.SLACK_NANOS;
     private static final int SHOWN = 5;
     private static final long WARM_UP = 10_000 * MS; // of the chains' figures alone; gateways start within it
 
@@ -86,7 +86,7 @@
     private final Rules rules;
     private final List<Line> lines = new ArrayList<>();
     private final Map<String, Call> calls = new LinkedHashMap<>();
-    private final Standstills standstills = new Standstills();
+    private final StallIntervals standstills = new StallIntervals();
     private int explainedByMachine;
     private final Map<Integer, List<String>> broken = new TreeMap<>();
 
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/Standstills.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/StallIntervals.java
@@ -11,7 +11,7 @@
  * When gateways, workers and the process that records the clients were down, stopped, or not run by the machine. Spans may be added in any
  * order, all before the first question. Times in nanoseconds on the clock of the trace. One thread.
  */
-final class Standstills {
+final class StallIntervals {
     /** What a loopback socket and a busy machine may add between two recorders. */
     static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
--- a/stand-ins/src/main/java/wharfhinge/standin/package-info.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Scripted peers of a gateway: workers, store, roster and clients that only play figures, the troubles that befall them,
- * and a record of what they saw on their sockets. Nothing here uses code of the gateway.
+ * Emulators of a gateway's peers (workers, package store, endpoint service and clients) that simulate work by delays, the
+ * faults that a scenario injects into them, and the trace of what they saw on their sockets. Uses no code of the gateway.
  */
 @XmlSchema(namespace = "urn:wharfhinge:scenario:1", elementFormDefault = XmlNsForm.QUALIFIED)
 package wharfhinge.standin;
--- a/stand-ins/src/main/resources/wharfhinge/standin/fault/fault_injection.c
+++ b/stand-ins/src/main/resources/wharfhinge/standin/fault/fault_injection.c
@@ -1,8 +1,8 @@
 /*
- * Fails system calls of the process that it is loaded into (LD_PRELOAD), and steps its wall clock.
+ * Makes system calls of the process that preloads it (LD_PRELOAD) fail, and steps its wall clock.
  *
- * What fails stands in a table in a file that the test maps and changes while the process runs; its layout is that of
- * FaultInjection.java. Only sockets are concerned by READ and WRITE, only other files by FILE_WRITE and FILE_SYNC.
+ * The rules are in a table in a file that the test maps and changes while the process runs. The layout must match
+ * FaultInjection.java. READ and WRITE concern sockets only; FILE_WRITE and FILE_SYNC concern other files only.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,12 +21,12 @@
 enum call { ACCEPT, SOCKET, CONNECT, READ, WRITE, SENDTO, RECVFROM, EPOLL_WAIT, FILE_WRITE, FILE_SYNC, CALLS };
 
 struct rule {
-    int32_t error;     /* errno to fail with; 0 for none */
-    int32_t one_in;    /* fails each call so divided; 1 for all */
-    int32_t max_bytes; /* of a read or write; 0 for any number */
-    int32_t count;     /* calls seen while the rule held */
-    int32_t failed;    /* calls that failed */
-    int32_t total;     /* calls seen in all */
+    int32_t error;     /* errno to fail with; 0 if calls are not to fail */
+    int32_t one_in;    /* fails one in this many calls; 1 fails all */
+    int32_t max_bytes; /* limit of one read or write; 0 for no limit */
+    int32_t count;     /* calls made since the error was set */
+    int32_t failed;    /* calls that were made to fail */
+    int32_t total;     /* all calls made */
 };
 
 struct table {
@@ -50,8 +50,8 @@
     close(fd);
 }
 
-/* The errno that a call is to fail with, or 0. */
-static int failure(enum call call) {
+/* Counts a call and returns the errno that it is to fail with, or 0. */
+static int injected_errno(enum call call) {
     struct rule *rule = &table->rules[call];
     __atomic_add_fetch(&rule->total, 1, __ATOMIC_RELAXED);
     int error = __atomic_load_n(&rule->error, __ATOMIC_RELAXED);
@@ -71,10 +71,10 @@
     return fstat(fd, &status) == 0 && S_ISSOCK(status.st_mode);
 }
 
-/* How much of a read or write is to be done. */
+/* The number of bytes that one read or write may transfer. */
 static size_t bounded(enum call call, size_t bytes) {
-    int32_t most = table->rules[call].max_bytes;
-    return most > 0 && bytes > (size_t) most ? (size_t) most : bytes;
+    int32_t max_bytes = table->rules[call].max_bytes;
+    return max_bytes > 0 && bytes > (size_t) max_bytes ? (size_t) max_bytes : bytes;
 }
 
 #define REAL(name) \
@@ -83,9 +83,9 @@
         real = (__typeof__(name) *) dlsym(RTLD_NEXT, #name); \
     }
 
-#define FAIL_IF_TOLD(call) \
+#define FAIL_IF_INJECTED(call) \
     do { \
-        int error = failure(call); \
+        int error = injected_errno(call); \
         if (error != 0) { \
             errno = error; \
             return -1; \
@@ -94,27 +94,27 @@
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(accept);
-    FAIL_IF_TOLD(ACCEPT);
+    FAIL_IF_INJECTED(ACCEPT);
     return real(fd, address, length);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4);
-    FAIL_IF_TOLD(ACCEPT);
+    FAIL_IF_INJECTED(ACCEPT);
     return real(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    FAIL_IF_TOLD(SOCKET);
+    FAIL_IF_INJECTED(SOCKET);
     return real(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    int error = failure(CONNECT);
+    int error = injected_errno(CONNECT);
     if (error == EINTR) {
-        real(fd, address, length); /* it goes on to connect */
+        real(fd, address, length); /* an interrupted connect still completes in the kernel, see connect(2) */
     }
     if (error != 0) {
         errno = error;
@@ -128,7 +128,7 @@
     if (!is_socket(fd)) {
         return real(fd, bytes, size);
     }
-    FAIL_IF_TOLD(READ);
+    FAIL_IF_INJECTED(READ);
     return real(fd, bytes, bounded(READ, size));
 }
 
@@ -137,7 +137,7 @@
     if (!is_socket(fd)) {
         return real(fd, parts, count);
     }
-    FAIL_IF_TOLD(READ);
+    FAIL_IF_INJECTED(READ);
     if (table->rules[READ].max_bytes > 0 && count > 0) {
         return read(fd, parts[0].iov_base, bounded(READ, parts[0].iov_len));
     }
@@ -150,14 +150,14 @@
     if (call == FILE_WRITE && fd <= STDERR_FILENO) {
         return real(fd, bytes, size);
     }
-    FAIL_IF_TOLD(call);
+    FAIL_IF_INJECTED(call);
     return real(fd, bytes, bounded(call, size));
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev);
     enum call call = is_socket(fd) ? WRITE : FILE_WRITE;
-    FAIL_IF_TOLD(call);
+    FAIL_IF_INJECTED(call);
     if (table->rules[call].max_bytes > 0 && count > 0) {
         return write(fd, parts[0].iov_base, bounded(call, parts[0].iov_len));
     }
@@ -166,38 +166,38 @@
 
 ssize_t pwrite64(int fd, const void *bytes, size_t size, off64_t offset) {
     REAL(pwrite64);
-    FAIL_IF_TOLD(FILE_WRITE);
+    FAIL_IF_INJECTED(FILE_WRITE);
     return real(fd, bytes, bounded(FILE_WRITE, size), offset);
 }
 
 int fsync(int fd) {
     REAL(fsync);
-    FAIL_IF_TOLD(FILE_SYNC);
+    FAIL_IF_INJECTED(FILE_SYNC);
     return real(fd);
 }
 
 int fdatasync(int fd) {
     REAL(fdatasync);
-    FAIL_IF_TOLD(FILE_SYNC);
+    FAIL_IF_INJECTED(FILE_SYNC);
     return real(fd);
 }
 
 ssize_t sendto(int fd, const void *bytes, size_t size, int flags, const struct sockaddr *to, socklen_t length) {
     REAL(sendto);
-    FAIL_IF_TOLD(SENDTO);
+    FAIL_IF_INJECTED(SENDTO);
     return real(fd, bytes, size, flags, to, length);
 }
 
 ssize_t recvfrom(int fd, void *bytes, size_t size, int flags, struct sockaddr *from, socklen_t *length) {
     REAL(recvfrom);
-    FAIL_IF_TOLD(RECVFROM);
+    FAIL_IF_INJECTED(RECVFROM);
     return real(fd, bytes, size, flags, from, length);
 }
 
-int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int timeout) {
     REAL(epoll_wait);
-    FAIL_IF_TOLD(EPOLL_WAIT);
-    return real(fd, events, most, timeout);
+    FAIL_IF_INJECTED(EPOLL_WAIT);
+    return real(fd, events, max_events, timeout);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *time) {
