--- a/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
@@ -18,16 +18,22 @@
 import wharfhinge.protocol.ClientProtocol;
 
 /**
- * Clients that send calls at their own pace, whatever becomes of them; retry where that is harmless, and give up. Draws
- * all calls ahead from a seed, so that two runs offer the same. What troubles change may be set from any thread.
+ * Open-loop clients: send calls at a given rate whatever their outcome, retry where that is safe, and cancel after a time. All calls are
+ * drawn from a seeded random source, so that two runs offer the same calls. Faults may be set from any thread.
  */
 public final class LoadClients implements AutoCloseable {
-    /** After the deadline that a gateway was told: later than the judge's latest answer in time, so that a late one is seen to be late. */
-    private static final long LEAVES_AFTER_MS = 400;
+    /** Wait after a call's deadline before cancelling it: longer than the trace verifier's tolerance, so that late answers are seen. */
+    private static final long CANCEL_AFTER_DEADLINE_MS = 400;
 
     private static final int ID_BASE = 1_000_000;
 
-    /** A class of calls; times in milliseconds. */
+    /**
+     * A class of calls; times in milliseconds.
+     *
+     * @param share        of all single calls
+     * @param aimMillis    latency objective
+     * @param giveUpMillis deadline
+     */
     public record CallClass(
             String name,
             String effect,
@@ -39,7 +45,16 @@
             double memoryMb,
             int lanes) {}
 
-    /** All that is offered. */
+    /**
+     * The offered traffic.
+     *
+     * @param perS           calls a second
+     * @param functions      number of functions in each class
+     * @param zipf           exponent of the popularity of functions
+     * @param retries        retries of a call at most
+     * @param chainShare     share of calls that are chains
+     * @param chainAimMillis deadline of a chain
+     */
     public record Traffic(
             double perS,
             int functions,
@@ -52,33 +67,33 @@
     private final Traffic traffic;
     private final Trace trace;
     private final List<HttpCaller> gateways = new ArrayList<>();
-    private final List<String> names = new ArrayList<>();
+    private final List<String> gatewayNames = new ArrayList<>();
     private final UniformRandomProvider random;
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1, task -> {
         Thread thread = new Thread(task, "clients");
         thread.setDaemon(true);
         return thread;
     });
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openCalls = new AtomicInteger();
     private final double[] popularity;
-    private int numbers = ID_BASE;
-    private volatile double rate = 1;
+    private int nextCallNumber = ID_BASE;
+    private volatile double rateFactor = 1;
     private volatile double hotShare;
     private volatile int hotFunctions = 1;
     private volatile double scanShare;
     private volatile double heavyShare;
-    private volatile double heavyTimes = 1;
-    private volatile double leaveShare;
+    private volatile double heavyFactor = 1;
+    private volatile double earlyCancelShare;
     private volatile double firstGatewayShare;
     private volatile boolean stopped;
 
-    /** Clients of the gateways on these ports. */
+    /** Clients of gateways, given as ports by name. */
     public LoadClients(EventLoopGroup group, Map<String, Integer> gateways, Traffic traffic, long seed, Trace trace) {
         this.traffic = traffic;
         this.trace = trace;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         gateways.forEach((name, port) -> {
-            names.add(name);
+            gatewayNames.add(name);
             this.gateways.add(new HttpCaller(group, port));
         });
         popularity = new double[traffic.functions()];
@@ -89,83 +104,86 @@
         }
     }
 
-    // ---- Troubles ---------------------------------------------------------------------------
+    // ---- Faults -----------------------------------------------------------------------------
 
-    /** So many times the usual traffic. */
-    public void rate(double times) {
-        rate = times;
+    /** Multiplies the call rate by a factor. */
+    public void rate(double factor) {
+        rateFactor = factor;
     }
 
-    /** A share of calls goes to so many functions not seen before. */
+    /** Sends a share of the calls to a number of functions that were not called before. */
     public void hot(double share, int functions) {
         hotShare = share;
         hotFunctions = Math.max(1, functions);
     }
 
-    /** A share of calls is for functions asked for once only. */
+    /** Sends a share of the calls to functions that are called only once. */
     public void scan(double share) {
         scanShare = share;
     }
 
-    /** A share of calls works so many times longer. */
-    public void heavy(double share, double times) {
+    /** Multiplies the work of a share of the calls by a factor. */
+    public void heavy(double share, double factor) {
         heavyShare = share;
-        heavyTimes = times;
+        heavyFactor = factor;
     }
 
-    /** A share of clients leaves at a third of its time. */
+    /** Cancels a share of the calls after a third of their time to the deadline. */
     public void leave(double share) {
-        leaveShare = share;
+        earlyCancelShare = share;
     }
 
-    /** Beyond an even spread, a share of calls goes to the first gateway. */
+    /** Sends a share of the calls to the first gateway and spreads the others evenly over all. */
     public void shift(double share) {
         firstGatewayShare = share;
     }
 
-    // ---- The run ----------------------------------------------------------------------------
+    // ---- Sending ----------------------------------------------------------------------------
 
-    /** Begins to send; ends by itself after so many seconds. */
+    /** Starts to send calls, for a number of seconds. */
     public void start(double seconds) {
         long now = System.nanoTime();
-        next(now, now + (long) (seconds * 1e9));
+        scheduleNext(now, now + (long) (seconds * 1e9));
     }
 
-    private void next(long at, long end) {
+    private void scheduleNext(long at, long end) {
         if (stopped || at >= end) {
             return;
         }
         timer.schedule(
                 () -> {
                     if (random.nextDouble() < traffic.chainShare()) {
-                        chain();
+                        sendChain();
                     } else {
                         send(draw(), 0, null);
                     }
-                    next(at + (long) (-Math.log(1 - random.nextDouble()) * 1e9 / (traffic.perS() * rate)), end);
+                    scheduleNext(
+                            at + (long) (-Math.log(1 - random.nextDouble()) * 1e9 / (traffic.perS() * rateFactor)),
+                            end);
                 },
                 at - System.nanoTime(),
                 TimeUnit.NANOSECONDS);
     }
 
-    private record Wanted(CallClass type, String function, double workMillis, boolean leaves, long deadline) {}
+    private record PlannedCall(
+            CallClass callClass, String function, double workMillis, boolean cancelsEarly, long deadlineNanos) {}
 
-    private Wanted draw() {
-        CallClass type = traffic.classes().get(traffic.classes().size() - 1);
+    private PlannedCall draw() {
+        CallClass callClass = traffic.classes().get(traffic.classes().size() - 1);
         double share = random.nextDouble();
-        for (CallClass c : traffic.classes()) {
-            if (share < c.share()) {
-                type = c;
+        for (CallClass candidate : traffic.classes()) {
+            if (share < candidate.share()) {
+                callClass = candidate;
                 break;
             }
-            share -= c.share();
+            share -= candidate.share();
         }
-        double kind = random.nextDouble();
-        String function = type.name() + "-";
-        if (kind < hotShare) {
+        double selector = random.nextDouble();
+        String function = callClass.name() + "-";
+        if (selector < hotShare) {
             function += "hot" + random.nextInt(hotFunctions);
-        } else if (kind < hotShare + scanShare) {
-            function += "once" + numbers;
+        } else if (selector < hotShare + scanShare) {
+            function += "once" + nextCallNumber;
         } else {
             double drawn = random.nextDouble() * popularity[popularity.length - 1];
             int i = 0;
@@ -174,90 +192,92 @@
             }
             function += i;
         }
-        double work = -Math.log(1 - random.nextDouble()) * 0.5 + 0.5; // half fixed, half exponential: mean 1
-        work *= type.workMillis() * (random.nextDouble() < heavyShare ? heavyTimes : 1);
-        return new Wanted(
-                type,
+        double work = -Math.log(1 - random.nextDouble()) * 0.5 + 0.5; // half constant, half exponential, with mean 1
+        work *= callClass.workMillis() * (random.nextDouble() < heavyShare ? heavyFactor : 1);
+        return new PlannedCall(
+                callClass,
                 function,
                 work,
-                random.nextDouble() < leaveShare,
-                System.nanoTime() + type.giveUpMillis() * 1_000_000L);
+                random.nextDouble() < earlyCancelShare,
+                System.nanoTime() + callClass.giveUpMillis() * 1_000_000L);
     }
 
-    private void send(Wanted wanted, int tries, String former) {
-        String id = "c" + numbers++;
+    private void send(PlannedCall planned, int retriesSoFar, String retryOf) {
+        String id = "c" + nextCallNumber++;
         int gateway = random.nextDouble() < firstGatewayShare ? 0 : random.nextInt(gateways.size());
-        CallClass type = wanted.type();
-        long leftMillis = (wanted.deadline() - System.nanoTime()) / 1_000_000L;
-        if (leftMillis < 5) {
+        CallClass callClass = planned.callClass();
+        long remainingMillis = (planned.deadlineNanos() - System.nanoTime()) / 1_000_000L;
+        if (remainingMillis < 5) {
             return;
         }
         Map<CharSequence, String> headers = new LinkedHashMap<>();
         headers.put(ClientProtocol.ID, id);
-        headers.put(ClientProtocol.CLASS, type.name());
-        headers.put(ClientProtocol.DEADLINE_MS, Long.toString(leftMillis));
-        headers.put(ClientProtocol.MEMORY_MB, Double.toString(type.memoryMb()));
-        headers.put(ClientProtocol.LANES, Integer.toString(type.lanes()));
-        headers.put(ClientProtocol.LOAD_MS, Double.toString(type.loadMillis()));
-        if (former != null) {
+        headers.put(ClientProtocol.CLASS, callClass.name());
+        headers.put(ClientProtocol.DEADLINE_MS, Long.toString(remainingMillis));
+        headers.put(ClientProtocol.MEMORY_MB, Double.toString(callClass.memoryMb()));
+        headers.put(ClientProtocol.LANES, Integer.toString(callClass.lanes()));
+        headers.put(ClientProtocol.LOAD_MS, Double.toString(callClass.loadMillis()));
+        if (retryOf != null) {
             headers.put(ClientProtocol.REPEAT, "1");
         }
-        open.incrementAndGet();
-        Try attempt = new Try(wanted, tries, id, names.get(gateway));
+        openCalls.incrementAndGet();
+        Attempt attempt = new Attempt(planned, retriesSoFar, id, gatewayNames.get(gateway));
         byte[] body = ByteBuffer.allocate(64)
-                .putLong((long) (wanted.workMillis() * 1000))
+                .putLong((long) (planned.workMillis() * 1000))
                 .array();
         trace.note(
                 "offer",
                 "call",
                 id,
                 "gw",
-                names.get(gateway),
+                gatewayNames.get(gateway),
                 "class",
-                type.name(),
+                callClass.name(),
                 "fn",
-                wanted.function(),
+                planned.function(),
                 "deadline_ms",
-                leftMillis,
+                remainingMillis,
                 "former",
-                former == null ? "-" : former);
+                retryOf == null ? "-" : retryOf);
         attempt.call = gateways.get(gateway)
-                .call(HttpMethod.POST, ClientProtocol.CALL_PATH + wanted.function(), headers, body, attempt);
-        attempt.limit(wanted.leaves() ? leftMillis / 3 : leftMillis + LEAVES_AFTER_MS, wanted.leaves());
+                .call(HttpMethod.POST, ClientProtocol.CALL_PATH + planned.function(), headers, body, attempt);
+        attempt.cancelAfter(
+                planned.cancelsEarly() ? remainingMillis / 3 : remainingMillis + CANCEL_AFTER_DEADLINE_MS,
+                planned.cancelsEarly());
     }
 
-    /** Two steps in a row, or two side by side and one that joins them; the chain's aim is its deadline. */
-    private void chain() {
-        String id = "c" + numbers++;
+    /** Sends a chain: two sequential steps, or two parallel steps and one that joins them. Its objective is sent as its deadline. */
+    private void sendChain() {
+        String id = "c" + nextCallNumber++;
         int gateway = random.nextInt(gateways.size());
-        boolean joins = random.nextInt(3) == 0;
+        boolean hasJoin = random.nextInt(3) == 0;
         StringBuilder steps = new StringBuilder();
-        for (int i = 0; i < (joins ? 3 : 2); i++) {
-            Wanted w = draw();
-            String input = i == 0 || joins && i == 1 ? "\"client\"" : joins ? "\"s0\",\"s1\"" : "\"s0\"";
+        for (int i = 0; i < (hasJoin ? 3 : 2); i++) {
+            PlannedCall step = draw();
+            String input = i == 0 || hasJoin && i == 1 ? "\"client\"" : hasJoin ? "\"s0\",\"s1\"" : "\"s0\"";
             steps.append(i == 0 ? "" : ",")
                     .append(String.format(
                             java.util.Locale.ROOT,
                             "{\"id\":\"s%d\",\"function\":\"%s\","
                                     + "\"class\":\"%s\",\"input\":[%s],\"cost_us\":%d,\"memory_mb\":%s,\"lanes\":%d,\"load_ms\":%s}",
                             i,
-                            w.function(),
-                            w.type().name(),
+                            step.function(),
+                            step.callClass().name(),
                             input,
-                            (long) (w.workMillis() * 1000),
-                            w.type().memoryMb(),
-                            w.type().lanes(),
-                            w.type().loadMillis()));
+                            (long) (step.workMillis() * 1000),
+                            step.callClass().memoryMb(),
+                            step.callClass().lanes(),
+                            step.callClass().loadMillis()));
         }
         String json = "{\"id\":\"" + id + "\",\"deadline_ms\":" + traffic.chainAimMillis()
                 + ",\"input\":\"in\",\"steps\":[" + steps + "]}";
-        open.incrementAndGet();
+        openCalls.incrementAndGet();
         trace.note(
                 "offer",
                 "call",
                 id,
                 "gw",
-                names.get(gateway),
+                gatewayNames.get(gateway),
                 "class",
                 "chain",
                 "fn",
@@ -266,7 +286,7 @@
                 traffic.chainAimMillis(),
                 "former",
                 "-");
-        Try attempt = new Try(null, traffic.retries(), id, names.get(gateway));
+        Attempt attempt = new Attempt(null, traffic.retries(), id, gatewayNames.get(gateway));
         attempt.call = gateways.get(gateway)
                 .call(
                         HttpMethod.POST,
@@ -274,12 +294,12 @@
                         Map.of(),
                         json.getBytes(java.nio.charset.StandardCharsets.UTF_8),
                         attempt);
-        attempt.limit(traffic.chainAimMillis() + LEAVES_AFTER_MS, false);
+        attempt.cancelAfter(traffic.chainAimMillis() + CANCEL_AFTER_DEADLINE_MS, false);
     }
 
-    /** Calls that still run. */
+    /** The number of calls in flight. */
     public int open() {
-        return open.get();
+        return openCalls.get();
     }
 
     @Override
@@ -288,56 +308,56 @@
         timer.shutdownNow();
     }
 
-    private final class Try implements HttpCaller.Reply {
-        private final Wanted wanted;
-        private final int tries;
+    private final class Attempt implements HttpCaller.Reply {
+        private final PlannedCall planned;
+        private final int retriesSoFar;
         private final String id;
         private final String gateway;
         private HttpCaller.Call call;
-        private ScheduledFuture<?> limit;
-        private long limitMillis;
+        private ScheduledFuture<?> timeout;
+        private long timeoutMillis;
         private boolean early;
-        private boolean over;
+        private boolean finished;
 
-        Try(Wanted wanted, int tries, String id, String gateway) {
-            this.wanted = wanted;
-            this.tries = tries;
+        Attempt(PlannedCall planned, int retriesSoFar, String id, String gateway) {
+            this.planned = planned;
+            this.retriesSoFar = retriesSoFar;
             this.id = id;
             this.gateway = gateway;
         }
 
-        /** Leaves after so long, counted from the offer until it is sent, then from when it was. */
-        private synchronized void limit(long ms, boolean leavesEarly) {
-            limitMillis = ms;
-            early = leavesEarly;
-            startLimit();
+        /** Sets the time after which the call is cancelled; counted from now, and restarted when the request is sent. */
+        private synchronized void cancelAfter(long millis, boolean isEarly) {
+            timeoutMillis = millis;
+            early = isEarly;
+            restartTimeout();
         }
 
-        private void startLimit() {
-            if (limit != null) {
-                limit.cancel(false);
+        private void restartTimeout() {
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            if (!over && !timer.isShutdown()) {
-                limit = timer.schedule(this::leave, limitMillis, TimeUnit.MILLISECONDS);
+            if (!finished && !timer.isShutdown()) {
+                timeout = timer.schedule(this::cancelCall, timeoutMillis, TimeUnit.MILLISECONDS);
             }
         }
 
-        private void leave() {
-            if (end()) {
+        private void cancelCall() {
+            if (finish()) {
                 trace.note("left", "call", id, "gw", gateway, "early", early);
                 call.abandon();
             }
         }
 
-        private synchronized boolean end() {
-            if (over) {
+        private synchronized boolean finish() {
+            if (finished) {
                 return false;
             }
-            over = true;
-            if (limit != null) {
-                limit.cancel(false);
+            finished = true;
+            if (timeout != null) {
+                timeout.cancel(false);
             }
-            open.decrementAndGet();
+            openCalls.decrementAndGet();
             return true;
         }
 
@@ -345,15 +365,15 @@
         public void sent() {
             trace.note("sent", "call", id, "gw", gateway);
             synchronized (this) {
-                if (limit != null) { // a gateway is told the time that is left as of now
-                    startLimit();
+                if (timeout != null) { // the deadline in the request is relative to the moment at which it is sent
+                    restartTimeout();
                 }
             }
         }
 
         @Override
         public void answered(int status, HttpHeaders headers, byte[] body) {
-            if (!end()) {
+            if (!finish()) {
                 return;
             }
             String answer = headers.get(ClientProtocol.ANSWER, "none");
@@ -368,36 +388,36 @@
                     "kind",
                     answer,
                     "own",
-                    status != 200 || wanted == null || new String(body).equals(id),
+                    status != 200 || planned == null || new String(body).equals(id),
                     "worker",
                     headers.get(ClientProtocol.WORKER, "-"),
                     "reason",
                     headers.get(ClientProtocol.REASON, "-"),
                     "attempts",
                     headers.getInt(ClientProtocol.ATTEMPTS.toString(), 0));
-            if (wanted == null) {
-                return; // chains are not tried again: what one try brings is what is measured
+            if (planned == null) {
+                return; // chains are not retried: the result of a single attempt is measured
             }
-            boolean safe = wanted.type().effect().equals("idempotent");
-            if (answer.equals("refused") || answer.equals("failed") && safe) {
-                long wait = headers.getInt(ClientProtocol.RETRY_AFTER_MS.toString(), 20);
-                again(wait);
+            boolean idempotent = planned.callClass().effect().equals("idempotent");
+            if (answer.equals("refused") || answer.equals("failed") && idempotent) {
+                long retryAfterMillis = headers.getInt(ClientProtocol.RETRY_AFTER_MS.toString(), 20);
+                retryLater(retryAfterMillis);
             }
         }
 
         @Override
         public void broken(boolean wasSent) {
-            if (end()) {
+            if (finish()) {
                 trace.note("broken", "call", id, "gw", gateway, "sent", wasSent);
-                if (wanted != null && (!wasSent || wanted.type().effect().equals("idempotent"))) {
-                    again(50);
+                if (planned != null && (!wasSent || planned.callClass().effect().equals("idempotent"))) {
+                    retryLater(50);
                 }
             }
         }
 
-        private void again(long waitMillis) {
-            if (tries < traffic.retries() && !stopped && !timer.isShutdown()) {
-                timer.schedule(() -> send(wanted, tries + 1, id), waitMillis, TimeUnit.MILLISECONDS);
+        private void retryLater(long waitMillis) {
+            if (retriesSoFar < traffic.retries() && !stopped && !timer.isShutdown()) {
+                timer.schedule(() -> send(planned, retriesSoFar + 1, id), waitMillis, TimeUnit.MILLISECONDS);
             }
         }
     }
--- a/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import wharfhinge.standin.judge.Judge;
 
-/** A day to be played: the fleet, the traffic, the rules' figures and the troubles; scenario.xsd has units and ranges. */
+/** A fault injection test: the workers, the traffic, the parameters of the rules and the faults. Units and ranges are in scenario.xsd. */
 @XmlRootElement(name = "scenario")
 @XmlAccessorType(XmlAccessType.FIELD)
 public final class Scenario {
-    /** The default of a gateway's dial time-out. */
-    private static final long DIAL_MS = 250;
+    /** The default connect timeout of a gateway. */
+    private static final long CONNECT_TIMEOUT_MS = 250;
 
     @XmlAttribute(name = "name")
     private String name;
@@ -51,7 +51,7 @@
     @XmlElement(name = "trouble")
     private final List<Trouble> troubles = new ArrayList<>();
 
-    /** The fleet. */
+    /** The workers. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Workers {
         @XmlAttribute(name = "count")
@@ -90,58 +90,58 @@
         @XmlAttribute(name = "real")
         private boolean real;
 
-        /** Whether they are processes of the project's own worker. */
+        /** Whether processes of the real worker run instead of emulators. */
         public boolean real() {
             return real;
         }
 
-        /** Calls that may wait. */
+        /** Calls that may wait for a slot on a worker. */
         public int queue() {
             return queue;
         }
 
-        /** Loads at once. */
+        /** Loads that a worker runs concurrently. */
         public int loadsAtOnce() {
             return loadsAtOnce;
         }
 
-        /** How often reports are made anew. */
+        /** The interval at which load reports are refreshed. */
         public long reportMillis() {
             return reportMillis;
         }
 
-        /** Workers. */
+        /** The number of workers. */
         public int count() {
             return count;
         }
 
-        /** {@code load} or {@code miss}. */
+        /** What a worker does with a call for a function that is not loaded: {@code load} or {@code miss}. */
         public String notLoaded() {
             return notLoaded;
         }
 
-        /** Calls that a worker runs at full pace at a time. */
+        /** Calls that a worker runs concurrently at full speed. */
         public int cores() {
             return cores;
         }
 
-        /** Least time that an idle copy stays. */
+        /** The time for which an idle copy stays loaded at least. */
         public long keepMillis() {
             return keepMillis;
         }
 
-        /** Memory of each, MB. */
+        /** Memory of each worker in MB. */
         public double memoryMb() {
             return memoryMb;
         }
 
-        /** {@code piggyback}, {@code pull} or {@code silent}. */
+        /** How load is reported: {@code piggyback}, {@code pull} or {@code silent}. */
         public String reports() {
             return reports;
         }
     }
 
-    /** Figures of the rules. */
+    /** Parameters of the rules. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class RuleFigures {
         @XmlAttribute(name = "grace-ms")
@@ -172,7 +172,7 @@
         private double rationRatio;
     }
 
-    /** The store. */
+    /** The package store. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Store {
         @XmlAttribute(name = "full-pace")
@@ -181,30 +181,30 @@
         @XmlAttribute(name = "most")
         private int most;
 
-        /** Fetches at a time at full pace. */
+        /** Concurrent fetches that are served at full speed. */
         public int fullPace() {
             return fullPace;
         }
 
-        /** Fetches in hand beyond which it turns away. */
+        /** Concurrent fetches above which further ones are rejected. */
         public int most() {
             return most;
         }
     }
 
-    /** The roster. */
+    /** The endpoint service. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Roster {
         @XmlAttribute(name = "lag-ms")
         private long lagMillis;
 
-        /** How late it is. */
+        /** The delay with which it publishes changes. */
         public long lagMillis() {
             return lagMillis;
         }
     }
 
-    /** The traffic. */
+    /** The offered traffic. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Traffic {
         @XmlAttribute(name = "per-s")
@@ -260,7 +260,7 @@
         private int lanes = 1;
     }
 
-    /** One trouble of the day. */
+    /** A fault that is injected during the test. */
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Trouble {
         @XmlAttribute(name = "name")
@@ -281,7 +281,7 @@
         @XmlAttribute(name = "extra")
         private double extra;
 
-        /** A trouble that begins {@code at} seconds after the start. */
+        /** A fault that begins {@code at} seconds after the start of the test. */
         public Trouble(String name, double at, double length, double part, double size, double extra) {
             this.name = name;
             this.at = at;
@@ -291,131 +291,131 @@
             this.extra = extra;
         }
 
-        /** For the binding. */
+        /** For JAXB. */
         Trouble() {}
 
-        /** Its name. */
+        /** The name of the fault. */
         public String name() {
             return name;
         }
 
-        /** Seconds from the start. */
+        /** Seconds from the start of the test to the beginning of the fault. */
         public double at() {
             return at;
         }
 
-        /** Seconds that it lasts. */
+        /** Duration in seconds. */
         public double length() {
             return length;
         }
 
-        /** The part of workers or gateways that it befalls. */
+        /** The share of workers, gateways or calls that it affects. */
         public double part() {
             return part;
         }
 
-        /** How bad. */
+        /** Severity; the unit depends on the fault. */
         public double size() {
             return size;
         }
 
-        /** A second figure where the trouble has one. */
+        /** A second parameter of faults that need one. */
         public double extra() {
             return extra;
         }
     }
 
-    /** Its name. */
+    /** The name of the scenario. */
     public String name() {
         return name;
     }
 
-    /** How long calls are offered. */
+    /** The time for which calls are offered. */
     public double seconds() {
         return seconds;
     }
 
-    /** Cuts or stretches the day. */
-    public void seconds(double now) {
-        seconds = now;
+    /** Sets the time for which calls are offered. */
+    public void seconds(double duration) {
+        seconds = duration;
     }
 
-    /** Offers so many times the calls. */
-    public void load(double times) {
-        traffic.perS *= times;
+    /** Multiplies the call rate by a factor. */
+    public void load(double factor) {
+        traffic.perS *= factor;
     }
 
-    /** With so much memory for each worker. */
-    public void memoryMb(double each) {
-        workers.memoryMb = each;
+    /** Sets the memory of each worker in MB. */
+    public void memoryMb(double megabytes) {
+        workers.memoryMb = megabytes;
     }
 
-    /** With so many gateways. */
+    /** Sets the number of gateways. */
     public void gateways(int count) {
         gateways = count;
     }
 
-    /** With workers that load on call, or answer a miss. */
-    public void loadsOnCall(boolean now) {
-        workers.notLoaded = now ? "load" : "miss";
+    /** Sets whether a worker loads a function on call or answers with a miss. */
+    public void loadsOnCall(boolean onCall) {
+        workers.notLoaded = onCall ? "load" : "miss";
     }
 
-    /** Plays the day over real workers, with memory, theirs and functions', times {@code memory}. */
-    public void real(double memory) {
+    /** Uses real workers; multiplies the memory of workers and of functions by {@code memoryFactor}. */
+    public void real(double memoryFactor) {
         workers.real = true;
-        workers.memoryMb *= memory;
-        traffic.classes.forEach(c -> c.memoryMb = Math.max(1, Math.rint(c.memoryMb * memory)));
+        workers.memoryMb *= memoryFactor;
+        traffic.classes.forEach(c -> c.memoryMb = Math.max(1, Math.rint(c.memoryMb * memoryFactor)));
     }
 
-    /** Plays it with so many workers. */
+    /** Sets the number of workers. */
     public void workers(int count) {
         workers.count = count;
     }
 
-    /** The part of what is offered that is chains. */
+    /** Sets the share of calls that are chains. */
     public void chainShare(double share) {
         traffic.chainShare = share;
     }
 
-    /** Draws everything. */
+    /** Seed of all random choices. */
     public long seed() {
         return seed;
     }
 
-    /** Gateways. */
+    /** The number of gateways. */
     public int gateways() {
         return gateways;
     }
 
-    /** Whether a call may be out twice at once. */
+    /** Whether a call may have two attempts in flight at once, as hedged requests do. */
     public boolean secondCopies() {
         return secondCopies;
     }
 
-    /** The fleet. */
+    /** The workers. */
     public Workers workers() {
         return workers;
     }
 
-    /** The store. */
+    /** The package store. */
     public Store store() {
         return store;
     }
 
-    /** The roster. */
+    /** The endpoint service. */
     public Roster roster() {
         return roster;
     }
 
-    /** The troubles, to be changed too. */
+    /** The faults; the list may be modified. */
     public List<Trouble> troubles() {
         return troubles;
     }
 
-    /** What worker number {@code i} is; {@code cold} for one that has just started. */
+    /** Properties of worker number {@code i}; {@code cold} if it begins in slow start. */
     public WorkerModel.Spec worker(int i, boolean cold) {
-        double place = workers.count < 2 ? 0 : (i * 7 % workers.count) / (double) (workers.count - 1);
-        double speed = workers.speedLeast + place * (workers.speedMost - workers.speedLeast);
+        double relativeRank = workers.count < 2 ? 0 : (i * 7 % workers.count) / (double) (workers.count - 1);
+        double speed = workers.speedLeast + relativeRank * (workers.speedMost - workers.speedLeast);
         return new WorkerModel.Spec(
                 i % 2 == 0 ? "zone-a" : "zone-b",
                 "std",
@@ -439,7 +439,7 @@
                 seed * 1000 + i);
     }
 
-    /** What is offered. */
+    /** The offered traffic. */
     public LoadClients.Traffic offered() {
         return new LoadClients.Traffic(
                 traffic.perS,
@@ -462,7 +462,7 @@
                 traffic.chainAimMillis);
     }
 
-    /** What the judge holds a run against. */
+    /** Parameters of the rules for the trace verifier. */
     public Judge.Rules judged() {
         Map<String, String> effects = new LinkedHashMap<>();
         Map<String, Long> aims = new LinkedHashMap<>();
@@ -482,7 +482,7 @@
                 rules.rationMillis,
                 rules.rationAnyway,
                 rules.rationRatio,
-                DIAL_MS,
+                CONNECT_TIMEOUT_MS,
                 secondCopies,
                 effects,
                 aims,
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
@@ -19,17 +19,32 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /**
- * The figures of one scripted worker: copies in memory, lanes, a bounded queue, loads of a fetch and a start, a cold ramp
- * that falls over when overfed, reports that lag. Its cores are played by making each call as much longer as there are
- * more calls than cores when it begins. Lives on one event loop; troubles may be set from any thread.
+ * Simulated state of one emulated worker: copies in memory with their slots, a bounded queue, loads that consist of a fetch and a start, a
+ * slow start during which overload kills the process, and load reports that are refreshed at intervals. Cores are simulated by stretching
+ * the duration of each call by the ratio of running calls to cores at its start, where that is above one. Runs on one event loop;
+ * faults may be set from any thread.
  */
 public final class WorkerModel {
     private static final double FETCH_SHARE = 0.6;
-    private static final double SLACK = 1.25;
-    private static final long MOST_WORK_US = 60_000_000;
-    private static final long USUAL_WORK_US = 20_000;
-
-    /** What a worker is; times in milliseconds, memory in MB. */
+    private static final double OVERLOAD_TOLERANCE = 1.25;
+    private static final long MAX_WORK_US = 60_000_000;
+    private static final long DEFAULT_WORK_US = 20_000;
+
+    /**
+     * Properties of a worker; times in milliseconds unless the name says otherwise, memory in MB.
+     *
+     * @param queue             calls that may wait for a slot
+     * @param loadsAtOnce       loads that run concurrently
+     * @param keepMillis        time after which an idle copy is evicted
+     * @param loadsOnCall       whether a call for a function that is not loaded starts a load; otherwise it is answered as a miss
+     * @param coldFrom          share of full capacity at the beginning of the slow start
+     * @param coldMillis        length of the slow start
+     * @param overloadFactor    multiple of its current capacity that a worker in slow start survives
+     * @param tipMillis         window over which that work is summed
+     * @param reportEveryMillis interval at which the load report is refreshed
+     * @param cold              whether it begins in slow start
+     * @param meanWorkUs        mean work of a call in microseconds
+     */
     public record Spec(
             String zone,
             String kind,
@@ -50,21 +65,25 @@
             long meanWorkUs,
             long seed) {}
 
-    /** Where an answer goes. */
+    /** Sends the response of a call. */
     public interface Reply {
-        /** Answers. */
-        void answer(AnswerCode code, CopyNote note, int company, byte[] body);
-
-        /** Breaks the stream off. */
+        /**
+         * Sends a response.
+         *
+         * @param concurrentCalls calls of the same function that the worker held when this call arrived
+         */
+        void answer(AnswerCode code, CopyNote note, int concurrentCalls, byte[] body);
+
+        /** Resets the stream instead of a response. */
         void reset();
     }
 
-    /** A call as it came, or the figures of a function in an order; {@code reply} is null there. */
+    /** A received call, or the properties of a function in a load order; {@code reply} is null in the latter case. */
     public static final class Call {
         private final String function;
         private final String id;
         private final int attempt;
-        private final String type;
+        private final String callClass;
         private final String gateway;
         private final double memoryMb;
         private final int lanes;
@@ -72,25 +91,28 @@
         private final long workUs;
         private final Reply reply;
         private CopyNote note = CopyNote.FOUND;
-        private int company; // that it found
-        private boolean over;
+        private int concurrentCalls; // of the same function at arrival
+        private boolean finished;
 
         private Call(String function, FullHttpRequest request, String gateway, Reply reply) {
-            HttpHeaders h = request.headers();
+            HttpHeaders headers = request.headers();
             this.function = function;
-            this.id = h.get(WorkerProtocol.CALL, "-");
-            this.attempt = h.getInt(WorkerProtocol.ATTEMPT.toString(), 0);
-            this.type = h.get(WorkerProtocol.CLASS, "-");
+            this.id = headers.get(WorkerProtocol.CALL, "-");
+            this.attempt = headers.getInt(WorkerProtocol.ATTEMPT.toString(), 0);
+            this.callClass = headers.get(WorkerProtocol.CLASS, "-");
             this.gateway = gateway;
-            this.memoryMb = Double.parseDouble(h.get(WorkerProtocol.MEMORY_MB, "200"));
-            this.lanes = h.getInt(WorkerProtocol.LANES.toString(), 1);
-            this.loadMillis = Double.parseDouble(h.get(WorkerProtocol.LOAD_MS, "500"));
-            String cost = h.get(WorkerProtocol.COST_US); // steps of chains tell it; other calls carry it in their body
-            long told = request.content().readableBytes() < Long.BYTES
+            this.memoryMb = Double.parseDouble(headers.get(WorkerProtocol.MEMORY_MB, "200"));
+            this.lanes = headers.getInt(WorkerProtocol.LANES.toString(), 1);
+            this.loadMillis = Double.parseDouble(headers.get(WorkerProtocol.LOAD_MS, "500"));
+            String costHeader = headers.get(
+                    WorkerProtocol.COST_US); // sent with steps of chains only; other calls carry the work in their body
+            long workInBody = request.content().readableBytes() < Long.BYTES
                     ? -1
                     : request.content().getLong(request.content().readerIndex());
-            boolean work = told >= 0 && told < MOST_WORK_US; // else it is text that somebody typed
-            this.workUs = cost != null ? Long.parseLong(cost) : work ? told : USUAL_WORK_US;
+            boolean hasWorkInBody =
+                    workInBody >= 0 && workInBody < MAX_WORK_US; // otherwise the body is text typed by a user
+            this.workUs =
+                    costHeader != null ? Long.parseLong(costHeader) : hasWorkInBody ? workInBody : DEFAULT_WORK_US;
             this.reply = reply;
         }
 
@@ -108,100 +130,100 @@
         private int running;
         private long idleSince;
 
-        Copy(Call of) {
-            function = of.function;
-            memoryMb = of.memoryMb;
-            lanes = Math.max(1, of.lanes);
+        Copy(Call functionSpec) {
+            function = functionSpec.function;
+            memoryMb = functionSpec.memoryMb;
+            lanes = Math.max(1, functionSpec.lanes);
         }
     }
 
-    private record Order(Call figures, int count, BiConsumer<AnswerCode, Integer> ended) {}
+    private record Order(Call functionSpec, int count, BiConsumer<AnswerCode, Integer> onEnded) {}
 
     private final EventLoop loop;
     private final String id;
     private final Spec spec;
     private final HttpCaller store;
     private final Trace trace;
-    private final Runnable tipped;
+    private final Runnable onOverload;
     private final UniformRandomProvider random;
     private final Map<String, List<Copy>> copies = new LinkedHashMap<>();
     private final ArrayDeque<Call> queue = new ArrayDeque<>();
-    private final ArrayDeque<Copy> loadLine = new ArrayDeque<>();
+    private final ArrayDeque<Copy> loadQueue = new ArrayDeque<>();
     private final List<Order> orders = new ArrayList<>();
     private final Map<Copy, Double> loadMillis = new HashMap<>();
-    private final ArrayDeque<Long> fed = new ArrayDeque<>();
-    private int life;
-    private boolean up = true;
+    private final ArrayDeque<Long> arrivalsInWindow = new ArrayDeque<>();
+    private int incarnation;
+    private boolean alive = true;
     private boolean draining;
     private int running;
-    private int loads;
+    private int loadsInProgress;
     private long startedAt;
     private Map<String, Double> report = Map.of("rif", 0.0, "x0", 0.0, "q", 0.0, "x1", 0.0);
-    private volatile boolean hang;
+    private volatile boolean hanging;
     private volatile double errorShare;
     private volatile double lostShare;
-    private volatile boolean lostByReset;
-    private volatile double slower = 1;
+    private volatile boolean resetsLostAnswers;
+    private volatile double slowdown = 1;
     private volatile long handshakeMillis;
     private volatile long pausedUntil;
-    private volatile Map<String, Integer> held = Map.of();
+    private volatile Map<String, Integer> loadedByFunction = Map.of();
     private volatile int loadsBegun;
 
-    WorkerModel(EventLoop loop, String id, Spec spec, HttpCaller store, Trace trace, Runnable tipped) {
+    WorkerModel(EventLoop loop, String id, Spec spec, HttpCaller store, Trace trace, Runnable onOverload) {
         this.loop = loop;
         this.id = id;
         this.spec = spec;
         this.store = store;
         this.trace = trace;
-        this.tipped = tipped;
+        this.onOverload = onOverload;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(spec.seed());
     }
 
-    // ---- Troubles, from any thread ----------------------------------------------------------
+    // ---- Faults, set from any thread --------------------------------------------------------
 
-    /** Takes work and answers nothing. */
-    public void hang(boolean now) {
-        hang = now;
+    /** Accepts calls without responding to any. */
+    public void hang(boolean isHanging) {
+        hanging = isHanging;
     }
 
-    /** Fails this share of calls at once. */
+    /** Answers this share of calls with an error, without work. */
     public void errors(double share) {
         errorShare = share;
     }
 
-    /** Does the work, but this share of answers never arrives: silence, or the stream is reset. */
+    /** Does the work but loses this share of the responses: sends nothing, or resets the stream. */
     public void loseAnswers(double share, boolean byReset) {
         lostShare = share;
-        lostByReset = byReset;
+        resetsLostAnswers = byReset;
     }
 
-    /** Runs so many times slower. */
-    public void slower(double times) {
-        slower = times;
+    /** Multiplies the duration of calls by a factor. */
+    public void slower(double factor) {
+        slowdown = factor;
     }
 
-    /** New connections take so much longer to set up. */
+    /** Delays the setup of new connections. */
     public void slowHandshakes(long ms) {
         handshakeMillis = ms;
     }
 
-    /** Stands still for a while. */
+    /** Pauses the process for a time. */
     public void pause(long ms) {
         pausedUntil = System.nanoTime() + ms * 1_000_000L;
     }
 
-    /** Takes nothing new, or does again. */
-    public void drain(boolean now) {
-        loop.execute(() -> draining = now);
+    /** Starts or ends draining: calls and load orders are rejected. */
+    public void drain(boolean isDraining) {
+        loop.execute(() -> draining = isDraining);
     }
 
-    /** This share of its functions is released anew: their copies and loads go void. */
+    /** Invalidates the copies and loads of this share of the functions, as a new release of them does. */
     public void flush(double share) {
         loop.execute(() -> {
-            for (List<Copy> of : copies.values()) {
+            for (List<Copy> ofFunction : copies.values()) {
                 if (random.nextDouble() < share) {
-                    of.forEach(copy -> copy.stale = true);
-                    of.removeIf(copy -> !copy.loading && copy.running == 0);
+                    ofFunction.forEach(copy -> copy.stale = true);
+                    ofFunction.removeIf(copy -> !copy.loading && copy.running == 0);
                 }
             }
         });
@@ -212,10 +234,10 @@
     }
 
     boolean isHanging() {
-        return hang;
+        return hanging;
     }
 
-    // ---- Life -------------------------------------------------------------------------------
+    // ---- Start, stop and maintenance --------------------------------------------------------
 
     void start() {
         loop.execute(() -> {
@@ -246,56 +268,57 @@
                 spec.cell());
     }
 
-    /** Standing copies by function, as of the last report; any thread. */
+    /** Loaded copies by function as of the last load report; thread-safe. */
     public Map<String, Integer> held() {
-        return held;
+        return loadedByFunction;
     }
 
-    /** Loads begun since the start; any thread. */
+    /** Loads begun by all incarnations; thread-safe. */
     public int loadsBegun() {
         return loadsBegun;
     }
 
-    /** Names the process. */
+    /** Identifies the incarnation of the process. */
     public String boot() {
-        return "b" + life;
+        return "b" + incarnation;
     }
 
-    void died() {
-        up = false;
-        life++;
+    void stop() {
+        alive = false;
+        incarnation++;
         copies.clear();
         queue.clear();
-        loadLine.clear();
+        loadQueue.clear();
         orders.clear();
         loadMillis.clear();
-        fed.clear();
+        arrivalsInWindow.clear();
         running = 0;
-        loads = 0;
+        loadsInProgress = 0;
         trace.note("died", "worker", id);
     }
 
     void restart() {
-        up = true;
+        alive = true;
         draining = false;
         begin(true);
     }
 
     private void tick() {
-        if (!up) {
+        if (!alive) {
             return;
         }
         long now = System.nanoTime();
-        for (List<Copy> of : copies.values()) {
-            of.removeIf(c -> !c.loading && c.running == 0 && now - c.idleSince > spec.keepMillis() * 1_000_000L);
+        for (List<Copy> ofFunction : copies.values()) {
+            ofFunction.removeIf(
+                    c -> !c.loading && c.running == 0 && now - c.idleSince > spec.keepMillis() * 1_000_000L);
         }
-        Map<String, Integer> standing = new HashMap<>();
-        copies.forEach((function, of) ->
-                standing.put(function, (int) of.stream().filter(c -> !c.loading).count()));
-        held = standing;
+        Map<String, Integer> loadedCopies = new HashMap<>();
+        copies.forEach((function, ofFunction) -> loadedCopies.put(
+                function, (int) ofFunction.stream().filter(c -> !c.loading).count()));
+        loadedByFunction = loadedCopies;
         double busy = 0;
-        for (List<Copy> of : copies.values()) {
-            for (Copy c : of) {
+        for (List<Copy> ofFunction : copies.values()) {
+            for (Copy c : ofFunction) {
                 busy += c.loading || c.running > 0 ? c.memoryMb : 0;
             }
         }
@@ -307,24 +330,24 @@
                 "q",
                 (double) queue.size(),
                 "x1",
-                (double) (loads + loadLine.size()));
+                (double) (loadsInProgress + loadQueue.size()));
     }
 
     Map<String, Double> report() {
         return report;
     }
 
-    /** Does something that came in, later while the worker stands still. */
-    void runUnlessPaused(Runnable what) {
+    /** Handles an incoming message now, or when the current pause ends. */
+    void runUnlessPaused(Runnable action) {
         long wait = pausedUntil - System.nanoTime();
-        int of = life;
+        int scheduledBy = incarnation;
         if (wait <= 0) {
-            what.run();
+            action.run();
         } else {
             loop.schedule(
                     () -> {
-                        if (of == life) {
-                            what.run();
+                        if (scheduledBy == incarnation) {
+                            action.run();
                         }
                     },
                     wait,
@@ -332,12 +355,12 @@
         }
     }
 
-    private void after(double ms, Runnable what) {
-        int of = life;
+    private void after(double ms, Runnable action) {
+        int scheduledBy = incarnation;
         loop.schedule(
                 () -> {
-                    if (of == life) {
-                        runUnlessPaused(what);
+                    if (scheduledBy == incarnation) {
+                        runUnlessPaused(action);
                     }
                 },
                 (long) (ms * 1000),
@@ -358,60 +381,64 @@
                 "gw",
                 call.gateway,
                 "class",
-                call.type,
+                call.callClass,
                 "fn",
                 call.function,
                 "work_us",
                 call.workUs);
-        if (overfed()) {
+        if (isOverloaded()) {
             trace.note("tip", "worker", id);
-            tipped.run();
+            onOverload.run();
             return;
         }
         runUnlessPaused(() -> {
             if (draining) {
-                end(call, AnswerCode.FULL, CopyNote.NONE);
-            } else if (hang) {
+                finish(call, AnswerCode.FULL, CopyNote.NONE);
+            } else if (hanging) {
                 return;
             } else if (random.nextDouble() < errorShare) {
                 trace.note("run", "worker", id, "call", call.id, "attempt", call.attempt);
-                after(1, () -> end(call, AnswerCode.ERROR, CopyNote.NONE));
+                after(1, () -> finish(call, AnswerCode.ERROR, CopyNote.NONE));
             } else {
-                place(call);
+                startOrQueue(call);
             }
         });
     }
 
-    /** Each call weighs as the mean, as the rule has it: what it really costs is not known to who sends it. */
-    private boolean overfed() {
+    /**
+     * Whether a call overloads a worker in slow start. Each call counts as the mean work, as in rule 4, since the sender does not know its
+     * real cost.
+     */
+    private boolean isOverloaded() {
         long now = System.nanoTime();
         double age = (now - startedAt) / 1e6 / spec.coldMillis();
         if (age >= 1) {
-            fed.clear();
+            arrivalsInWindow.clear();
             return false;
         }
-        fed.add(now);
-        while (now - fed.peek() > spec.tipMillis() * 1_000_000L) {
-            fed.poll();
+        arrivalsInWindow.add(now);
+        while (now - arrivalsInWindow.peek() > spec.tipMillis() * 1_000_000L) {
+            arrivalsInWindow.poll();
         }
-        double sum = fed.size() * spec.meanWorkUs() / 1000.0;
+        double sum = arrivalsInWindow.size() * spec.meanWorkUs() / 1000.0;
         double capacity = spec.cores() * spec.speed() * (spec.coldFrom() + (1 - spec.coldFrom()) * age);
-        return sum > SLACK * spec.overloadFactor() * capacity * spec.tipMillis();
+        return sum > OVERLOAD_TOLERANCE * spec.overloadFactor() * capacity * spec.tipMillis();
     }
 
-    private int company(String function) {
+    private int concurrentCalls(String function) {
         int waiting =
                 (int) queue.stream().filter(c -> c.function.equals(function)).count();
         return Math.min(
-                30, waiting + of(function).stream().mapToInt(c -> c.running).sum());
+                30,
+                waiting + copiesOf(function).stream().mapToInt(c -> c.running).sum());
     }
 
-    private List<Copy> of(String function) {
+    private List<Copy> copiesOf(String function) {
         return copies.computeIfAbsent(function, f -> new ArrayList<>());
     }
 
-    private Copy free(String function) {
-        for (Copy c : of(function)) {
+    private Copy freeCopyOf(String function) {
+        for (Copy c : copiesOf(function)) {
             if (!c.loading && !c.stale && c.running < c.lanes) {
                 return c;
             }
@@ -419,51 +446,51 @@
         return null;
     }
 
-    private void place(Call call) {
-        call.company = company(call.function);
-        Copy copy = free(call.function);
+    private void startOrQueue(Call call) {
+        call.concurrentCalls = concurrentCalls(call.function);
+        Copy copy = freeCopyOf(call.function);
         if (copy != null) {
-            run(call, copy);
+            startRunning(call, copy);
             return;
         }
-        boolean none = of(call.function).stream().allMatch(c -> c.stale);
-        if (none && !spec.loadsOnCall()) {
-            end(call, AnswerCode.MISS, CopyNote.NONE);
+        boolean isNotLoaded = copiesOf(call.function).stream().allMatch(c -> c.stale);
+        if (isNotLoaded && !spec.loadsOnCall()) {
+            finish(call, AnswerCode.MISS, CopyNote.NONE);
         } else if (queue.size() >= spec.queue()) {
-            end(call, AnswerCode.FULL, CopyNote.NONE);
+            finish(call, AnswerCode.FULL, CopyNote.NONE);
         } else {
-            boolean loading = of(call.function).stream().anyMatch(c -> c.loading);
-            call.note = none ? CopyNote.BEGAN : loading ? CopyNote.WAITED : CopyNote.FOUND;
+            boolean loading = copiesOf(call.function).stream().anyMatch(c -> c.loading);
+            call.note = isNotLoaded ? CopyNote.BEGAN : loading ? CopyNote.WAITED : CopyNote.FOUND;
             queue.add(call);
-            if (spec.loadsOnCall() && (none || !loading) && load(call) == null && none) {
+            if (spec.loadsOnCall() && (isNotLoaded || !loading) && load(call) == null && isNotLoaded) {
                 queue.remove(call);
-                end(call, AnswerCode.FULL, CopyNote.NONE);
+                finish(call, AnswerCode.FULL, CopyNote.NONE);
             }
         }
     }
 
-    private void run(Call call, Copy copy) {
+    private void startRunning(Call call, Copy copy) {
         copy.running++;
         running++;
         trace.note("run", "worker", id, "call", call.id, "attempt", call.attempt);
         double age = Math.min(1, (System.nanoTime() - startedAt) / 1e6 / spec.coldMillis());
         double warmth = spec.coldFrom() + (1 - spec.coldFrom()) * age;
         double ms =
-                call.workUs / 1000.0 / spec.speed() / warmth * slower * Math.max(1, running / (double) spec.cores());
+                call.workUs / 1000.0 / spec.speed() / warmth * slowdown * Math.max(1, running / (double) spec.cores());
         after(ms, () -> {
             copy.running--;
             running--;
             copy.idleSince = System.nanoTime();
             if (copy.stale && copy.running == 0) {
-                of(copy.function).remove(copy);
+                copiesOf(copy.function).remove(copy);
             }
-            boolean lost = hang || random.nextDouble() < lostShare;
-            if (lost && lostByReset && !call.over) {
-                call.over = true;
+            boolean lost = hanging || random.nextDouble() < lostShare;
+            if (lost && resetsLostAnswers && !call.finished) {
+                call.finished = true;
                 trace.note("reply", "worker", id, "call", call.id, "attempt", call.attempt, "code", "reset");
                 call.reply.reset();
             } else if (!lost) {
-                end(call, AnswerCode.SERVED, call.note);
+                finish(call, AnswerCode.SERVED, call.note);
             }
             serveQueue();
         });
@@ -471,106 +498,110 @@
 
     private void serveQueue() {
         for (Call call : List.copyOf(queue)) {
-            Copy copy = free(call.function);
+            Copy copy = freeCopyOf(call.function);
             if (copy != null) {
                 queue.remove(call);
-                run(call, copy);
+                startRunning(call, copy);
             }
         }
     }
 
-    private void end(Call call, AnswerCode code, CopyNote note) {
-        if (!call.over) {
-            call.over = true;
+    private void finish(Call call, AnswerCode code, CopyNote note) {
+        if (!call.finished) {
+            call.finished = true;
             trace.note("reply", "worker", id, "call", call.id, "attempt", call.attempt, "code", code.word());
-            call.reply.answer(code, note, call.company, code == AnswerCode.SERVED ? call.id.getBytes() : new byte[0]);
+            call.reply.answer(
+                    code, note, call.concurrentCalls, code == AnswerCode.SERVED ? call.id.getBytes() : new byte[0]);
         }
     }
 
-    /** The gateway stopped waiting: what waits is dropped, what runs goes on. */
+    /** The gateway cancelled the call: removes it from the queue; a running call continues but sends no response. */
     void cancel(Call call) {
-        if (up && !call.over) {
+        if (alive && !call.finished) {
             trace.note("cancelled", "worker", id, "call", call.id, "attempt", call.attempt);
-            call.over = true;
+            call.finished = true;
             queue.remove(call);
         }
     }
 
     // ---- Loads ------------------------------------------------------------------------------
 
-    void orderLoad(Call figures, int count, BiConsumer<AnswerCode, Integer> ended) {
+    void orderLoad(Call functionSpec, int count, BiConsumer<AnswerCode, Integer> onEnded) {
         runUnlessPaused(() -> {
-            if (hang) {
+            if (hanging) {
                 return;
             }
             long now = System.nanoTime();
-            of(figures.function).stream().filter(c -> c.running == 0).forEach(c -> c.idleSince = now);
+            copiesOf(functionSpec.function).stream().filter(c -> c.running == 0).forEach(c -> c.idleSince = now);
             if (draining && count > 0) {
-                ended.accept(AnswerCode.FULL, standing(figures.function));
+                onEnded.accept(AnswerCode.FULL, loadedCopiesOf(functionSpec.function));
                 return;
             }
             int missing = count
-                    - (int) of(figures.function).stream().filter(c -> !c.stale).count();
-            boolean room = true;
-            for (int i = 0; i < missing && room; i++) {
-                room = load(figures) != null;
+                    - (int) copiesOf(functionSpec.function).stream()
+                            .filter(c -> !c.stale)
+                            .count();
+            boolean hasRoom = true;
+            for (int i = 0; i < missing && hasRoom; i++) {
+                hasRoom = load(functionSpec) != null;
             }
-            if (standing(figures.function) >= count) {
-                ended.accept(AnswerCode.SERVED, standing(figures.function));
-            } else if (!room) {
-                ended.accept(AnswerCode.FULL, standing(figures.function));
+            if (loadedCopiesOf(functionSpec.function) >= count) {
+                onEnded.accept(AnswerCode.SERVED, loadedCopiesOf(functionSpec.function));
+            } else if (!hasRoom) {
+                onEnded.accept(AnswerCode.FULL, loadedCopiesOf(functionSpec.function));
             } else {
-                orders.add(new Order(figures, count, ended));
+                orders.add(new Order(functionSpec, count, onEnded));
             }
         });
     }
 
     void unload(String function) {
-        of(function).removeIf(c -> !c.loading && c.running == 0);
+        copiesOf(function).removeIf(c -> !c.loading && c.running == 0);
     }
 
-    private int standing(String function) {
-        return (int) of(function).stream().filter(c -> !c.loading && !c.stale).count();
+    private int loadedCopiesOf(String function) {
+        return (int)
+                copiesOf(function).stream().filter(c -> !c.loading && !c.stale).count();
     }
 
-    private Copy load(Call figures) {
-        if (!makeRoom(figures.memoryMb) || loadLine.size() >= 2 * spec.loadsAtOnce()) {
+    private Copy load(Call functionSpec) {
+        if (!makeRoom(functionSpec.memoryMb) || loadQueue.size() >= 2 * spec.loadsAtOnce()) {
             return null;
         }
-        Copy copy = new Copy(figures);
-        of(figures.function).add(copy);
-        loadMillis.put(copy, figures.loadMillis);
-        loadLine.add(copy);
-        nextLoad();
+        Copy copy = new Copy(functionSpec);
+        copiesOf(functionSpec.function).add(copy);
+        loadMillis.put(copy, functionSpec.loadMillis);
+        loadQueue.add(copy);
+        startQueuedLoads();
         return copy;
     }
 
-    private boolean makeRoom(double needed) {
-        double used = copies.values().stream()
+    private boolean makeRoom(double neededMb) {
+        double usedMb = copies.values().stream()
                 .flatMap(List::stream)
                 .mapToDouble(c -> c.memoryMb)
                 .sum();
-        while (used + needed > spec.memoryMb()) {
-            Copy oldest = copies.values().stream()
+        while (usedMb + neededMb > spec.memoryMb()) {
+            Copy longestIdle = copies.values().stream()
                     .flatMap(List::stream)
                     .filter(c -> !c.loading && c.running == 0)
                     .min((a, b) -> Long.compare(a.idleSince, b.idleSince))
                     .orElse(null);
-            if (oldest == null) {
+            if (longestIdle == null) {
                 return false;
             }
-            of(oldest.function).remove(oldest);
-            used -= oldest.memoryMb;
+            copiesOf(longestIdle.function).remove(longestIdle);
+            usedMb -= longestIdle.memoryMb;
         }
         return true;
     }
 
-    private void nextLoad() {
-        while (loads < spec.loadsAtOnce() && !loadLine.isEmpty()) {
-            Copy copy = loadLine.poll();
+    private void startQueuedLoads() {
+        while (loadsInProgress < spec.loadsAtOnce() && !loadQueue.isEmpty()) {
+            Copy copy = loadQueue.poll();
             double ms = loadMillis.remove(copy);
-            int of = life;
-            loads++;
+            int startedBy = incarnation;
+            loadsInProgress++;
             loadsBegun++;
             trace.note("load", "worker", id, "fn", copy.function);
             store.call(
@@ -581,18 +612,18 @@
                     new HttpCaller.Reply() {
                         @Override
                         public void answered(int status, HttpHeaders headers, byte[] body) {
-                            fetched(status == 200);
+                            onFetched(status == 200);
                         }
 
                         @Override
                         public void broken(boolean wasSent) {
-                            fetched(false);
+                            onFetched(false);
                         }
 
-                        private void fetched(boolean well) {
+                        private void onFetched(boolean succeeded) {
                             loop.execute(() -> {
-                                if (of == life) {
-                                    after(well ? ms * (1 - FETCH_SHARE) : 1, () -> loaded(copy, well));
+                                if (startedBy == incarnation) {
+                                    after(succeeded ? ms * (1 - FETCH_SHARE) : 1, () -> onLoaded(copy, succeeded));
                                 }
                             });
                         }
@@ -600,30 +631,30 @@
         }
     }
 
-    private void loaded(Copy copy, boolean well) {
-        loads--;
+    private void onLoaded(Copy copy, boolean succeeded) {
+        loadsInProgress--;
         copy.loading = false;
         copy.idleSince = System.nanoTime();
-        if (!well || copy.stale) {
-            of(copy.function).remove(copy);
+        if (!succeeded || copy.stale) {
+            copiesOf(copy.function).remove(copy);
         }
-        trace.note("loaded", "worker", id, "fn", copy.function, "well", well);
-        if (!well && standing(copy.function) == 0) {
+        trace.note("loaded", "worker", id, "fn", copy.function, "well", succeeded);
+        if (!succeeded && loadedCopiesOf(copy.function) == 0) {
             for (Call call : List.copyOf(queue)) {
                 if (call.function.equals(copy.function)) {
                     queue.remove(call);
-                    end(call, AnswerCode.MISS, CopyNote.LOAD_FAILED);
+                    finish(call, AnswerCode.MISS, CopyNote.LOAD_FAILED);
                 }
             }
         }
         serveQueue();
         for (Order order : List.copyOf(orders)) {
-            int stand = standing(order.figures.function);
-            if (order.figures.function.equals(copy.function) && (!well || stand >= order.count)) {
+            int loadedCopies = loadedCopiesOf(order.functionSpec.function);
+            if (order.functionSpec.function.equals(copy.function) && (!succeeded || loadedCopies >= order.count)) {
                 orders.remove(order);
-                order.ended.accept(well ? AnswerCode.SERVED : AnswerCode.ERROR, stand);
+                order.onEnded.accept(succeeded ? AnswerCode.SERVED : AnswerCode.ERROR, loadedCopies);
             }
         }
-        nextLoad();
+        startQueuedLoads();
     }
 }
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
@@ -25,7 +25,9 @@
 import wharfhinge.protocol.LoadReport;
 import wharfhinge.protocol.WorkerProtocol;
 
-/** Emulator of a worker: serves docs/protocol-worker.md on a socket and simulates the work by a {@link WorkerModel}. Runs on one event loop. */
+/**
+ * Emulator of a worker: serves docs/protocol-worker.md on a socket and simulates the work by a {@link WorkerModel}. Runs on one event loop.
+ */
 public final class WorkerStandIn implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 1 << 22;
 
@@ -84,7 +86,7 @@
             listener.close();
             listener = null;
         }
-        model.died();
+        model.stop();
         Set.copyOf(connections).forEach(Channel::close);
     }
 
@@ -216,8 +218,8 @@
                     : Integer.parseInt(
                             functionAndQuery.substring(queryStart + WorkerProtocol.COUNT_PARAMETER.length()));
             trace.note("hold", "worker", id(), "fn", function, "count", count, "gw", gateway);
-            WorkerModel.Call functionFigures = WorkerModel.Call.of(function, request, gateway, null);
-            model.orderLoad(functionFigures, count, (code, loadedCopies) -> {
+            WorkerModel.Call functionSpec = WorkerModel.Call.of(function, request, gateway, null);
+            model.orderLoad(functionSpec, count, (code, loadedCopies) -> {
                 FullHttpResponse response = Net.response(code.status(), new byte[0]);
                 response.headers().set(WorkerProtocol.OUTCOME, code.word()).setInt(WorkerProtocol.COUNT, loadedCopies);
                 addLoadReport(response);
