--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
@@ -104,13 +104,13 @@
             this.memoryMb = Double.parseDouble(headers.get(WorkerProtocol.MEMORY_MB, "200"));
             this.lanes = headers.getInt(WorkerProtocol.LANES.toString(), 1);
             this.loadMillis = Double.parseDouble(headers.get(WorkerProtocol.LOAD_MS, "500"));
-            String costHeader = headers.get(
-                    WorkerProtocol.COST_US); // sent with steps of chains only; other calls carry the work in their body
+            // sent with steps of chains only; other calls carry the work in their body
+            String costHeader = headers.get(WorkerProtocol.COST_US);
             long workInBody = request.content().readableBytes() < Long.BYTES
                     ? -1
                     : request.content().getLong(request.content().readerIndex());
-            boolean hasWorkInBody =
-                    workInBody >= 0 && workInBody < MAX_WORK_US; // otherwise the body is text typed by a user
+            // otherwise the body is text typed by a user
+            boolean hasWorkInBody = workInBody >= 0 && workInBody < MAX_WORK_US;
             this.workUs =
                     costHeader != null ? Long.parseLong(costHeader) : hasWorkInBody ? workInBody : DEFAULT_WORK_US;
             this.reply = reply;
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
@@ -12,23 +12,34 @@
 import java.util.stream.Stream;
 
 /**
- * Judges the five rules from what clients, workers, roster and store saw on their sockets, and nothing else. Its slack
- * covers only what a loopback socket and a busy machine may add between two recorders.
+ * Trace verifier: checks the five rules against the events that clients, workers, endpoint service and package store recorded on their
+ * sockets, and nothing else. Its time tolerance covers only the delay that a loopback socket and a busy machine may add between two
+ * recorders.
  */
 public final class Judge {
-    private static final long MS = 1_000_000L;
-    private static final long SLACK = StallIntervals.SLACK_NANOS;
-    private static final int SHOWN = 5;
-    private static final long WARM_UP = 10_000 * MS; // of the chains' figures alone; gateways start within it
+    private static final long NANOS_PER_MS = 1_000_000L;
+    private static final long TOLERANCE_NANOS = StallIntervals.TOLERANCE_NANOS;
+    private static final int MAX_EXAMPLES = 5;
+    /** Calls offered earlier are left out of the figures of chains and single calls, since gateways start during that time. */
+    private static final long WARM_UP_NANOS = 10_000 * NANOS_PER_MS;
 
     /**
-     * Figures of the rules; times in milliseconds.
+     * Parameters of the rules; times in milliseconds.
      *
-     * @param rationMillis 0 where no ration is told
-     * @param dialMillis   how long an order may wait for a connection before it is on the wire
-     * @param effects  of each class: idempotent, deduplicated or at-most-once
-     * @param aims     of each class
-     * @param works    mean work of each class
+     * @param graceMillis       tolerance after a deadline
+     * @param stopSendingMillis time after an endpoint update until which a gateway may still send to a worker that leaves
+     * @param coldFrom          share of full capacity at the beginning of the slow start
+     * @param coldMillis        length of the slow start
+     * @param overloadFactor    multiple of its current capacity that may be sent to a worker in slow start
+     * @param tipMillis         window over which that work is summed
+     * @param rationMillis      window of the load quota; 0 if there is no quota
+     * @param rationAnyway      load orders that are allowed in a window without any calls
+     * @param rationRatio       further load orders that are allowed for each call in the window
+     * @param dialMillis        time for which a load order may wait for a connection before it is sent
+     * @param secondCopies      whether a call may have two attempts in flight at once
+     * @param effects           effect of each class: idempotent, deduplicated or at-most-once
+     * @param aims              latency objective of each class
+     * @param works             mean work of a call of each class
      */
     public record Rules(
             long graceMillis,
@@ -46,15 +57,20 @@
             Map<String, Long> aims,
             Map<String, Double> works) {}
 
-    /** What was found: broken rules by number with examples, and figures. */
+    /**
+     * The result of a verification.
+     *
+     * @param broken  violations by number of the rule
+     * @param figures statistics of the run by name
+     */
     public record Verdict(Map<Integer, List<String>> broken, Map<String, String> figures) {
-        /** How many of the five rules held. */
+        /** The number of the five rules that were kept. */
         public int kept() {
             return 5 - broken.size();
         }
     }
 
-    private record Line(long at, String word, Map<String, String> values) {
+    private record Event(long at, String word, Map<String, String> values) {
         String get(String name) {
             return values.getOrDefault(name, "-");
         }
@@ -65,18 +81,18 @@
     }
 
     private static final class Call {
-        private Line offer;
+        private Event offer;
         private long sent = Long.MAX_VALUE;
-        private final List<Line> answers = new ArrayList<>();
-        private Line left;
-        private Line broken;
-        private final List<Line> received = new ArrayList<>();
-        private final List<Line> runs = new ArrayList<>();
-        private final Map<String, Line> attemptEnds = new HashMap<>();
-        private final List<Line> stepsReceived = new ArrayList<>();
-        private final List<Line> stepsRun = new ArrayList<>();
-
-        String type() {
+        private final List<Event> answers = new ArrayList<>();
+        private Event cancelled;
+        private Event connectionLost;
+        private final List<Event> received = new ArrayList<>();
+        private final List<Event> runs = new ArrayList<>();
+        private final Map<String, Event> attemptEnds = new HashMap<>();
+        private final List<Event> stepsReceived = new ArrayList<>();
+        private final List<Event> stepsRun = new ArrayList<>();
+
+        String callClass() {
             return offer != null
                     ? offer.get("class")
                     : received.isEmpty() ? "-" : received.get(0).get("class");
@@ -84,173 +100,185 @@
     }
 
     private final Rules rules;
-    private final List<Line> lines = new ArrayList<>();
+    private final List<Event> events = new ArrayList<>();
     private final Map<String, Call> calls = new LinkedHashMap<>();
-    private final StallIntervals standstills = new StallIntervals();
-    private int explainedByMachine;
-    private final Map<Integer, List<String>> broken = new TreeMap<>();
+    private final StallIntervals stalls = new StallIntervals();
+    private int explainedByStalls;
+    private final Map<Integer, List<String>> violations = new TreeMap<>();
 
-    private Judge(Rules rules, List<String> text) {
+    private Judge(Rules rules, List<String> trace) {
         this.rules = rules;
-        for (String line : text) {
-            String[] parts = line.split("\t");
+        for (String traceLine : trace) {
+            String[] parts = traceLine.split("\t");
             Map<String, String> values = new HashMap<>();
             for (int i = 2; i < parts.length; i++) {
                 int equals = parts[i].indexOf('=');
                 values.put(parts[i].substring(0, equals), parts[i].substring(equals + 1));
             }
-            lines.add(new Line(Long.parseLong(parts[0]), parts[1], values));
+            events.add(new Event(Long.parseLong(parts[0]), parts[1], values));
         }
-        lines.sort(Comparator.comparingLong(Line::at));
+        events.sort(Comparator.comparingLong(Event::at));
     }
 
-    /** Judges a recorded run. */
+    /** Verifies a recorded run. */
     public static Verdict judge(Rules rules, List<String> trace) {
         Judge judge = new Judge(rules, trace);
         judge.read();
-        judge.answers();
-        judge.effects();
-        judge.drains();
-        judge.coldStarts();
-        judge.rations();
-        return new Verdict(judge.broken, judge.figures());
+        judge.checkAnswers();
+        judge.checkEffects();
+        judge.checkDrains();
+        judge.checkSlowStarts();
+        judge.checkLoadQuotas();
+        return new Verdict(judge.violations, judge.figures());
     }
 
-    private void broke(int rule, String what) {
-        broken.computeIfAbsent(rule, r -> new ArrayList<>()).add(what);
+    private void addViolation(int rule, String what) {
+        violations.computeIfAbsent(rule, absent -> new ArrayList<>()).add(what);
     }
 
     private void read() {
-        for (Line line : lines) {
-            Call call =
-                    line.values.containsKey("call") ? calls.computeIfAbsent(line.get("call"), c -> new Call()) : null;
-            int dot = line.get("call").indexOf('.'); // a step of a chain has the chain's id before it
-            if (dot > 0 && line.word.equals("recv")) {
-                calls.computeIfAbsent(line.get("call").substring(0, dot), c -> new Call())
+        for (Event event : events) {
+            Call call = event.values.containsKey("call")
+                    ? calls.computeIfAbsent(event.get("call"), absent -> new Call())
+                    : null;
+            // the id of a chain's step is the chain's id, a dot and the step's id
+            int dot = event.get("call").indexOf('.');
+            if (dot > 0 && event.word.equals("recv")) {
+                calls.computeIfAbsent(event.get("call").substring(0, dot), absent -> new Call())
                         .stepsReceived
-                        .add(line);
-            } else if (dot > 0 && line.word.equals("run")) {
-                calls.computeIfAbsent(line.get("call").substring(0, dot), c -> new Call())
+                        .add(event);
+            } else if (dot > 0 && event.word.equals("run")) {
+                calls.computeIfAbsent(event.get("call").substring(0, dot), absent -> new Call())
                         .stepsRun
-                        .add(line);
+                        .add(event);
             }
-            switch (line.word) {
-                case "offer" -> call.offer = line;
-                case "sent" -> call.sent = line.at;
-                case "answer" -> call.answers.add(line);
-                case "left" -> call.left = line;
-                case "broken" -> call.broken = line;
-                case "recv" -> call.received.add(line);
-                case "run" -> call.runs.add(line);
-                case "reply", "cancelled" -> call.attemptEnds.putIfAbsent(line.get("attempt"), line);
-                default -> readStandstill(line);
+            switch (event.word) {
+                case "offer" -> call.offer = event;
+                case "sent" -> call.sent = event.at;
+                case "answer" -> call.answers.add(event);
+                case "left" -> call.cancelled = event;
+                case "broken" -> call.connectionLost = event;
+                case "recv" -> call.received.add(event);
+                case "run" -> call.runs.add(event);
+                case "reply", "cancelled" -> call.attemptEnds.putIfAbsent(event.get("attempt"), event);
+                default -> readStall(event);
             }
         }
-        standstills.end();
+        stalls.end();
     }
 
-    private void readStandstill(Line line) {
-        switch (line.word) {
-            case "worker-stalled" -> standstills.onWorkerStopped(line.get("worker"), line.at);
-            case "worker-resumed", "died" -> standstills.onWorkerResumed(line.get("worker"), line.at);
-            case "worker-not-run" -> standstills.onWorkerNotRun(line.get("worker"), line.at, line.number("ms") * MS);
-            case "gw-down", "gw-stalled" -> standstills.onGatewayStopped(line.get("gw"), line.at);
-            case "gw-up", "gw-resumed" -> standstills.onGatewayResumed(line.get("gw"), line.at);
-            case "gw-not-run" -> standstills.onGatewayNotRun(line.get("gw"), line.at, line.number("ms") * MS);
-            case "recorder-stalled" -> standstills.onRecorderNotRun(line.at, line.number("ms") * MS);
+    private void readStall(Event event) {
+        switch (event.word) {
+            case "worker-stalled" -> stalls.onWorkerStopped(event.get("worker"), event.at);
+            case "worker-resumed", "died" -> stalls.onWorkerResumed(event.get("worker"), event.at);
+            case "worker-not-run" -> stalls.onWorkerNotRun(
+                    event.get("worker"), event.at, event.number("ms") * NANOS_PER_MS);
+            case "gw-down", "gw-stalled" -> stalls.onGatewayStopped(event.get("gw"), event.at);
+            case "gw-up", "gw-resumed" -> stalls.onGatewayResumed(event.get("gw"), event.at);
+            case "gw-not-run" -> stalls.onGatewayNotRun(event.get("gw"), event.at, event.number("ms") * NANOS_PER_MS);
+            case "recorder-stalled" -> stalls.onRecorderNotRun(event.at, event.number("ms") * NANOS_PER_MS);
             default -> {}
         }
     }
 
-    /** Whether something came later than it may, and by more than a standstill of the machine's own explains; what it explains is counted. */
+    /** Whether an event is later than allowed by more than the given stall explains. Counts the events that the stall does explain. */
     private boolean isLate(long at, long latest, long explainedNanos) {
         if (at > latest && at <= latest + explainedNanos) {
-            explainedByMachine++;
+            explainedByStalls++;
         }
         return at > latest + explainedNanos;
     }
 
-    /** How much later a worker may have noted something because it, or the gateway that sent it from then on, was not run. */
-    private long explainedNanos(String gateway, long from, Line noted) {
-        return noted.at
-                - standstills.earliestArrival(noted.get("worker"), noted.at)
-                + standstills.gatewayNotRunNanos(gateway, from, noted.at);
+    /** The delay of an event of a worker that is explained by the worker or the gateway, from a given time on, not being scheduled. */
+    private long explainedNanos(String gateway, long from, Event observed) {
+        return observed.at
+                - stalls.earliestArrival(observed.get("worker"), observed.at)
+                + stalls.gatewayNotRunNanos(gateway, from, observed.at);
     }
 
-    /** Rule 1: one final answer in time for each call that a living gateway was sent, and nothing after it. */
-    private void answers() {
-        calls.forEach((id, c) -> {
-            if (c.offer == null || c.sent == Long.MAX_VALUE) {
+    /** Rule 1: a call that was sent to a running gateway gets exactly one final response in time, and no attempt follows the response. */
+    private void checkAnswers() {
+        calls.forEach((id, call) -> {
+            if (call.offer == null || call.sent == Long.MAX_VALUE) {
                 return;
             }
-            long deadline = c.sent + c.offer.number("deadline_ms") * MS + rules.graceMillis * MS;
-            String gateway = c.offer.get("gw");
-            boolean excused = standstills.wasGatewayStopped(gateway, c.sent, deadline);
-            if (c.answers.size() > 1) {
-                broke(1, id + " has " + c.answers.size() + " answers");
-            } else if (c.answers.size() == 1) {
-                Line answer = c.answers.get(0);
+            long deadline =
+                    call.sent + call.offer.number("deadline_ms") * NANOS_PER_MS + rules.graceMillis * NANOS_PER_MS;
+            String gateway = call.offer.get("gw");
+            boolean gatewayStopped = stalls.wasGatewayStopped(gateway, call.sent, deadline);
+            if (call.answers.size() > 1) {
+                addViolation(1, id + " has " + call.answers.size() + " answers");
+            } else if (call.answers.size() == 1) {
+                Event answer = call.answers.get(0);
                 if (!answer.get("own").equals("true")) {
-                    broke(1, id + " got another call's answer");
+                    addViolation(1, id + " got another call's answer");
                 }
                 if (answer.get("kind").equals("none")) {
-                    broke(1, id + " got status " + answer.get("status") + " and no word of its end");
+                    addViolation(1, id + " got status " + answer.get("status") + " and no word of its end");
                 }
-                boolean mayBeLate = excused || standstills.wasRecorderStopped(deadline, answer.at);
-                if (!mayBeLate
+                boolean isLatenessExcused = gatewayStopped || stalls.wasRecorderStopped(deadline, answer.at);
+                if (!isLatenessExcused
                         && isLate(
                                 answer.at,
-                                deadline + SLACK,
-                                standstills.gatewayNotRunNanos(gateway, c.sent, answer.at))) {
-                    broke(1, id + " was answered " + (answer.at - deadline) / MS + " ms late");
+                                deadline + TOLERANCE_NANOS,
+                                stalls.gatewayNotRunNanos(gateway, call.sent, answer.at))) {
+                    addViolation(1, id + " was answered " + (answer.at - deadline) / NANOS_PER_MS + " ms late");
                 }
-                Stream.concat(c.received.stream(), c.stepsReceived.stream())
-                        .filter(r -> !standstills.wasGatewayStopped(gateway, answer.at, r.at)
-                                && isLate(r.at, answer.at + SLACK, explainedNanos(gateway, answer.at, r)))
+                Stream.concat(call.received.stream(), call.stepsReceived.stream())
+                        .filter(r -> !stalls.wasGatewayStopped(gateway, answer.at, r.at)
+                                && isLate(r.at, answer.at + TOLERANCE_NANOS, explainedNanos(gateway, answer.at, r)))
                         .findFirst()
-                        .ifPresent(r -> broke(1, id + " went out " + (r.at - answer.at) / MS + " ms after its answer"));
-            } else if (c.left != null && c.left.get("early").equals("true") || excused) {
+                        .ifPresent(r -> addViolation(
+                                1, id + " went out " + (r.at - answer.at) / NANOS_PER_MS + " ms after its answer"));
+            } else if (call.cancelled != null && call.cancelled.get("early").equals("true") || gatewayStopped) {
                 return;
-            } else if (c.left != null && standstills.wasRecorderStopped(deadline - SLACK, c.left.at)) {
-                return; // its answer may have lain unread as it left
-            } else if (c.left != null) {
-                if (isLate(c.left.at, deadline, standstills.gatewayNotRunNanos(gateway, c.sent, c.left.at))) {
-                    broke(1, id + " was never answered");
+            } else if (call.cancelled != null
+                    && stalls.wasRecorderStopped(deadline - TOLERANCE_NANOS, call.cancelled.at)) {
+                return; // the response may have been received but not yet read at the time of cancelling
+            } else if (call.cancelled != null) {
+                if (isLate(
+                        call.cancelled.at,
+                        deadline,
+                        stalls.gatewayNotRunNanos(gateway, call.sent, call.cancelled.at))) {
+                    addViolation(1, id + " was never answered");
                 }
-            } else if (c.broken != null) {
-                broke(1, id + " lost its connection to a living gateway");
+            } else if (call.connectionLost != null) {
+                addViolation(1, id + " lost its connection to a living gateway");
             }
         });
     }
 
-    /** Rule 2: nothing runs twice that must not, no harmless refusal of what ran, second copies only where allowed. */
-    private void effects() {
-        calls.forEach((id, c) -> {
-            String effect = rules.effects.getOrDefault(c.type(), "idempotent");
-            boolean refused = c.answers.stream().anyMatch(a -> a.get("kind").equals("refused"));
-            if (effect.equals("at-most-once") && c.runs.size() > 1) {
-                broke(2, id + " ran " + c.runs.size() + " times");
+    /**
+     * Rule 2: an at-most-once call runs at most once and is not rejected as safe to retry after it ran; two attempts are in flight at once
+     * only if hedged requests are allowed.
+     */
+    private void checkEffects() {
+        calls.forEach((id, call) -> {
+            String effect = rules.effects.getOrDefault(call.callClass(), "idempotent");
+            boolean refused = call.answers.stream().anyMatch(a -> a.get("kind").equals("refused"));
+            if (effect.equals("at-most-once") && call.runs.size() > 1) {
+                addViolation(2, id + " ran " + call.runs.size() + " times");
             }
-            if (effect.equals("at-most-once") && refused && !c.runs.isEmpty()) {
-                broke(2, id + " ran and was called harmless to repeat");
+            if (effect.equals("at-most-once") && refused && !call.runs.isEmpty()) {
+                addViolation(2, id + " ran and was called harmless to repeat");
             }
-            boolean unsafeStepRan = c.stepsRun.stream().anyMatch(r -> rules.effects
-                    .getOrDefault(calls.get(r.get("call")).type(), "idempotent")
+            boolean unsafeStepRan = call.stepsRun.stream().anyMatch(r -> rules.effects
+                    .getOrDefault(calls.get(r.get("call")).callClass(), "idempotent")
                     .equals("at-most-once"));
             if (refused && unsafeStepRan) {
-                broke(2, id + " was called harmless to repeat after a step that must run once");
+                addViolation(2, id + " was called harmless to repeat after a step that must run once");
             }
             if (!rules.secondCopies) {
-                for (int i = 1; i < c.received.size(); i++) {
-                    Line former = c.received.get(i - 1);
-                    Line end = c.attemptEnds.get(former.get("attempt"));
-                    Line next = c.received.get(i);
-                    boolean lost = end == null && diedAfter(former.get("worker"), former.at, next.at)
-                            || standstills.wasWorkerStopped(former.get("worker"), former.at, next.at)
-                            || standstills.wasWorkerStopped(next.get("worker"), next.at, next.at)
-                            || standstills.wasRecorderStopped(next.at - SLACK, next.at + SLACK);
-                    if ((end == null || end.at > next.at + SLACK) && !lost) {
-                        broke(2, id + " was out twice at once");
+                for (int i = 1; i < call.received.size(); i++) {
+                    Event previous = call.received.get(i - 1);
+                    Event end = call.attemptEnds.get(previous.get("attempt"));
+                    Event next = call.received.get(i);
+                    boolean isEndUnknown = end == null && diedAfter(previous.get("worker"), previous.at, next.at)
+                            || stalls.wasWorkerStopped(previous.get("worker"), previous.at, next.at)
+                            || stalls.wasWorkerStopped(next.get("worker"), next.at, next.at)
+                            || stalls.wasRecorderStopped(next.at - TOLERANCE_NANOS, next.at + TOLERANCE_NANOS);
+                    if ((end == null || end.at > next.at + TOLERANCE_NANOS) && !isEndUnknown) {
+                        addViolation(2, id + " was out twice at once");
                     }
                 }
             }
@@ -258,39 +286,43 @@
     }
 
     private boolean diedAfter(String worker, long from, long to) {
-        return lines.stream()
-                .anyMatch(l -> l.word.equals("died")
-                        && l.get("worker").equals(worker)
-                        && l.at >= from - SLACK
-                        && l.at <= to + SLACK);
+        return events.stream()
+                .anyMatch(e -> e.word.equals("died")
+                        && e.get("worker").equals(worker)
+                        && e.at >= from - TOLERANCE_NANOS
+                        && e.at <= to + TOLERANCE_NANOS);
     }
 
-    /** Rule 3: nothing new later than the grace after the roster told this gateway, no state but the last one counts. */
-    private void drains() {
-        Map<String, Long> leaving = new HashMap<>();
-        for (Line line : lines) {
-            String pair = line.get("gw") + ' ' + line.get("worker");
-            switch (line.word) {
+    /**
+     * Rule 3: a gateway sends no new call or load order to a leaving worker once the time allowed after the endpoint update that reported
+     * it has passed. Only the last reported state counts.
+     */
+    private void checkDrains() {
+        Map<String, Long> leavingSince = new HashMap<>();
+        for (Event event : events) {
+            String gatewayAndWorker = event.get("gw") + ' ' + event.get("worker");
+            switch (event.word) {
                 case "told" -> {
-                    if (line.get("state").equals("UP")) {
-                        leaving.remove(pair);
+                    if (event.get("state").equals("UP")) {
+                        leavingSince.remove(gatewayAndWorker);
                     } else {
-                        leaving.putIfAbsent(pair, line.at);
+                        leavingSince.putIfAbsent(gatewayAndWorker, event.at);
                     }
                 }
                 case "list" -> {
-                    if (line.get("whole").equals("true")) {
-                        List<String> named = List.of(line.get("workers").split(","));
-                        String gateway = line.get("gw") + ' ';
-                        knownTo(line.get("gw")).stream()
-                                .filter(w -> !named.contains(w))
-                                .forEach(w -> leaving.putIfAbsent(gateway + w, line.at));
+                    if (event.get("whole").equals("true")) {
+                        List<String> listedWorkers =
+                                List.of(event.get("workers").split(","));
+                        String gateway = event.get("gw") + ' ';
+                        workersKnownTo(event.get("gw")).stream()
+                                .filter(w -> !listedWorkers.contains(w))
+                                .forEach(w -> leavingSince.putIfAbsent(gateway + w, event.at));
                     }
                 }
-                case "recv" -> late(leaving.get(pair), line, "a call");
+                case "recv" -> checkNotLate(leavingSince.get(gatewayAndWorker), event, "a call");
                 case "hold" -> {
-                    if (line.number("count") > 0) {
-                        late(leaving.get(pair), line, "an order");
+                    if (event.number("count") > 0) {
+                        checkNotLate(leavingSince.get(gatewayAndWorker), event, "an order");
                     }
                 }
                 default -> {}
@@ -298,76 +330,77 @@
         }
     }
 
-    private final Map<String, List<String>> known = new HashMap<>();
+    private final Map<String, List<String>> workersByGateway = new HashMap<>();
 
-    private List<String> knownTo(String gateway) {
-        return known.computeIfAbsent(gateway, g -> lines.stream()
-                .filter(l -> l.word.equals("told") && l.get("gw").equals(g))
-                .map(l -> l.get("worker"))
+    private List<String> workersKnownTo(String gateway) {
+        return workersByGateway.computeIfAbsent(gateway, g -> events.stream()
+                .filter(e -> e.word.equals("told") && e.get("gw").equals(g))
+                .map(e -> e.get("worker"))
                 .distinct()
                 .toList());
     }
 
-    private void late(Long told, Line line, String what) {
-        if (told != null
-                && !standstills.wasGatewayStopped(line.get("gw"), told, line.at)
+    private void checkNotLate(Long toldAt, Event event, String what) {
+        if (toldAt != null
+                && !stalls.wasGatewayStopped(event.get("gw"), toldAt, event.at)
                 && isLate(
-                        line.at,
-                        told + rules.stopSendingMillis * MS + SLACK,
-                        explainedNanos(line.get("gw"), told, line))) {
-            broke(
+                        event.at,
+                        toldAt + rules.stopSendingMillis * NANOS_PER_MS + TOLERANCE_NANOS,
+                        explainedNanos(event.get("gw"), toldAt, event))) {
+            addViolation(
                     3,
-                    what + " reached " + line.get("worker") + " " + (line.at - told) / MS + " ms after "
-                            + line.get("gw") + " was told that it leaves");
+                    what + " reached " + event.get("worker") + " " + (event.at - toldAt) / NANOS_PER_MS + " ms after "
+                            + event.get("gw") + " was told that it leaves");
         }
     }
 
     /**
-     * Rule 4: the work that reaches a cold worker in any window stays under the multiple of what it can do there. Broken
-     * only where two thirds of that work came from gateways that the roster had told of this start.
+     * Rule 4: the work that reaches a worker in slow start within any window stays below the allowed multiple of its capacity there. It
+     * is broken only if at least two thirds of that work came from gateways that the endpoint service had informed of this start.
      */
-    private void coldStarts() {
-        Map<String, Line> starts = new HashMap<>();
-        Map<String, Deque<Line>> windows = new HashMap<>();
+    private void checkSlowStarts() {
+        Map<String, Event> starts = new HashMap<>();
+        Map<String, Deque<Event>> windows = new HashMap<>();
         Map<String, Double> sums = new HashMap<>();
-        Map<String, Long> told = new HashMap<>();
-        for (Line line : lines) {
-            if (line.word.equals("told")) {
-                told.putIfAbsent(line.get("gw") + ' ' + line.get("worker") + ' ' + line.get("boot"), line.at);
+        Map<String, Long> toldAt = new HashMap<>();
+        for (Event event : events) {
+            if (event.word.equals("told")) {
+                toldAt.putIfAbsent(event.get("gw") + ' ' + event.get("worker") + ' ' + event.get("boot"), event.at);
             }
-            String worker = line.get("worker");
-            if (line.word.equals("start")) {
-                starts.put(worker, line.get("cold").equals("true") ? line : null);
+            String worker = event.get("worker");
+            if (event.word.equals("start")) {
+                starts.put(worker, event.get("cold").equals("true") ? event : null);
                 windows.put(worker, new ArrayDeque<>());
                 sums.put(worker, 0.0);
-            } else if (line.word.equals("recv") && starts.get(worker) != null) {
-                Line start = starts.get(worker);
-                double age = (line.at - start.at) / (double) (rules.coldMillis * MS);
+            } else if (event.word.equals("recv") && starts.get(worker) != null) {
+                Event start = starts.get(worker);
+                double age = (event.at - start.at) / (double) (rules.coldMillis * NANOS_PER_MS);
                 if (age >= 1) {
                     continue;
                 }
-                Deque<Line> window = windows.get(worker);
-                window.add(line);
-                sums.merge(worker, work(line), Double::sum);
-                while (line.at - window.peek().at > rules.tipMillis * MS) {
+                Deque<Event> window = windows.get(worker);
+                window.add(event);
+                sums.merge(worker, work(event), Double::sum);
+                while (event.at - window.peek().at > rules.tipMillis * NANOS_PER_MS) {
                     sums.merge(worker, -work(window.poll()), Double::sum);
                 }
                 double capacity = Double.parseDouble(start.get("cores"))
                         * Double.parseDouble(start.get("speed"))
                         * (rules.coldFrom + (1 - rules.coldFrom) * age);
-                double most = 1.25 * rules.overloadFactor * capacity * rules.tipMillis;
-                double knowing = window.stream()
-                        .filter(l -> {
-                            Long at = told.get(l.get("gw") + ' ' + worker + ' ' + start.get("boot"));
-                            return at != null && !standstills.wasGatewayStopped(l.get("gw"), at, l.at);
+                double limit = 1.25 * rules.overloadFactor * capacity * rules.tipMillis;
+                double informedWork = window.stream()
+                        .filter(e -> {
+                            Long at = toldAt.get(e.get("gw") + ' ' + worker + ' ' + start.get("boot"));
+                            return at != null && !stalls.wasGatewayStopped(e.get("gw"), at, e.at);
                         })
                         .mapToDouble(this::work)
                         .sum();
-                if (sums.get(worker) > most && knowing >= sums.get(worker) * 2 / 3) {
-                    broke(
+                if (sums.get(worker) > limit && informedWork >= sums.get(worker) * 2 / 3) {
+                    addViolation(
                             4,
                             worker + " was sent " + Math.round(sums.get(worker)) + " ms of work in " + rules.tipMillis
-                                    + " ms, " + (line.at - start.at) / MS + " ms after its start, where " + (long) most
+                                    + " ms, " + (event.at - start.at) / NANOS_PER_MS + " ms after its start, where "
+                                    + (long) limit
                                     + " tip it");
                     starts.put(worker, null);
                 }
@@ -375,76 +408,79 @@
         }
     }
 
-    /** A gateway that stood still takes what was sent to it meanwhile when it goes on. */
-    private long takenAt(Line line) {
-        return standstills.gatewayResumedAt(line.get("gw"), line.at);
+    /** The time at which a gateway received a request; one sent while the gateway was stopped is received when it resumes. */
+    private long receivedAt(Event event) {
+        return stalls.gatewayResumedAt(event.get("gw"), event.at);
     }
 
-    /** A chain's steps are calls of their own; the first stands for the chain's being taken. */
-    private static boolean laterStep(Line line) {
-        String call = line.get("call");
-        return line.word.equals("recv")
-                && line.get("attempt").equals("0")
+    /** Whether this is the first attempt of a chain's step other than the first step, which counts with the request of the chain. */
+    private static boolean isLaterStep(Event event) {
+        String call = event.get("call");
+        return event.word.equals("recv")
+                && event.get("attempt").equals("0")
                 && call.indexOf('.') > 0
                 && !call.endsWith(".s0");
     }
 
-    /** A call weighs as the mean of its class, as the rule has it. */
-    private double work(Line received) {
+    /** The work of a call in milliseconds as rule 4 counts it: the mean of its class. */
+    private double work(Event received) {
         return rules.works.getOrDefault(received.get("class"), 0.0);
     }
 
-    /** Rule 5: at each order to load, those of its gateway's process within the span are no more than the ration. */
-    private void rations() {
+    /** Rule 5: the load orders of one incarnation of a gateway within any window stay within its load quota. */
+    private void checkLoadQuotas() {
         if (rules.rationMillis == 0) {
             return;
         }
-        Map<String, List<Long>> taken = new HashMap<>();
+        Map<String, List<Long>> receiptTimes = new HashMap<>();
         Map<String, List<Long>> orders = new HashMap<>();
-        Map<String, Integer> lives = new HashMap<>(); // one that was killed knows nothing of its orders before
-        for (Line line : lines) {
-            String process = line.get("gw") + '/' + lives.getOrDefault(line.get("gw"), 0);
-            if (line.word.equals("gw-down")) {
-                lives.merge(line.get("gw"), 1, Integer::sum);
-            } else if (line.word.equals("answer")) {
-                Call c = calls.get(line.get("call"));
-                long unseen = !c.type().equals("chain")
+        // a restarted gateway does not know its earlier load orders
+        Map<String, Integer> incarnations = new HashMap<>();
+        for (Event event : events) {
+            String process = event.get("gw") + '/' + incarnations.getOrDefault(event.get("gw"), 0);
+            if (event.word.equals("gw-down")) {
+                incarnations.merge(event.get("gw"), 1, Integer::sum);
+            } else if (event.word.equals("answer")) {
+                Call call = calls.get(event.get("call"));
+                long unreceivedSteps = !call.callClass().equals("chain")
                         ? 0
-                        : line.number("attempts")
+                        : event.number("attempts")
                                 - 1
-                                - c.stepsReceived.stream()
-                                        .filter(Judge::laterStep)
+                                - call.stepsReceived.stream()
+                                        .filter(Judge::isLaterStep)
                                         .count();
-                for (long i = 0; i < unseen; i++) { // steps that were begun and never reached a worker
-                    taken.computeIfAbsent(process, g -> new ArrayList<>()).add(line.at);
+                for (long i = 0; i < unreceivedSteps; i++) { // steps that started but did not reach a worker
+                    receiptTimes
+                            .computeIfAbsent(process, g -> new ArrayList<>())
+                            .add(event.at);
                 }
-            } else if (line.word.equals("sent") || laterStep(line)) {
-                taken.computeIfAbsent(process, g -> new ArrayList<>()).add(takenAt(line));
-            } else if (line.word.equals("hold")
-                    && line.number("count") > 0
-                    && !standstills.wasWorkerStopped(line.get("worker"), line.at, line.at)
-                    && !standstills.wasRecorderStopped(
-                            line.at - SLACK, line.at)) { // read late: when it came is not known
-                orders.computeIfAbsent(process, g -> new ArrayList<>()).add(line.at);
+            } else if (event.word.equals("sent") || isLaterStep(event)) {
+                receiptTimes.computeIfAbsent(process, g -> new ArrayList<>()).add(receivedAt(event));
+            } else if (event.word.equals("hold")
+                    && event.number("count") > 0
+                    // an order that was not read at once has an unknown time of arrival
+                    && !stalls.wasWorkerStopped(event.get("worker"), event.at, event.at)
+                    && !stalls.wasRecorderStopped(event.at - TOLERANCE_NANOS, event.at)) {
+                orders.computeIfAbsent(process, g -> new ArrayList<>()).add(event.at);
             }
         }
         orders.forEach((gateway, times) -> {
-            List<Long> calling = taken.getOrDefault(gateway, List.of());
+            List<Long> gatewayReceiptTimes = receiptTimes.getOrDefault(gateway, List.of());
             for (int i = 0; i < times.size(); i++) {
                 long at = times.get(i);
-                long from = at - rules.rationMillis * MS;
+                long from = at - rules.rationMillis * NANOS_PER_MS;
                 long count = times.subList(0, i + 1).stream()
-                        .filter(t -> t > from + SLACK + rules.dialMillis * MS)
+                        .filter(t -> t > from + TOLERANCE_NANOS + rules.dialMillis * NANOS_PER_MS)
                         .count();
-                long calls = calling.stream()
-                        .filter(t -> t > from - SLACK && t <= at + SLACK)
+                long calls = gatewayReceiptTimes.stream()
+                        .filter(t -> t > from - TOLERANCE_NANOS && t <= at + TOLERANCE_NANOS)
                         .count();
-                double most = rules.rationAnyway + rules.rationRatio * calls;
-                if (count > most) {
-                    broke(
+                double quota = rules.rationAnyway + rules.rationRatio * calls;
+                if (count > quota) {
+                    addViolation(
                             5,
                             gateway + " gave " + count + " orders in " + rules.rationMillis + " ms with " + calls
-                                    + " calls, where " + most + " are allowed");
+                                    + " calls, where " + quota + " are allowed");
                 }
             }
         });
@@ -456,36 +492,37 @@
         int late = 0;
         int refused = 0;
         int failed = 0;
-        Map<String, Call> first = new LinkedHashMap<>();
+        Map<String, Call> firstAttempts = new LinkedHashMap<>();
         Map<String, String> origin = new HashMap<>();
-        for (Map.Entry<String, Call> e : calls.entrySet()) {
-            Line offer = e.getValue().offer;
+        for (Map.Entry<String, Call> entry : calls.entrySet()) {
+            Event offer = entry.getValue().offer;
             if (offer != null) {
                 String root = offer.get("former").equals("-")
-                        ? e.getKey()
+                        ? entry.getKey()
                         : origin.getOrDefault(offer.get("former"), offer.get("former"));
-                origin.put(e.getKey(), root);
-                first.putIfAbsent(root, e.getValue());
+                origin.put(entry.getKey(), root);
+                firstAttempts.putIfAbsent(root, entry.getValue());
             }
         }
-        Map<String, Line> served = new HashMap<>();
-        for (Map.Entry<String, Call> e : calls.entrySet()) {
-            for (Line answer : e.getValue().answers) {
+        Map<String, Event> served = new HashMap<>();
+        for (Map.Entry<String, Call> entry : calls.entrySet()) {
+            for (Event answer : entry.getValue().answers) {
                 switch (answer.get("kind")) {
-                    case "served" -> served.putIfAbsent(origin.get(e.getKey()), answer);
+                    case "served" -> served.putIfAbsent(origin.get(entry.getKey()), answer);
                     case "refused" -> refused++;
                     default -> failed++;
                 }
             }
         }
-        for (Map.Entry<String, Call> e : first.entrySet()) {
+        for (Map.Entry<String, Call> entry : firstAttempts.entrySet()) {
             asked++;
-            Line answer = served.get(e.getKey());
-            boolean chain = e.getValue().offer.get("class").equals("chain");
+            Event answer = served.get(entry.getKey());
+            boolean chain = entry.getValue().offer.get("class").equals("chain");
             long aim = chain
-                    ? e.getValue().offer.number("deadline_ms") * MS
-                    : rules.aims.getOrDefault(e.getValue().offer.get("class"), Long.MAX_VALUE / MS) * MS;
-            if (answer != null && answer.at - e.getValue().offer.at <= aim) {
+                    ? entry.getValue().offer.number("deadline_ms") * NANOS_PER_MS
+                    : rules.aims.getOrDefault(entry.getValue().offer.get("class"), Long.MAX_VALUE / NANOS_PER_MS)
+                            * NANOS_PER_MS;
+            if (answer != null && answer.at - entry.getValue().offer.at <= aim) {
                 inTime++;
             } else if (answer != null) {
                 late++;
@@ -493,8 +530,8 @@
         }
         chainFigures(served);
         long loads = count("load");
-        long fetches = lines.stream()
-                .filter(l -> l.word.equals("fetch") && l.get("status").equals("200"))
+        long fetches = events.stream()
+                .filter(e -> e.word.equals("fetch") && e.get("status").equals("200"))
                 .count();
         Map<String, String> figures = new LinkedHashMap<>();
         figures.put("calls", Integer.toString(asked));
@@ -504,52 +541,56 @@
         figures.put("failures", Integer.toString(failed));
         figures.put("attempts", Long.toString(count("recv")));
         figures.put("loads per call", String.format("%.3f", loads / Math.max(1.0, asked)));
-        figures.put("loads unused", percent(unused(), (int) loads));
+        figures.put("loads unused", percent(unusedLoads(), (int) loads));
         figures.put("fetches", Long.toString(fetches));
         figures.put("orders", Long.toString(count("hold")));
         figures.put("probes", Long.toString(count("probe")));
-        figures.put("not judged", Integer.toString(explainedByMachine));
+        figures.put("not judged", Integer.toString(explainedByStalls));
         figures.putAll(chains);
         return figures;
     }
 
     private final Map<String, String> chains = new LinkedHashMap<>();
 
-    /** Of chains: how many were asked for, served in time, and the work of steps whose chain was not. */
-    private void chainFigures(Map<String, Line> served) {
+    /** Figures of chains: number offered, number served in time, and the work of steps of those not served in time. */
+    private void chainFigures(Map<String, Event> served) {
         Map<String, Long> workOf = new HashMap<>();
-        lines.stream().filter(l -> l.word.equals("recv")).forEach(l -> workOf.put(l.get("call"), l.number("work_us")));
+        events.stream().filter(e -> e.word.equals("recv")).forEach(e -> workOf.put(e.get("call"), e.number("work_us")));
         int asked = 0;
         int inTime = 0;
         int singles = 0;
         int singlesInTime = 0;
         long wasted = 0;
         long worked = 0;
-        for (Map.Entry<String, Call> e : calls.entrySet()) {
-            Call c = e.getValue();
-            if (c.offer == null) {
+        for (Map.Entry<String, Call> entry : calls.entrySet()) {
+            Call call = entry.getValue();
+            if (call.offer == null) {
                 continue;
             }
-            Line answer = served.get(e.getKey());
-            boolean chain = c.offer.get("class").equals("chain");
-            if (c.offer.at < lines.get(0).at + WARM_UP) {
-                continue; // a fleet that begins empty is another matter
+            Event answer = served.get(entry.getKey());
+            boolean chain = call.offer.get("class").equals("chain");
+            if (call.offer.at < events.get(0).at + WARM_UP_NANOS) {
+                continue; // workers may not have loaded any functions yet
             }
             if (!chain) {
-                long aim = rules.aims.getOrDefault(c.offer.get("class"), 0L) * MS;
-                singles += c.offer.get("former").equals("-") ? 1 : 0;
+                long aim = rules.aims.getOrDefault(call.offer.get("class"), 0L) * NANOS_PER_MS;
+                singles += call.offer.get("former").equals("-") ? 1 : 0;
                 singlesInTime +=
-                        c.offer.get("former").equals("-") && answer != null && answer.at - c.offer.at <= aim ? 1 : 0;
+                        call.offer.get("former").equals("-") && answer != null && answer.at - call.offer.at <= aim
+                                ? 1
+                                : 0;
                 continue;
             }
-            boolean well = answer != null && answer.at - c.offer.at <= c.offer.number("deadline_ms") * MS + SLACK / 10;
-            long work = c.stepsRun.stream()
+            boolean servedInTime = answer != null
+                    && answer.at - call.offer.at
+                            <= call.offer.number("deadline_ms") * NANOS_PER_MS + TOLERANCE_NANOS / 10;
+            long work = call.stepsRun.stream()
                     .mapToLong(r -> workOf.getOrDefault(r.get("call"), 0L))
                     .sum();
             asked++;
-            inTime += well ? 1 : 0;
+            inTime += servedInTime ? 1 : 0;
             worked += work;
-            wasted += well ? 0 : work;
+            wasted += servedInTime ? 0 : work;
         }
         if (singles > 0) {
             chains.put("chains", Integer.toString(asked));
@@ -561,39 +602,39 @@
         }
     }
 
-    /** Loads after which no call of the function ran there until the next load of it or the end. */
-    private int unused() {
+    /** Loads after which no call of the function ran on that worker before its next load there or the end of the trace. */
+    private int unusedLoads() {
         Map<String, Boolean> used = new HashMap<>();
         int unused = 0;
         Map<String, String> functionOf = new HashMap<>();
-        for (Line line : lines) {
-            String key = line.get("worker") + ' ' + line.get("fn");
-            if (line.word.equals("recv")) {
-                functionOf.put(line.get("call"), line.get("fn"));
-            } else if (line.word.equals("load")) {
+        for (Event event : events) {
+            String key = event.get("worker") + ' ' + event.get("fn");
+            if (event.word.equals("recv")) {
+                functionOf.put(event.get("call"), event.get("fn"));
+            } else if (event.word.equals("load")) {
                 unused += Boolean.FALSE.equals(used.put(key, false)) ? 1 : 0;
-            } else if (line.word.equals("run")) {
-                used.computeIfPresent(line.get("worker") + ' ' + functionOf.get(line.get("call")), (k, v) -> true);
+            } else if (event.word.equals("run")) {
+                used.computeIfPresent(event.get("worker") + ' ' + functionOf.get(event.get("call")), (k, v) -> true);
             }
         }
         return unused + (int) used.values().stream().filter(u -> !u).count();
     }
 
     private long count(String word) {
-        return lines.stream().filter(l -> l.word.equals(word)).count();
+        return events.stream().filter(e -> e.word.equals(word)).count();
     }
 
     private static String percent(int part, int of) {
         return String.format("%.1f%%", 100.0 * part / Math.max(1, of));
     }
 
-    /** The verdict as lines of text, the last one telling how many rules were kept. */
+    /** Formats the result as lines of text; the last line has the number of rules kept. */
     public static List<String> report(Verdict verdict) {
         List<String> report = new ArrayList<>();
         verdict.figures.forEach((name, value) -> report.add(String.format("  %-16s %s", name, value)));
         verdict.broken.forEach((rule, what) -> {
             report.add("rule " + rule + " broken " + what.size() + " times:");
-            what.stream().limit(SHOWN).forEach(w -> report.add("  " + w));
+            what.stream().limit(MAX_EXAMPLES).forEach(w -> report.add("  " + w));
         });
         report.add("rules kept: " + verdict.kept() + " of 5");
         return report;
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/MemoryJudge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/MemoryJudge.java
@@ -6,100 +6,108 @@
 import java.util.Map;
 
 /**
- * Holds a worker's books against what the system says its process holds. The books are asked for before and after the system,
- * so that what changes between the two is not taken for a fault: where they moved, copies may have come and gone between, and
- * the range is wider by as much as they moved. Knows docs/operate/worker.md alone: the names of the books'
- * lines, and that copies' memory is mapped from a file named {@value #FILE}. One thread.
+ * Compares a worker's memory accounting with the resident memory of its copies as the operating system reports it. The accounting is read
+ * before and after the system's figure, so that a change between the two is not taken for a fault: copies may have been loaded and evicted
+ * meanwhile, so the accepted range is widened on both sides by the change. Relies only on docs/operate/worker.md: the keys of the
+ * accounting and that the memory of copies is mapped from a file named {@value #COPY_MAPPING_FILE}. Not thread-safe.
  */
 public final class MemoryJudge {
-    private static final String FILE = "copies.map";
-    private static final double MOST_SHARE = 0.02;
-    private static final long STEP_KB = 256; // loads make memory resident in steps, and tell after each
-    private static final List<String> PARTS = List.of("loading_kb", "idle_kb", "working_kb", "leaving_kb", "stuck_kb");
+    private static final String COPY_MAPPING_FILE = "copies.map";
+    private static final double MAX_DEVIATION = 0.02;
+    /** A load touches memory in steps of this size and updates the accounting after each. */
+    private static final long LOAD_STEP_KB = 256;
+
+    private static final List<String> STATE_KEYS =
+            List.of("loading_kb", "idle_kb", "working_kb", "leaving_kb", "stuck_kb");
 
     private final List<String> faults = new ArrayList<>();
     private int samples;
-    private int moving;
-    private double worst;
-    private long most;
+    private int samplesWithChange;
+    private double worstDeviation;
+    private long maxResidentKb;
 
     /**
-     * A sample of one worker.
+     * Checks one sample of a worker.
      *
-     * @param before books, lines of a name and a number
-     * @param smaps  {@code /proc/PID/smaps}
-     * @param after  books again
+     * @param before memory accounting before the system's figure was read, lines of a key and a number
+     * @param smaps  contents of {@code /proc/PID/smaps}
+     * @param after  memory accounting after it was read
      */
     public void sample(String worker, String before, String smaps, String after) {
-        Map<String, Long> first = read(before);
-        Map<String, Long> last = read(after);
-        long held = held(smaps);
-        long moved = Math.abs(first.get("resident_kb") - last.get("resident_kb"));
-        long least = Math.min(first.get("resident_kb"), last.get("resident_kb")) - moved;
-        long largest = Math.max(first.get("resident_kb"), last.get("resident_kb")) + moved;
-        moving += moved > 0 ? 1 : 0;
-        long off = Math.max(0, Math.max(least - held, held - largest));
+        Map<String, Long> accountedBefore = read(before);
+        Map<String, Long> accountedAfter = read(after);
+        long residentKb = residentKb(smaps);
+        long changeKb = Math.abs(accountedBefore.get("resident_kb") - accountedAfter.get("resident_kb"));
+        long leastKb = Math.min(accountedBefore.get("resident_kb"), accountedAfter.get("resident_kb")) - changeKb;
+        long largestKb = Math.max(accountedBefore.get("resident_kb"), accountedAfter.get("resident_kb")) + changeKb;
+        samplesWithChange += changeKb > 0 ? 1 : 0;
+        long deviationKb = Math.max(0, Math.max(leastKb - residentKb, residentKb - largestKb));
         samples++;
-        most = Math.max(most, held);
-        if (off > STEP_KB) {
-            worst = Math.max(worst, off / (double) Math.max(held, 1));
+        maxResidentKb = Math.max(maxResidentKb, residentKb);
+        if (deviationKb > LOAD_STEP_KB) {
+            worstDeviation = Math.max(worstDeviation, deviationKb / (double) Math.max(residentKb, 1));
         }
-        if (off > Math.max(STEP_KB, MOST_SHARE * held)) {
-            faults.add(worker + ": the process holds " + held + " KiB in copies, the books said " + least + " to "
-                    + largest);
+        if (deviationKb > Math.max(LOAD_STEP_KB, MAX_DEVIATION * residentKb)) {
+            faults.add(worker + ": copies have " + residentKb + " KiB resident, the memory accounting reports "
+                    + leastKb + " to " + largestKb);
         }
-        whole(worker, first);
-        whole(worker, last);
+        checkSums(worker, accountedBefore);
+        checkSums(worker, accountedAfter);
     }
 
-    /** Nothing is lost from the books: what is free and what stands in some part is all there is. */
-    private void whole(String worker, Map<String, Long> books) {
-        long parts = PARTS.stream().mapToLong(books::get).sum();
-        long sum = books.get("free_kb") + books.get("leaked_kb") + parts;
-        if (books.get("free_kb") > 0 && sum != books.get("total_kb")) {
-            faults.add(worker + ": the books add up to " + sum + " of " + books.get("total_kb") + " KiB");
+    /** Checks that free and leaked memory and the memory of copies in each state add up to the total. */
+    private void checkSums(String worker, Map<String, Long> accounted) {
+        long copiesKb = STATE_KEYS.stream().mapToLong(accounted::get).sum();
+        long sumKb = accounted.get("free_kb") + accounted.get("leaked_kb") + copiesKb;
+        if (accounted.get("free_kb") > 0 && sumKb != accounted.get("total_kb")) {
+            faults.add(worker + ": the memory accounting adds up to " + sumKb + " of " + accounted.get("total_kb")
+                    + " KiB");
         }
-        boolean still = books.get("loading_kb") == 0 && books.get("leaving_kb") == 0;
-        if (still && books.get("resident_kb") != parts) {
-            faults.add(worker + ": " + books.get("resident_kb") + " KiB resident, copies in the books have " + parts);
+        boolean isSettled = accounted.get("loading_kb") == 0 && accounted.get("leaving_kb") == 0;
+        if (isSettled && accounted.get("resident_kb") != copiesKb) {
+            faults.add(worker + ": " + accounted.get("resident_kb")
+                    + " KiB resident in the memory accounting, its copies have " + copiesKb);
         }
     }
 
-    private static Map<String, Long> read(String books) {
+    private static Map<String, Long> read(String accounted) {
         Map<String, Long> values = new HashMap<>();
-        books.lines().map(l -> l.split(" ")).forEach(f -> values.put(f[0], Long.parseLong(f[1])));
+        accounted
+                .lines()
+                .map(line -> line.split(" "))
+                .forEach(keyAndValue -> values.put(keyAndValue[0], Long.parseLong(keyAndValue[1])));
         return values;
     }
 
-    private static long held(String smaps) {
-        long sum = 0;
-        boolean copies = false;
+    private static long residentKb(String smaps) {
+        long sumKb = 0;
+        boolean inCopyMapping = false;
         for (String line : smaps.split("\n")) {
-            String first = line.substring(0, Math.max(0, line.indexOf(' ')));
-            if (first.contains("-")) {
-                copies = line.contains(FILE);
-            } else if (copies && first.equals("Rss:")) {
-                sum += Long.parseLong(line.replaceAll("[^0-9]", ""));
+            String firstWord = line.substring(0, Math.max(0, line.indexOf(' ')));
+            if (firstWord.contains("-")) {
+                inCopyMapping = line.contains(COPY_MAPPING_FILE);
+            } else if (inCopyMapping && firstWord.equals("Rss:")) {
+                sumKb += Long.parseLong(line.replaceAll("[^0-9]", ""));
             }
         }
-        return sum;
+        return sumKb;
     }
 
-    /** What was found wrong. */
+    /** Descriptions of the deviations found. */
     public List<String> faults() {
         return List.copyOf(faults);
     }
 
-    /** In a line. */
+    /** The result in one line. */
     public String summary() {
         return String.format(
                 java.util.Locale.ROOT,
                 "memory: %d samples (%d while the books moved), most held by a process %d "
                         + "KiB, worst deviation %.2f%%, faults %d",
                 samples,
-                moving,
-                most,
-                100 * worst,
+                samplesWithChange,
+                maxResidentKb,
+                100 * worstDeviation,
                 faults.size());
     }
 }
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/StallIntervals.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/StallIntervals.java
@@ -8,19 +8,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When gateways, workers and the process that records the clients were down, stopped, or not run by the machine. Spans may be added in any
- * order, all before the first question. Times in nanoseconds on the clock of the trace. One thread.
+ * The intervals in which gateways, workers and the process that records the clients were down, stopped, or not scheduled by the operating
+ * system. Intervals may be added in any order, but all before the first query. Times are in nanoseconds on the clock of the trace. Not
+ * thread-safe.
  */
 final class StallIntervals {
-    /** What a loopback socket and a busy machine may add between two recorders. */
-    static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+    /** The delay that a loopback socket and a busy machine may add between two recorders. */
+    static final long TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-    private record Span(long from, long to) {}
+    private record Interval(long from, long to) {}
 
-    private final Map<String, List<Span>> gatewayStops = new HashMap<>();
-    private final Map<String, List<Span>> gatewayNotRun = new HashMap<>();
-    private final Map<String, List<Span>> workerStops = new HashMap<>();
-    private final List<Span> recorderStops = new ArrayList<>();
+    private final Map<String, List<Interval>> gatewayStops = new HashMap<>();
+    private final Map<String, List<Interval>> gatewayStalls = new HashMap<>();
+    private final Map<String, List<Interval>> workerStops = new HashMap<>();
+    private final List<Interval> recorderStops = new ArrayList<>();
     private final Map<String, Long> stoppedGateways = new HashMap<>();
     private final Map<String, Long> stoppedWorkers = new HashMap<>();
 
@@ -31,13 +32,13 @@
     void onWorkerResumed(String worker, long at) {
         Long from = stoppedWorkers.remove(worker);
         if (from != null) {
-            add(workerStops, worker, new Span(from, at));
+            add(workerStops, worker, new Interval(from, at));
         }
     }
 
-    /** The machine did not run a worker's process for a while until then. */
+    /** A worker's process was not scheduled for {@code nanos} up to {@code until}. */
     void onWorkerNotRun(String worker, long until, long nanos) {
-        add(workerStops, worker, new Span(until - nanos, until));
+        add(workerStops, worker, new Interval(until - nanos, until));
     }
 
     void onGatewayStopped(String gateway, long at) {
@@ -46,59 +47,59 @@
 
     void onGatewayResumed(String gateway, long at) {
         Long from = stoppedGateways.remove(gateway);
-        add(gatewayStops, gateway, new Span(from == null ? at : from, at));
+        add(gatewayStops, gateway, new Interval(from == null ? at : from, at));
     }
 
-    /** The machine did not run a thread of a gateway for a while until then. */
+    /** A thread of a gateway was not scheduled for {@code nanos} up to {@code until}. */
     void onGatewayNotRun(String gateway, long until, long nanos) {
-        add(gatewayNotRun, gateway, new Span(until - nanos, until));
+        add(gatewayStalls, gateway, new Interval(until - nanos, until));
     }
 
-    /** An I/O thread of the recording process was away for a while until then. */
+    /** An I/O thread of the recording process was not scheduled for {@code nanos} up to {@code until}. */
     void onRecorderNotRun(long until, long nanos) {
-        recorderStops.add(new Span(until - nanos, until));
+        recorderStops.add(new Interval(until - nanos, until));
     }
 
-    /** The trace has ended: what is stopped stays so. */
+    /** Ends the trace: processes that are stopped count as stopped for ever. */
     void end() {
         stoppedWorkers.forEach(
-                (worker, from) -> add(workerStops, worker, new Span(from, Long.MAX_VALUE - SLACK_NANOS)));
-        stoppedGateways.forEach((gateway, from) -> add(gatewayStops, gateway, new Span(from, Long.MAX_VALUE)));
+                (worker, from) -> add(workerStops, worker, new Interval(from, Long.MAX_VALUE - TOLERANCE_NANOS)));
+        stoppedGateways.forEach((gateway, from) -> add(gatewayStops, gateway, new Interval(from, Long.MAX_VALUE)));
     }
 
-    private static void add(Map<String, List<Span>> spans, String name, Span span) {
-        spans.computeIfAbsent(name, absent -> new ArrayList<>()).add(span);
+    private static void add(Map<String, List<Interval>> intervals, String name, Interval interval) {
+        intervals.computeIfAbsent(name, absent -> new ArrayList<>()).add(interval);
     }
 
-    private static List<Span> of(Map<String, List<Span>> spans, String name) {
-        return spans.getOrDefault(name, List.of());
+    private static List<Interval> intervalsOf(Map<String, List<Interval>> intervals, String name) {
+        return intervals.getOrDefault(name, List.of());
     }
 
-    /** Whether a gateway was down or stopped at some time of a span. */
+    /** Whether a gateway was down or stopped at some time of an interval, give or take the tolerance. */
     boolean wasGatewayStopped(String gateway, long from, long to) {
-        return of(gatewayStops, gateway).stream()
-                .anyMatch(span -> span.from <= to + SLACK_NANOS && span.to >= from - SLACK_NANOS);
+        return intervalsOf(gatewayStops, gateway).stream()
+                .anyMatch(interval -> interval.from <= to + TOLERANCE_NANOS && interval.to >= from - TOLERANCE_NANOS);
     }
 
-    /** When a gateway went on that was down or stopped then; that time itself where it was not. */
+    /** The time at which a gateway that was down or stopped at {@code at} resumed; {@code at} itself if it was running. */
     long gatewayResumedAt(String gateway, long at) {
-        return of(gatewayStops, gateway).stream()
-                .filter(span -> span.from <= at && at <= span.to)
-                .mapToLong(Span::to)
+        return intervalsOf(gatewayStops, gateway).stream()
+                .filter(interval -> interval.from <= at && at <= interval.to)
+                .mapToLong(Interval::to)
                 .findFirst()
                 .orElse(at);
     }
 
-    /** For how much of a span the machine did not run a gateway's threads: by so much all that it does may be late. */
+    /** The time within an interval for which a gateway's threads were not scheduled; its actions may be late by as much. */
     long gatewayNotRunNanos(String gateway, long from, long to) {
-        List<Span> inOrder = of(gatewayNotRun, gateway).stream()
-                .sorted(Comparator.comparingLong(Span::from))
+        List<Interval> inOrder = intervalsOf(gatewayStalls, gateway).stream()
+                .sorted(Comparator.comparingLong(Interval::from))
                 .toList();
         long covered = 0;
         long reached = from;
-        for (Span span : inOrder) {
-            long begin = Math.max(span.from, reached);
-            long end = Math.min(span.to, to);
+        for (Interval interval : inOrder) {
+            long begin = Math.max(interval.from, reached);
+            long end = Math.min(interval.to, to);
             if (end > begin) {
                 covered += end - begin;
                 reached = end;
@@ -108,34 +109,35 @@
     }
 
     /**
-     * Whether a worker's process stood still at some time of a span. What came to it meanwhile it reads, and notes, once it goes on: then it
-     * is known that it came, not when.
+     * Whether a worker's process was stopped at some time of an interval. It reads and records what arrives meanwhile when it resumes, so
+     * the time of arrival is unknown.
      */
     boolean wasWorkerStopped(String worker, long from, long to) {
-        return of(workerStops, worker).stream().anyMatch(span -> span.from <= to && span.to + SLACK_NANOS >= from);
+        return intervalsOf(workerStops, worker).stream()
+                .anyMatch(interval -> interval.from <= to && interval.to + TOLERANCE_NANOS >= from);
     }
 
     /**
-     * The earliest time at which what a worker noted can have come to it: as it noted it, or where its process stood still just before, the
-     * beginning of that standstill.
+     * The earliest time at which a message that a worker recorded can have arrived: the time of the record or, if the process was stopped
+     * just before, the beginning of that stall.
      */
-    long earliestArrival(String worker, long notedAt) {
-        long earliest = notedAt;
-        boolean isMoved = true;
-        while (isMoved) {
+    long earliestArrival(String worker, long recordedAt) {
+        long earliest = recordedAt;
+        boolean isExtended = true;
+        while (isExtended) {
             long before = earliest;
-            earliest = of(workerStops, worker).stream()
-                    .filter(span -> span.from < before && span.to + SLACK_NANOS >= before)
-                    .mapToLong(Span::from)
+            earliest = intervalsOf(workerStops, worker).stream()
+                    .filter(interval -> interval.from < before && interval.to + TOLERANCE_NANOS >= before)
+                    .mapToLong(Interval::from)
                     .min()
                     .orElse(before);
-            isMoved = earliest < before;
+            isExtended = earliest < before;
         }
         return earliest;
     }
 
-    /** Whether the recording process stood still at some time of a span: what came then it noted later, or not. */
+    /** Whether the recording process was stalled at some time of an interval: it recorded events of that time later or not at all. */
     boolean wasRecorderStopped(long from, long to) {
-        return recorderStops.stream().anyMatch(span -> span.from <= to && span.to >= from);
+        return recorderStops.stream().anyMatch(interval -> interval.from <= to && interval.to >= from);
     }
 }
--- a/stand-ins/src/test/java/wharfhinge/standin/judge/MemoryJudgeTest.java
+++ b/stand-ins/src/test/java/wharfhinge/standin/judge/MemoryJudgeTest.java
@@ -5,11 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Books and maps written by hand, each with one thing wrong or none. */
+/** Checks handwritten memory accounting and smaps files, each with one deviation or none. */
 class MemoryJudgeTest {
     private final MemoryJudge judge = new MemoryJudge();
 
-    private static String books(long free, long idle, long working, long resident) {
+    private static String accounting(long free, long idle, long working, long resident) {
         return "total_kb 100000\nfree_kb " + free + "\nloading_kb 0\nidle_kb " + idle + "\nworking_kb " + working
                 + "\nleaving_kb 0\nstuck_kb 0\nleaked_kb 0\nresident_kb " + resident + "\n";
     }
@@ -27,37 +27,52 @@
     }
 
     @Test
-    void honestBooksHaveNoFault() {
+    void sample_accountingMatchesProcess_findsNoFault() {
         assertEquals(
-                0, faults(books(60_000, 30_000, 10_000, 40_000), smaps(40_000), books(60_000, 30_000, 10_000, 40_000)));
+                0,
+                faults(
+                        accounting(60_000, 30_000, 10_000, 40_000),
+                        smaps(40_000),
+                        accounting(60_000, 30_000, 10_000, 40_000)));
         assertTrue(judge.summary().contains("1 samples (0 while the books moved), most held by a process 40000 KiB"));
     }
 
     @Test
-    void aProcessThatHoldsMoreOrLessThanItSaysIsFound() {
-        String books = books(60_000, 30_000, 10_000, 40_000);
-        assertEquals(1, faults(books, smaps(41_000), books), "2.4% more");
-        assertEquals(2, faults(books, smaps(39_000), books), "2.6% less");
-        assertEquals(2, faults(books, smaps(40_700), books), "1.7% more");
+    void sample_residentMemoryDiffersFromAccounting_findsFault() {
+        String accounting = accounting(60_000, 30_000, 10_000, 40_000);
+        assertEquals(1, faults(accounting, smaps(41_000), accounting), "2.4% more");
+        assertEquals(2, faults(accounting, smaps(39_000), accounting), "2.6% less");
+        assertEquals(2, faults(accounting, smaps(40_700), accounting), "1.7% more");
     }
 
     @Test
-    void aCopyLostFromTheBooksIsFound() {
-        String lost = books(50_000, 30_000, 10_000, 40_000);
-        assertEquals(2, faults(lost, smaps(40_000), lost), "they add up to 90,000 of 100,000, before and after");
+    void sample_copyMissingFromAccounting_findsFault() {
+        String incomplete = accounting(50_000, 30_000, 10_000, 40_000);
+        assertEquals(
+                2,
+                faults(incomplete, smaps(40_000), incomplete),
+                "the accounting adds up to 90,000 of 100,000, before and after");
     }
 
     @Test
-    void residentMemoryThatNoPartHasIsFound() {
-        String odd = books(60_000, 30_000, 10_000, 48_000);
-        assertEquals(2, faults(odd, smaps(48_000), odd));
+    void sample_residentMemoryOfNoState_findsFault() {
+        String unexplained = accounting(60_000, 30_000, 10_000, 48_000);
+        assertEquals(2, faults(unexplained, smaps(48_000), unexplained));
     }
 
     @Test
-    void whileTheBooksMoveTheRangeIsWider() {
+    void sample_accountingChangesMeanwhile_widensRange() {
         assertEquals(
-                0, faults(books(60_000, 30_000, 10_000, 40_000), smaps(32_000), books(50_000, 40_000, 10_000, 50_000)));
+                0,
+                faults(
+                        accounting(60_000, 30_000, 10_000, 40_000),
+                        smaps(32_000),
+                        accounting(50_000, 40_000, 10_000, 50_000)));
         assertEquals(
-                1, faults(books(60_000, 30_000, 10_000, 40_000), smaps(20_000), books(50_000, 40_000, 10_000, 50_000)));
+                1,
+                faults(
+                        accounting(60_000, 30_000, 10_000, 40_000),
+                        smaps(20_000),
+                        accounting(50_000, 40_000, 10_000, 50_000)));
     }
 }
