--- a/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
@@ -48,12 +48,12 @@
     /**
      * The offered traffic.
      *
-     * @param perS           calls a second
-     * @param functions      number of functions in each class
-     * @param zipf           exponent of the popularity of functions
-     * @param retries        retries of a call at most
-     * @param chainShare     share of calls that are chains
-     * @param chainAimMillis deadline of a chain
+     * @param perS                calls a second
+     * @param functions           number of functions in each class
+     * @param zipf                exponent of the popularity of functions
+     * @param retries             retries of a call at most
+     * @param chainShare          share of calls that are chains
+     * @param chainDeadlineMillis deadline of a chain
      */
     public record Traffic(
             double perS,
@@ -62,7 +62,7 @@
             int retries,
             List<CallClass> classes,
             double chainShare,
-            long chainAimMillis) {}
+            long chainDeadlineMillis) {}
 
     private final Traffic traffic;
     private final Trace trace;
@@ -269,7 +269,7 @@
                             step.callClass().lanes(),
                             step.callClass().loadMillis()));
         }
-        String json = "{\"id\":\"" + id + "\",\"deadline_ms\":" + traffic.chainAimMillis()
+        String json = "{\"id\":\"" + id + "\",\"deadline_ms\":" + traffic.chainDeadlineMillis()
                 + ",\"input\":\"in\",\"steps\":[" + steps + "]}";
         openCalls.incrementAndGet();
         trace.note(
@@ -283,7 +283,7 @@
                 "fn",
                 "chain",
                 "deadline_ms",
-                traffic.chainAimMillis(),
+                traffic.chainDeadlineMillis(),
                 "former",
                 "-");
         Attempt attempt = new Attempt(null, traffic.retries(), id, gatewayNames.get(gateway));
@@ -294,7 +294,7 @@
                         Map.of(),
                         json.getBytes(java.nio.charset.StandardCharsets.UTF_8),
                         attempt);
-        attempt.cancelAfter(traffic.chainAimMillis() + CANCEL_AFTER_DEADLINE_MS, false);
+        attempt.cancelAfter(traffic.chainDeadlineMillis() + CANCEL_AFTER_DEADLINE_MS, false);
     }
 
     /** The number of calls in flight. */
--- a/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
@@ -37,7 +37,7 @@
     private Workers workers;
 
     @XmlElement(name = "rules")
-    private RuleFigures rules;
+    private RuleParameters rules;
 
     @XmlElement(name = "store")
     private Store store;
@@ -143,7 +143,7 @@
 
     /** Parameters of the rules. */
     @XmlAccessorType(XmlAccessType.FIELD)
-    public static final class RuleFigures {
+    public static final class RuleParameters {
         @XmlAttribute(name = "grace-ms")
         private long graceMillis = 16;
 
@@ -223,7 +223,7 @@
         private double chainShare;
 
         @XmlAttribute(name = "chain-aim-ms")
-        private long chainAimMillis = 600;
+        private long chainDeadlineMillis = 600;
 
         @XmlElement(name = "class")
         private final List<CallClass> classes = new ArrayList<>();
@@ -459,18 +459,18 @@
                                 c.lanes))
                         .toList(),
                 traffic.chainShare,
-                traffic.chainAimMillis);
+                traffic.chainDeadlineMillis);
     }
 
     /** Parameters of the rules for the trace verifier. */
     public Judge.Rules judged() {
         Map<String, String> effects = new LinkedHashMap<>();
-        Map<String, Long> aims = new LinkedHashMap<>();
-        Map<String, Double> works = new LinkedHashMap<>();
+        Map<String, Long> objectiveMillis = new LinkedHashMap<>();
+        Map<String, Double> meanWorkMillis = new LinkedHashMap<>();
         traffic.classes.forEach(c -> {
             effects.put(c.name, c.effect);
-            aims.put(c.name, c.aimMillis);
-            works.put(c.name, c.workMillis);
+            objectiveMillis.put(c.name, c.aimMillis);
+            meanWorkMillis.put(c.name, c.workMillis);
         });
         return new Judge.Rules(
                 rules.graceMillis,
@@ -485,7 +485,7 @@
                 CONNECT_TIMEOUT_MS,
                 secondCopies,
                 effects,
-                aims,
-                works);
+                objectiveMillis,
+                meanWorkMillis);
     }
 }
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
@@ -33,17 +33,17 @@
     /**
      * Properties of a worker; times in milliseconds unless the name says otherwise, memory in MB.
      *
-     * @param queue             calls that may wait for a slot
-     * @param loadsAtOnce       loads that run concurrently
-     * @param keepMillis        time after which an idle copy is evicted
-     * @param loadsOnCall       whether a call for a function that is not loaded starts a load; otherwise it is answered as a miss
-     * @param coldFrom          share of full capacity at the beginning of the slow start
-     * @param coldMillis        length of the slow start
-     * @param overloadFactor    multiple of its current capacity that a worker in slow start survives
-     * @param tipMillis         window over which that work is summed
-     * @param reportEveryMillis interval at which the load report is refreshed
-     * @param cold              whether it begins in slow start
-     * @param meanWorkUs        mean work of a call in microseconds
+     * @param queue                calls that may wait for a slot
+     * @param loadsAtOnce          loads that run concurrently
+     * @param keepMillis           time after which an idle copy is evicted
+     * @param loadsOnCall          whether a call for a function that is not loaded starts a load; otherwise it is answered as a miss
+     * @param coldFrom             share of full capacity at the beginning of the slow start
+     * @param coldMillis           length of the slow start
+     * @param overloadFactor       multiple of its current capacity that a worker in slow start survives
+     * @param tipMillis            window over which that work is summed
+     * @param reportIntervalMillis interval at which the load report is refreshed
+     * @param cold                 whether it begins in slow start
+     * @param meanWorkUs           mean work of a call in microseconds
      */
     public record Spec(
             String zone,
@@ -60,7 +60,7 @@
             long coldMillis,
             double overloadFactor,
             long tipMillis,
-            long reportEveryMillis,
+            long reportIntervalMillis,
             boolean cold,
             long meanWorkUs,
             long seed) {}
@@ -243,7 +243,7 @@
         loop.execute(() -> {
             begin(spec.cold());
             loop.scheduleAtFixedRate(
-                    this::tick, spec.reportEveryMillis(), spec.reportEveryMillis(), TimeUnit.MILLISECONDS);
+                    this::tick, spec.reportIntervalMillis(), spec.reportIntervalMillis(), TimeUnit.MILLISECONDS);
         });
     }
 
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
@@ -26,20 +26,20 @@
     /**
      * Parameters of the rules; times in milliseconds.
      *
-     * @param graceMillis       tolerance after a deadline
-     * @param stopSendingMillis time after an endpoint update until which a gateway may still send to a worker that leaves
-     * @param coldFrom          share of full capacity at the beginning of the slow start
-     * @param coldMillis        length of the slow start
-     * @param overloadFactor    multiple of its current capacity that may be sent to a worker in slow start
-     * @param tipMillis         window over which that work is summed
-     * @param rationMillis      window of the load quota; 0 if there is no quota
-     * @param rationAnyway      load orders that are allowed in a window without any calls
-     * @param rationRatio       further load orders that are allowed for each call in the window
-     * @param dialMillis        time for which a load order may wait for a connection before it is sent
-     * @param secondCopies      whether a call may have two attempts in flight at once
-     * @param effects           effect of each class: idempotent, deduplicated or at-most-once
-     * @param aims              latency objective of each class
-     * @param works             mean work of a call of each class
+     * @param graceMillis          tolerance after a deadline
+     * @param stopSendingMillis    time after an endpoint update until which a gateway may still send to a worker that leaves
+     * @param coldFrom             share of full capacity at the beginning of the slow start
+     * @param coldMillis           length of the slow start
+     * @param overloadFactor       multiple of its current capacity that may be sent to a worker in slow start
+     * @param tipMillis            window over which that work is summed
+     * @param rationMillis         window of the load quota; 0 if there is no quota
+     * @param rationAnyway         load orders that are allowed in a window without any calls
+     * @param rationRatio          further load orders that are allowed for each call in the window
+     * @param connectTimeoutMillis time for which a load order may wait for a connection before it is sent
+     * @param secondCopies         whether a call may have two attempts in flight at once
+     * @param effects              effect of each class: idempotent, deduplicated or at-most-once
+     * @param objectiveMillis      latency objective of each class
+     * @param meanWorkMillis       mean work of a call of each class
      */
     public record Rules(
             long graceMillis,
@@ -51,11 +51,11 @@
             long rationMillis,
             double rationAnyway,
             double rationRatio,
-            long dialMillis,
+            long connectTimeoutMillis,
             boolean secondCopies,
             Map<String, String> effects,
-            Map<String, Long> aims,
-            Map<String, Double> works) {}
+            Map<String, Long> objectiveMillis,
+            Map<String, Double> meanWorkMillis) {}
 
     /**
      * The result of a verification.
@@ -294,8 +294,8 @@
     }
 
     /**
-     * Rule 3: a gateway sends no new call or load order to a leaving worker once the time allowed after the endpoint update that reported
-     * it has passed. Only the last reported state counts.
+     * Rule 3: a gateway sends a leaving worker no new call or load order later than the allowed time after the endpoint update that reported
+     * it as leaving. Only the last reported state counts.
      */
     private void checkDrains() {
         Map<String, Long> leavingSince = new HashMap<>();
@@ -424,7 +424,7 @@
 
     /** The work of a call in milliseconds as rule 4 counts it: the mean of its class. */
     private double work(Event received) {
-        return rules.works.getOrDefault(received.get("class"), 0.0);
+        return rules.meanWorkMillis.getOrDefault(received.get("class"), 0.0);
     }
 
     /** Rule 5: the load orders of one incarnation of a gateway within any window stay within its load quota. */
@@ -470,7 +470,7 @@
                 long at = times.get(i);
                 long from = at - rules.rationMillis * NANOS_PER_MS;
                 long count = times.subList(0, i + 1).stream()
-                        .filter(t -> t > from + TOLERANCE_NANOS + rules.dialMillis * NANOS_PER_MS)
+                        .filter(t -> t > from + TOLERANCE_NANOS + rules.connectTimeoutMillis * NANOS_PER_MS)
                         .count();
                 long calls = gatewayReceiptTimes.stream()
                         .filter(t -> t > from - TOLERANCE_NANOS && t <= at + TOLERANCE_NANOS)
@@ -520,7 +520,8 @@
             boolean chain = entry.getValue().offer.get("class").equals("chain");
             long aim = chain
                     ? entry.getValue().offer.number("deadline_ms") * NANOS_PER_MS
-                    : rules.aims.getOrDefault(entry.getValue().offer.get("class"), Long.MAX_VALUE / NANOS_PER_MS)
+                    : rules.objectiveMillis.getOrDefault(
+                                    entry.getValue().offer.get("class"), Long.MAX_VALUE / NANOS_PER_MS)
                             * NANOS_PER_MS;
             if (answer != null && answer.at - entry.getValue().offer.at <= aim) {
                 inTime++;
@@ -573,7 +574,7 @@
                 continue; // workers may not have loaded any functions yet
             }
             if (!chain) {
-                long aim = rules.aims.getOrDefault(call.offer.get("class"), 0L) * NANOS_PER_MS;
+                long aim = rules.objectiveMillis.getOrDefault(call.offer.get("class"), 0L) * NANOS_PER_MS;
                 singles += call.offer.get("former").equals("-") ? 1 : 0;
                 singlesInTime +=
                         call.offer.get("former").equals("-") && answer != null && answer.at - call.offer.at <= aim
