--- a/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
@@ -294,8 +294,8 @@
     }
 
     /**
-     * Rule 3: a gateway sends a leaving worker no new call or load order later than the allowed time after the endpoint update that reported
-     * it as leaving. Only the last reported state counts.
+     * Rule 3: a gateway sends a leaving worker no new call or load order later than the allowed time after the endpoint update that
+     * reported it as leaving. Only the last reported state counts.
      */
     private void checkDrains() {
         Map<String, Long> leavingSince = new HashMap<>();
