--- a/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
+++ b/client-core/src/main/java/wharfhinge/client/core/ClientDecisions.java
@@ -33,6 +33,8 @@
         void scheduleTimer(long call, int token, long delayNanos);
     }
 
+    // Timer tokens. A token of 0 or more is the index of the attempt whose silence timeout ends. The token of retry
+    // timer n (from 1) is RETRY_TIMER - 2n, an even number, so that it never equals the token of another timer.
     private static final int DEADLINE_TIMER = -1;
     private static final int RETRY_TIMER = -2;
     private static final int HEDGE_TIMER = -3;
@@ -56,9 +58,9 @@
         private final List<Attempt> attempts = new ArrayList<>(2);
         private final Set<String> gatewaysTried = new LinkedHashSet<>();
         private boolean mayHaveRun;
-        private boolean streaming; // the answer has started: no retry and no deadline from here on
+        private boolean streaming; // the answer has started: retries and the deadline no longer apply
         private boolean waitingForRetry;
-        private int retryTimerNumber; // of the latest backoff; timers of earlier ones are ignored
+        private int retryTimerNumber; // number of the latest retry timer; earlier ones are ignored
         private int failures;
 
         PendingCall(long id, CallPlan plan, long deadline) {
@@ -150,7 +152,8 @@
 
     /**
      * Handles the start of a streamed answer: the deadline no longer applies, the other attempts are abandoned, and there is no retry,
-     * since the caller receives parts from now on. Returns false if the attempt was already abandoned.
+     * since the caller receives parts from now on. Returns false, and changes nothing, if the call or the attempt has ended or an
+     * answer of the call is being streamed already.
      */
     public boolean onStreamStarted(long now, long id, int index) {
         PendingCall call = calls.get(id);
@@ -204,7 +207,10 @@
         actions.sendAttempt(call.id, index, gateway, call.deadline - now, index > 0);
     }
 
-    /** Retries after an attempt without an answer if budget and deadline allow it, else ends the call. */
+    /**
+     * Retries a call after an unsuccessful attempt, or ends it if idempotency, retry budget or deadline forbid a retry. Does nothing
+     * while another attempt is in flight or a retry is scheduled.
+     */
     private void retryOrFinish(long now, PendingCall call, int index, AttemptResult result, long retryAfterNanos) {
         if (call.attemptsInFlight() > 0 || call.waitingForRetry) {
             return; // another attempt may still be answered, or a retry is scheduled
@@ -219,7 +225,7 @@
             finish(now, call, kind, CallResult.Reason.BUDGET_SPENT, retryAfterNanos, index);
             return;
         }
-        // an unsent attempt indicates a connection fault, not overload: no backoff the first time
+        // an unsent attempt indicates a connection fault, not overload: a call's first retry then needs no backoff
         boolean retryAtOnce = result == AttemptResult.NOT_SENT && call.failures == 0;
         long maxBackoffNanos =
                 Math.min(policy.maxBackoffNanos(), policy.backoffNanos() << Math.min(call.failures, MAX_DOUBLINGS));
@@ -242,7 +248,10 @@
         }
     }
 
-    /** Abandons an idempotent call's attempt that was not answered within the silence timeout, and retries elsewhere if possible. */
+    /**
+     * Abandons an idempotent call's attempt that was not answered within the silence timeout, and retries at once, on another gateway
+     * if there is one. Keeps the attempt if the retry budget is spent or another attempt is in flight.
+     */
     private void onSilent(long now, PendingCall call, int index) {
         Attempt attempt = call.attempts.get(index);
         if (attempt.ended || retryTokens < 1 || call.attemptsInFlight() > 1) {
@@ -273,7 +282,7 @@
             if (!attempt.ended && i != except) {
                 attempt.ended = true;
                 anyInFlight = true;
-                // an attempt without an answer for so long counts as a failure of the gateway
+                // an attempt unanswered for the silence timeout counts as a failure of the gateway
                 boolean silent = deadlinePassed && now - attempt.sentAt >= policy.silentNanos();
                 gatewayPool.onAttemptEnded(now, attempt.gateway, silent ? Boolean.FALSE : null);
                 actions.abandonAttempt(call.id, i);
--- a/decisions/src/main/java/wharfhinge/decisions/chain/StepAnswerCache.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/StepAnswerCache.java
@@ -6,9 +6,10 @@
 import java.util.Optional;
 
 /**
- * Cache of the answers of finished steps by the idempotency key that a client gave its chain, so that a retry does not run them
- * again. Keys and bytes are bounded for each tenant: a tenant beyond a bound loses its own oldest keys, never those of another
- * tenant. The cache is local to this gateway; a retry on another gateway runs the steps again.
+ * Caches the answers of finished steps under the idempotency key that a client gave its chain, so that a retry of the chain does
+ * not run these steps again. The keys and the bytes of each tenant are bounded: a tenant beyond a bound loses its own oldest keys
+ * with their answers, never those of another tenant. The cache is local to this gateway; a retry on another gateway runs every
+ * step again.
  */
 public final class StepAnswerCache {
     /** The answer of a step. */
@@ -72,7 +73,10 @@
         return true;
     }
 
-    /** The answers that a retry of a chain may start from; empty if there are none or the key belongs to another chain. */
+    /**
+     * The cached answers of a chain, indexed by step and null for each step without one, for a retry to start from. Empty if no
+     * answer is cached or the key belongs to another chain.
+     */
     public Optional<Answer[]> get(long nowNanos, String tenant, String key, String digest, int steps) {
         LinkedHashMap<String, CachedChain> chains = chainsByTenant.get(tenant);
         if (chains == null) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyPool.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyPool.java
@@ -65,7 +65,7 @@
         return find(copyId).orElseThrow(() -> new IllegalStateException("unknown copy " + copyId));
     }
 
-    /** Adds a copy whose load waits; {@link #markLoading} books its memory. */
+    /** Adds a copy whose load has not started; {@link #markLoading} books its memory at the start of the load. */
     Copy add(FunctionState function, long memoryKb, Copy.Cause cause) {
         Copy copy = new Copy(nextCopyId++, function, memoryKb, cause);
         copies.put(copy.id(), copy);
@@ -98,7 +98,7 @@
         memory.move(copy.id(), Part.STUCK);
     }
 
-    /** Books the memory that the package needs. Returns false and changes nothing if that much is not free. */
+    /** Changes the memory booked for a copy. Returns false and changes nothing if the difference is more than is free. */
     boolean resize(Copy copy, long memoryKb) {
         if (!memory.resize(copy.id(), memoryKb)) {
             return false;
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Removes a copy whose load never started, so that no memory is booked for it. */
+    /** Removes a copy that has no memory booked, such as one whose load never started. */
     void remove(Copy copy) {
         copies.remove(copy.id());
         copy.function().copies().remove(copy);
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryAccounting.java
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Sets the memory that the process holds beyond what is booked. It does not count as free until a lower figure is set; negative
-     * figures count as 0.
+     * Sets the memory that the process holds beyond what is booked. This memory does not count as free until a lower value is set. A
+     * negative value counts as 0.
      */
     void setLeakedKb(long kb) {
         leakedKb = Math.max(0, kb);
@@ -117,7 +117,7 @@
         return bookedKbByPart.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** Memory that is neither booked nor leaked, in KiB; 0 if the leak exceeds what is not booked. */
+    /** Memory that is neither booked nor leaked, in KiB; 0 if booked and leaked memory exceed the total. */
     public long freeKb() {
         return Math.max(0, totalKb - totalBookedKb() - leakedKb);
     }
--- a/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainExecutor.java
@@ -29,10 +29,11 @@
  * Confined to the engine's thread.
  */
 final class ChainExecutor implements ChainScheduler.Actions {
+    /** A running chain and the calls of all clients that wait for its answer: the first one and its retries. */
     private static final class ChainRun {
         private final long id;
         private final ChainCall chainCall;
-        private final List<ChainCall> listeners = new ArrayList<>(1);
+        private final List<ChainCall> waitingCalls = new ArrayList<>(1);
         private final ClientCall[] stepsInFlight;
         private final StepAnswer[] answers;
         private long retainedBytes;
@@ -42,7 +43,7 @@
             this.chainCall = call;
             this.stepsInFlight = new ClientCall[call.plan().size()];
             this.answers = new StepAnswer[call.plan().size()];
-            listeners.add(call);
+            waitingCalls.add(call);
         }
     }
 
@@ -58,7 +59,7 @@
     private long retainedBytes;
     private long resumedChains;
     private long joinedChains;
-    private volatile long retainedKeys; // for metrics; finishedSteps is confined to the engine's thread
+    private volatile long retainedKeys; // size of finishedSteps, copied for metrics() on other threads
 
     ChainExecutor(StepTransport transport, EngineSettings.Chains settings, Set<String> tenants, StepJournal journal) {
         this.transport = transport;
@@ -79,7 +80,7 @@
         });
     }
 
-    /** Maps all unknown tenants to one name, so that arbitrary names cannot fill the table of keys. */
+    /** Maps all unknown tenants to the empty name, so that made-up names cannot fill the tables that are keyed by tenant. */
     private String tenantOf(ChainCall chainCall) {
         return chainCall.tenant() != null && tenants.contains(chainCall.tenant()) ? chainCall.tenant() : "";
     }
@@ -109,7 +110,10 @@
         scheduler.onChain(transport.now(), run.id, chainCall.plan(), tenantOf(chainCall), deadline, finishedBefore);
     }
 
-    /** Attaches a retry to the running chain with the same key; it gets that chain's answer within its own deadline. */
+    /**
+     * Attaches a retry to the running chain with the same key. The retry gets the answer of that chain, or a failure shortly
+     * before its own deadline. The retry is rejected if its text differs from that of the running chain.
+     */
     private void join(ChainRun run, ChainCall chainCall) {
         if (!run.chainCall.digest().equals(chainCall.digest())) {
             respond(
@@ -119,12 +123,12 @@
             return;
         }
         joinedChains++;
-        run.listeners.add(chainCall);
+        run.waitingCalls.add(chainCall);
         long remainingNanos = chainCall.deadlineNanos()
                 - (transport.toNanoTime(transport.now()) - chainCall.receivedAt())
                 - settings.settings().reserveNanos() / 2;
         transport.schedule(remainingNanos, () -> {
-            if (run.listeners.remove(chainCall)) {
+            if (run.waitingCalls.remove(chainCall)) {
                 respond(
                         chainCall,
                         new ChainResult(ChainResult.Kind.FAILED, "an-earlier-try-still-runs", List.of()),
@@ -160,9 +164,9 @@
     /** Handles a client that cancelled or disconnected; the chain continues while another client waits for it. */
     void onClientCancelled(ChainCall chainCall) {
         for (ChainRun run : runs.values()) {
-            if (run.listeners.remove(chainCall)) {
+            if (run.waitingCalls.remove(chainCall)) {
                 transport.onChainCompleted(chainCall);
-                if (run.listeners.isEmpty()) {
+                if (run.waitingCalls.isEmpty()) {
                     scheduler.onClientCancelled(transport.now(), run.id);
                     remove(run);
                 }
@@ -208,7 +212,7 @@
                 return i;
             }
         }
-        throw new IllegalStateException("chain plan has no step " + id); // the plan was validated
+        throw new IllegalStateException("chain plan has no step " + id); // cannot happen: the plan was validated
     }
 
     @Override
@@ -242,8 +246,8 @@
     public void completeChain(long chain, ChainResult result) {
         ChainRun run = runs.get(chain);
         remove(run);
-        run.listeners.forEach(chainCall -> respond(chainCall, result, run));
-        run.listeners.clear();
+        run.waitingCalls.forEach(chainCall -> respond(chainCall, result, run));
+        run.waitingCalls.clear();
     }
 
     private void respond(ChainCall chainCall, ChainResult result, ChainRun run) {
--- a/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatchEngine.java
@@ -71,10 +71,10 @@
     public record SubmissionResult(SubmissionStatus status, long retryAfterNanos) {}
 
     private static final int MAX_KNOWN_FUNCTIONS = 16_384;
-    /** Delay before the next attempt to create a dispatcher whose constructor threw. */
+    /** Delay before a dispatcher that could not be created is created again; calls are rejected until then. */
     private static final long RESTART_DELAY_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private static final String SHUTDOWN_TIMER = "close"; // these two timers survive a restart of the dispatcher
+    private static final String SHUTDOWN_TIMER = "close"; // survives a restart of the dispatcher, as does CHAIN_TIMER
     private static final String CHAIN_TIMER = "chain";
     private static final String START_INCARNATION = "start-incarnation";
 
@@ -141,7 +141,7 @@
         return submissionQueue.pending();
     }
 
-    // ---- From other threads -----------------------------------------------------------------
+    // ---- Methods for any thread -------------------------------------------------------------
 
     /** Submits a call. If it is not accepted, no answer follows and the caller remains the owner of its body. */
     public SubmissionResult submit(ClientCall call) {
@@ -163,12 +163,12 @@
         return chains.metrics();
     }
 
-    /** Admission counters by their keys on the status page; empty if every tenant is admitted. */
+    /** Admission counters by their keys on the status page; empty if admission control is off. */
     public Map<String, Long> admissionMetrics() {
         return submissionQueue.admissionMetrics();
     }
 
-    /** Reports that an accepted call's client cancelled or disconnected. No attempt is sent from now on, however late the event runs. */
+    /** Reports that an accepted call's client cancelled or disconnected. Stops further attempts even before the event is handled. */
     public void onClientCancelled(ClientCall call) {
         call.clientCancelled().set(true);
         eventLoop.execute("client-cancelled", () -> pending.onClientCancelled(call, false));
@@ -218,7 +218,7 @@
      * Starts a graceful shutdown: submissions are rejected from now on, and the engine stops once no call is pending. After
      * {@code timeoutNanos} it ends the remaining calls and stops.
      *
-     * @return the number of calls that had to be ended
+     * @return completes once the engine has stopped, with the number of calls that it ended
      */
     public CompletableFuture<Integer> shutdown(long timeoutNanos) {
         submissionQueue.close();
@@ -283,7 +283,7 @@
         stopIfIdle();
     }
 
-    /** Ends the chains before the calls: the answers of their steps are queued and would arrive after the chains' own answers. */
+    /** Ends the chains first, which cancels their steps: the result of a step is queued and would come after its chain's answer. */
     private int endAllCalls(String reason) {
         chains.endAll();
         return pending.endAll(reason, true);
@@ -332,7 +332,7 @@
             return;
         }
         EndpointList.Change change = endpoints.apply(update, eventLoop.now());
-        // Before the dispatcher is notified, so that no attempt is sent to these workers in between.
+        // The transport is updated first: once notified, the dispatcher may send attempts, none to a stopped worker.
         change.workersToStop().forEach(workers::stopSending);
         change.incarnationsToStart().forEach(workers::startSending);
         dispatcher.onEndpointUpdate(eventLoop.now(), update.mode(), update.revision(), change.endpoints());
--- a/worker/src/main/java/wharfhinge/worker/WorkerServer.java
+++ b/worker/src/main/java/wharfhinge/worker/WorkerServer.java
@@ -47,7 +47,7 @@
 
 /**
  * Serves the worker protocol (docs/protocol-worker.md) over HTTP/2. One event loop handles both the sockets and the
- * scheduling, so that each answer is decided on the memory accounting as it is when the answer is written.
+ * scheduling, so that the memory accounting cannot change between the decision on an answer and the writing of it.
  */
 public final class WorkerServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerServer.class);
@@ -66,7 +66,7 @@
     private final String incarnation;
     private final String address;
 
-    /** Listens on loopback; paths in the settings are relative to {@code baseFolder}. */
+    /** Starts a server on the loopback interface; paths in the settings are relative to {@code baseFolder}. */
     public WorkerServer(WorkerSettings settings, Path baseFolder) throws IOException {
         this.settings = settings;
         byte[] random = new byte[8];
@@ -119,14 +119,15 @@
         return ((InetSocketAddress) listenChannel.localAddress()).getPort();
     }
 
-    /** The incarnation: distinguishes this process from earlier ones at the same address. */
+    /** Random identifier that distinguishes this process from earlier ones at the same address. */
     public String incarnation() {
         return incarnation;
     }
 
     /**
-     * Shuts down gracefully: rejects new calls, sends GOAWAY, answers the calls in flight and closes. Blocks no longer than
-     * the time-out in the settings. May be called on any thread.
+     * Shuts down gracefully: rejects new calls, sends GOAWAY, answers the calls in flight and closes. Waits for the
+     * answers no longer than the drain timeout of the settings. May be called on any thread except the event loop, which it waits
+     * for.
      *
      * @return whether all calls in flight were answered
      */
@@ -180,9 +181,9 @@
                                 .initialSettings(Http2Settings.defaultSettings()
                                         .maxConcurrentStreams(MAX_CONCURRENT_STREAMS)
                                         .maxHeaderListSize(MAX_HEADER_LIST_BYTES))
+                                // no limit on RST_STREAM frames: gateways are trusted and may cancel thousands of calls
                                 .decoderEnforceMaxRstFramesPerWindow(0, 0)
-                                .build(), // no limit on RST_STREAM frames: gateways are trusted and may cancel
-                        // thousands of calls
+                                .build(),
                         new Http2MultiplexHandler(new ChannelInitializer<Channel>() {
                             @Override
                             protected void initChannel(Channel stream) {
@@ -196,7 +197,7 @@
                         new ConnectionErrorHandler());
     }
 
-    /** Closes a connection after an error. Closing its streams cancels the calls and orders that they wait for. */
+    /** Closes a connection, and thus its streams, after an error. Each stream cancels its call or load order when it closes. */
     private static final class ConnectionErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
@@ -206,8 +207,8 @@
 
     /** Handles the one request of a stream. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private long openCall;
-        private long openOrder;
+        private long openCall; // number of the call that this stream waits for, or 0
+        private long openOrder; // number of the load order that this stream waits for, or 0
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -256,7 +257,7 @@
             } else if (!isForThisIncarnation) {
                 write(context, answerResponse(AnswerCode.FULL, new byte[0])); // meant for an earlier incarnation
             } else {
-                boolean[] answered = {false};
+                boolean[] answered = {false}; // the call may be answered before its number is returned
                 long callNumber = worker.call(
                         function,
                         headers,
@@ -302,7 +303,7 @@
             } else if (!isForThisIncarnation) {
                 writeOrderAnswer(context, AnswerCode.FULL, 0);
             } else {
-                boolean[] answered = {false};
+                boolean[] answered = {false}; // the order may be answered before its number is returned
                 long orderNumber =
                         worker.orderCopies(function, Integer.parseInt(count), headers, (code, readyCopies) -> {
                             answered[0] = true;
