--- a/app/src/main/java/wharfhinge/app/StandInCommand.java
+++ b/app/src/main/java/wharfhinge/app/StandInCommand.java
@@ -59,8 +59,8 @@
         return workers;
     }
 
-    private static void reportWorker(RosterStandIn roster, String worker, Scenario scenario, int i) {
-        var workerSpec = scenario.worker(i, false);
+    private static void reportWorker(RosterStandIn roster, String worker, Scenario scenario, int workerIndex) {
+        var workerSpec = scenario.worker(workerIndex, false);
         roster.report(new RosterEntry(
                 worker,
                 workerSpec.zone(),
--- a/app/src/main/java/wharfhinge/app/drill/DrillRun.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillRun.java
@@ -148,9 +148,9 @@
         return all;
     }
 
-    private void reportState(int i, State state, boolean justStarted) {
-        DrillWorker worker = workers.get(i);
-        WorkerModel.Spec spec = scenario.worker(i, false);
+    private void reportState(int workerIndex, State state, boolean justStarted) {
+        DrillWorker worker = workers.get(workerIndex);
+        WorkerModel.Spec spec = scenario.worker(workerIndex, false);
         long ageMillis = justStarted ? 0 : 2 * spec.coldMillis();
         roster.report(new RosterEntry(
                 worker.id(),
@@ -294,19 +294,19 @@
         }
     }
 
-    private void drain(Trouble fault, int i) {
-        schedule(fault.at(), () -> reportState(i, State.DRAINING, false));
-        restart(fault.at() + fault.length(), fault.extra(), i);
+    private void drain(Trouble fault, int workerIndex) {
+        schedule(fault.at(), () -> reportState(workerIndex, State.DRAINING, false));
+        restart(fault.at() + fault.length(), fault.extra(), workerIndex);
     }
 
-    private void restart(double atSeconds, double downSeconds, int i) {
+    private void restart(double atSeconds, double downSeconds, int workerIndex) {
         schedule(atSeconds, () -> {
-            workers.get(i).kill();
-            reportState(i, State.GONE, false);
+            workers.get(workerIndex).kill();
+            reportState(workerIndex, State.GONE, false);
         });
         schedule(atSeconds + downSeconds, () -> {
-            workers.get(i).restart();
-            reportState(i, State.UP, true);
+            workers.get(workerIndex).restart();
+            reportState(workerIndex, State.UP, true);
         });
     }
 
--- a/app/src/main/java/wharfhinge/app/measure/ClientCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/ClientCostCommand.java
@@ -134,14 +134,14 @@
                         .verbosity(VerboseMode.SILENT)
                         .build())
                 .run()) {
-            Statistics s = r.getPrimaryResult().getStatistics();
+            Statistics statistics = r.getPrimaryResult().getStatistics();
             System.out.printf(
                     "| %s | %s | %.0f | %.0f | %.0f |%n",
                     r.getParams().getParam("protocol"),
                     r.getPrimaryResult().getLabel(),
-                    s.getMean(),
-                    s.getPercentile(50),
-                    s.getPercentile(99));
+                    statistics.getMean(),
+                    statistics.getPercentile(50),
+                    statistics.getPercentile(99));
         }
         return Program.OK;
     }
--- a/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
@@ -144,8 +144,8 @@
     }
 
     /** A percentile of the latency, in microseconds. */
-    private static long us(Histogram h, double percentile) {
-        return h.getValueAtPercentile(percentile) / 1000;
+    private static long us(Histogram latency, double percentile) {
+        return latency.getValueAtPercentile(percentile) / 1000;
     }
 
     private static Map<CharSequence, String> headers(String deadline) {
--- a/bench-adapter/src/main/java/wharfhinge/adapter/Session.java
+++ b/bench-adapter/src/main/java/wharfhinge/adapter/Session.java
@@ -300,13 +300,13 @@
 
     private String readLine() throws IOException {
         buffer.reset();
-        int c = in.read();
-        if (c < 0) {
+        int nextByte = in.read();
+        if (nextByte < 0) {
             return null;
         }
-        while (c >= 0 && c != '\n') {
-            buffer.write(c);
-            c = in.read();
+        while (nextByte >= 0 && nextByte != '\n') {
+            buffer.write(nextByte);
+            nextByte = in.read();
         }
         lineNumber++;
         return buffer.toString(StandardCharsets.UTF_8);
--- a/capture/src/main/java/wharfhinge/capture/NameFilter.java
+++ b/capture/src/main/java/wharfhinge/capture/NameFilter.java
@@ -52,8 +52,8 @@
         return true;
     }
 
-    private static int bit(long hash, int i, int bytes) {
-        return (int) Long.remainderUnsigned(hash + i * (hash >>> 32 | 1), bytes * 8L);
+    private static int bit(long hash, int probe, int bytes) {
+        return (int) Long.remainderUnsigned(hash + probe * (hash >>> 32 | 1), bytes * 8L);
     }
 
     /** FNV-1a, 64 bits, over UTF-16 code units: simple to implement in readers in other languages. */
--- a/lab/src/main/java/wharfhinge/lab/StormRun.java
+++ b/lab/src/main/java/wharfhinge/lab/StormRun.java
@@ -244,9 +244,9 @@
     // ---- Statistics -------------------------------------------------------------------------
 
     private Span currentSpan() {
-        int i = (int)
+        int spanIndex = (int)
                 ((time.now() - measuredFrom + Storm.WARM_UP_S * 1000L * Timeline.MS) / (SPAN_S * 1000 * Timeline.MS));
-        return spans.get(Math.min(i, spans.size() - 1));
+        return spans.get(Math.min(spanIndex, spans.size() - 1));
     }
 
     private void onEviction(Worker evictedFrom, String function) {
@@ -258,8 +258,9 @@
     private void recordCopies(Span span) {
         span.copies = workers.values().stream().mapToInt(Worker::copyCount).sum();
         for (int i = 0; i < storm.functions(); i++) {
-            String f = "f" + i;
-            span.functionsWithCopy += workers.values().stream().anyMatch(worker -> worker.loadedCopies(f) > 0) ? 1 : 0;
+            String function = "f" + i;
+            span.functionsWithCopy +=
+                    workers.values().stream().anyMatch(worker -> worker.loadedCopies(function) > 0) ? 1 : 0;
         }
     }
 
--- a/protocol/src/main/java/wharfhinge/protocol/ProtocolException.java
+++ b/protocol/src/main/java/wharfhinge/protocol/ProtocolException.java
@@ -15,8 +15,8 @@
         }
         StringBuilder text = new StringBuilder("'");
         for (int i = 0; i < Math.min(found.length(), 60); i++) {
-            char c = found.charAt(i);
-            text.append(c < ' ' || c > '~' ? '?' : c);
+            char character = found.charAt(i);
+            text.append(character < ' ' || character > '~' ? '?' : character);
         }
         return text.append(found.length() > 60 ? "...'" : "'").toString();
     }
--- a/protocol/src/main/java/wharfhinge/protocol/RosterDecoder.java
+++ b/protocol/src/main/java/wharfhinge/protocol/RosterDecoder.java
@@ -30,15 +30,15 @@
      */
     public void decode(ByteBuf bytes, Consumer<RosterFrame> frames) throws ProtocolException {
         while (bytes.isReadable()) {
-            byte b = bytes.readByte();
-            if (b == '\n') {
+            byte nextByte = bytes.readByte();
+            if (nextByte == '\n') {
                 lineNumber++;
                 onLine(new String(lineBytes, 0, lineLength, StandardCharsets.UTF_8), frames);
                 lineLength = 0;
             } else if (lineLength == MAX_LINE_BYTES) {
                 throw malformed("a line of over " + MAX_LINE_BYTES + " bytes", "shorter lines");
             } else {
-                lineBytes[lineLength++] = b;
+                lineBytes[lineLength++] = nextByte;
             }
         }
     }
--- a/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
@@ -186,11 +186,11 @@
             function += "once" + nextCallNumber;
         } else {
             double drawn = random.nextDouble() * popularity[popularity.length - 1];
-            int i = 0;
-            while (popularity[i] < drawn) {
-                i++;
+            int rank = 0;
+            while (popularity[rank] < drawn) {
+                rank++;
             }
-            function += i;
+            function += rank;
         }
         double work = -Math.log(1 - random.nextDouble()) * 0.5 + 0.5; // half constant, half exponential, with mean 1
         work *= callClass.workMillis() * (random.nextDouble() < heavyShare ? heavyFactor : 1);
--- a/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
@@ -412,14 +412,14 @@
         return troubles;
     }
 
-    /** Properties of worker number {@code i}; {@code cold} if it begins in slow start. */
-    public WorkerModel.Spec worker(int i, boolean cold) {
-        double relativeRank = workers.count < 2 ? 0 : (i * 7 % workers.count) / (double) (workers.count - 1);
+    /** Properties of worker number {@code workerIndex}; {@code cold} if it begins in slow start. */
+    public WorkerModel.Spec worker(int workerIndex, boolean cold) {
+        double relativeRank = workers.count < 2 ? 0 : (workerIndex * 7 % workers.count) / (double) (workers.count - 1);
         double speed = workers.speedLeast + relativeRank * (workers.speedMost - workers.speedLeast);
         return new WorkerModel.Spec(
-                i % 2 == 0 ? "zone-a" : "zone-b",
+                workerIndex % 2 == 0 ? "zone-a" : "zone-b",
                 "std",
-                i / 4,
+                workerIndex / 4,
                 workers.cores,
                 speed,
                 workers.memoryMb,
@@ -436,7 +436,7 @@
                 (long) traffic.classes.stream()
                         .mapToDouble(c -> c.share * c.workMillis * 1000)
                         .sum(),
-                seed * 1000 + i);
+                seed * 1000 + workerIndex);
     }
 
     /** The offered traffic. */
