--- a/app/src/main/java/wharfhinge/app/StandInCommand.java
+++ b/app/src/main/java/wharfhinge/app/StandInCommand.java
@@ -11,13 +11,13 @@
 import picocli.CommandLine.Option;
 import wharfhinge.app.drill.Scenarios;
 import wharfhinge.protocol.RosterEntry;
+import wharfhinge.standin.EndpointServiceEmulator;
 import wharfhinge.standin.HttpCaller;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.LoopbackServers;
+import wharfhinge.standin.PackageStoreEmulator;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.StoreStandIn;
 import wharfhinge.standin.Trace;
-import wharfhinge.standin.WorkerStandIn;
+import wharfhinge.standin.WorkerEmulator;
 
 /** The command {@code stand-in}: runs emulators, against which a gateway can be tried by hand. */
 @Command(
@@ -47,19 +47,19 @@
         return Program.OK;
     }
 
-    private static List<WorkerStandIn> workers(
+    private static List<WorkerEmulator> workers(
             Scenario scenario, EventLoopGroup group, int firstPort, int count, int storePort, Trace trace) {
-        List<WorkerStandIn> workers = new ArrayList<>();
+        List<WorkerEmulator> workers = new ArrayList<>();
         HttpCaller storeClient = new HttpCaller(group, storePort);
         for (int i = 0; i < count; i++) {
-            workers.add(new WorkerStandIn(
+            workers.add(new WorkerEmulator(
                     group, firstPort == 0 ? 0 : firstPort + i, scenario.worker(i, false), storeClient, trace));
             System.out.println("worker " + workers.get(i).id());
         }
         return workers;
     }
 
-    private static void reportWorker(RosterStandIn roster, String worker, Scenario scenario, int i) {
+    private static void reportWorker(EndpointServiceEmulator roster, String worker, Scenario scenario, int i) {
         var workerSpec = scenario.worker(i, false);
         roster.report(new RosterEntry(
                 worker,
@@ -96,16 +96,16 @@
         public Integer call() throws Exception {
             Scenario scenario = Scenarios.load(scenarioFile, "bad-day");
             Trace trace = new Trace(System::nanoTime);
-            EventLoopGroup group = Net.group(4);
-            RosterStandIn roster =
-                    new RosterStandIn(group, port, scenario.roster().lagMillis(), trace);
-            StoreStandIn store = new StoreStandIn(
+            EventLoopGroup group = LoopbackServers.group(4);
+            EndpointServiceEmulator roster =
+                    new EndpointServiceEmulator(group, port, scenario.roster().lagMillis(), trace);
+            PackageStoreEmulator store = new PackageStoreEmulator(
                     group,
                     port + 1,
                     scenario.store().fullPace(),
                     scenario.store().most(),
                     trace);
-            List<WorkerStandIn> workers =
+            List<WorkerEmulator> workers =
                     workers(scenario, group, port + 2, scenario.workers().count(), store.port(), trace);
             for (int i = 0; i < workers.size(); i++) {
                 reportWorker(roster, workers.get(i).id(), scenario, i);
@@ -144,7 +144,7 @@
         public Integer call() throws Exception {
             workers(
                     Scenarios.load(scenarioFile, "bad-day"),
-                    Net.group(4),
+                    LoopbackServers.group(4),
                     port,
                     count,
                     store,
@@ -178,7 +178,8 @@
 
         @Override
         public Integer call() throws Exception {
-            RosterStandIn roster = new RosterStandIn(Net.group(1), port, lag, new Trace(System::nanoTime));
+            EndpointServiceEmulator roster =
+                    new EndpointServiceEmulator(LoopbackServers.group(1), port, lag, new Trace(System::nanoTime));
             Scenario scenario = Scenarios.load(null, "bad-day");
             for (int i = 0; i < workers.size(); i++) {
                 reportWorker(roster, workers.get(i), scenario, i);
@@ -212,7 +213,8 @@
 
         @Override
         public Integer call() throws InterruptedException {
-            StoreStandIn store = new StoreStandIn(Net.group(1), port, fullPace, most, new Trace(System::nanoTime));
+            PackageStoreEmulator store = new PackageStoreEmulator(
+                    LoopbackServers.group(1), port, fullPace, most, new Trace(System::nanoTime));
             System.out.println("store http://127.0.0.1:" + store.port());
             return untilStopped();
         }
--- a/app/src/main/java/wharfhinge/app/StoreCommand.java
+++ b/app/src/main/java/wharfhinge/app/StoreCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CountDownLatch;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import wharfhinge.standin.Net;
+import wharfhinge.standin.LoopbackServers;
 import wharfhinge.worker.store.Store;
 
 /** The command {@code store}: serves function packages to workers until the process is stopped. */
@@ -37,7 +37,7 @@
             System.err.println("--folder: found " + folder + ", allowed: a folder");
             return Program.FAILURE;
         }
-        try (Store store = new Store(Net.group(2), port, folder, most)) {
+        try (Store store = new Store(LoopbackServers.group(2), port, folder, most)) {
             System.out.println("store 127.0.0.1:" + store.port());
             new CountDownLatch(1).await();
         }
--- a/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
@@ -16,7 +16,7 @@
 import wharfhinge.client.WharfhingeClient;
 import wharfhinge.standin.HttpCaller;
 import wharfhinge.standin.LoadClients.CallClass;
-import wharfhinge.standin.Net;
+import wharfhinge.standin.LoopbackServers;
 import wharfhinge.standin.Scenario;
 
 /** Fault injection tests of the client libraries. Each prints a table. */
@@ -85,26 +85,32 @@
                         Double.toString(callClass.loadMillis()),
                         "wh-cost-us",
                         Long.toString((long) (callClass.workMillis() * 1000)));
-                gateway.call(HttpMethod.POST, "/v1/call/" + function, headers, new byte[0], new HttpCaller.Reply() {
-                    @Override
-                    public void answered(int status, HttpHeaders replyHeaders, byte[] body) {
-                        if (status == 200 || attemptNumber == PLAIN_ATTEMPTS) {
-                            onEnd.accept(new CallOutcome(
-                                    status == 200 ? "served" : status == 503 ? "refused" : "failed", attemptNumber));
-                        } else {
-                            attempt(function, callClass, attemptNumber + 1, onEnd);
-                        }
-                    }
+                gateway.call(
+                        HttpMethod.POST,
+                        "/v1/call/" + function,
+                        headers,
+                        new byte[0],
+                        new HttpCaller.ResponseHandler() {
+                            @Override
+                            public void answered(int status, HttpHeaders replyHeaders, byte[] body) {
+                                if (status == 200 || attemptNumber == PLAIN_ATTEMPTS) {
+                                    onEnd.accept(new CallOutcome(
+                                            status == 200 ? "served" : status == 503 ? "refused" : "failed",
+                                            attemptNumber));
+                                } else {
+                                    attempt(function, callClass, attemptNumber + 1, onEnd);
+                                }
+                            }
 
-                    @Override
-                    public void broken(boolean wasSent) {
-                        if (attemptNumber == PLAIN_ATTEMPTS) {
-                            onEnd.accept(new CallOutcome("failed", attemptNumber));
-                        } else {
-                            attempt(function, callClass, attemptNumber + 1, onEnd);
-                        }
-                    }
-                });
+                            @Override
+                            public void broken(boolean wasSent) {
+                                if (attemptNumber == PLAIN_ATTEMPTS) {
+                                    onEnd.accept(new CallOutcome("failed", attemptNumber));
+                                } else {
+                                    attempt(function, callClass, attemptNumber + 1, onEnd);
+                                }
+                            }
+                        });
             }
         };
     }
@@ -118,7 +124,7 @@
         double stormSeconds = 10;
         double afterSeconds = 8;
         for (String clientKind : List.of("library over http", "plain loop of three tries")) {
-            EventLoopGroup group = Net.group(2);
+            EventLoopGroup group = LoopbackServers.group(2);
             try (ClientFleet fleet = new ClientFleet(scenario, folder.resolve(clientKind.substring(0, 5)), "")) {
                 fleet.start();
                 WharfhingeClient client = fleet.client("http");
--- a/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
@@ -24,15 +24,15 @@
 import wharfhinge.client.http.HttpTransport;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
+import wharfhinge.standin.EndpointServiceEmulator;
 import wharfhinge.standin.HttpCaller;
 import wharfhinge.standin.LoadClients.CallClass;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.LoopbackServers;
+import wharfhinge.standin.PackageStoreEmulator;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.StoreStandIn;
 import wharfhinge.standin.Trace;
+import wharfhinge.standin.WorkerEmulator;
 import wharfhinge.standin.WorkerModel;
-import wharfhinge.standin.WorkerStandIn;
 
 /** Gateways in processes of their own, with emulated workers behind them, called through the client libraries. */
 final class ClientFleet implements AutoCloseable {
@@ -52,10 +52,10 @@
     private final Scenario scenario;
     private final Path folder;
     private final Trace trace = new Trace(System::nanoTime);
-    private final EventLoopGroup group = Net.group(4);
-    private final RosterStandIn roster;
-    private final StoreStandIn store;
-    private final List<WorkerStandIn> workers = new ArrayList<>();
+    private final EventLoopGroup group = LoopbackServers.group(4);
+    private final EndpointServiceEmulator roster;
+    private final PackageStoreEmulator store;
+    private final List<WorkerEmulator> workers = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
     private final List<Path> settingsFiles = new ArrayList<>();
     private final List<String> httpAddresses = new ArrayList<>();
@@ -65,13 +65,13 @@
     ClientFleet(Scenario scenario, Path folder, String extraSettings) throws IOException, InterruptedException {
         this.scenario = scenario;
         this.folder = Files.createDirectories(folder);
-        roster = new RosterStandIn(group, 0, scenario.roster().lagMillis(), trace);
-        store = new StoreStandIn(
+        roster = new EndpointServiceEmulator(group, 0, scenario.roster().lagMillis(), trace);
+        store = new PackageStoreEmulator(
                 group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
         HttpCaller storeClient = new HttpCaller(group, store.port());
         for (int i = 0; i < scenario.workers().count(); i++) {
             WorkerModel.Spec spec = scenario.worker(i, false);
-            WorkerStandIn worker = new WorkerStandIn(group, 0, spec, storeClient, trace);
+            WorkerEmulator worker = new WorkerEmulator(group, 0, spec, storeClient, trace);
             workers.add(worker);
             roster.report(new RosterEntry(
                     worker.id(),
@@ -252,7 +252,7 @@
     @Override
     public void close() throws InterruptedException {
         GatewayProcess.stopAll(gateways);
-        workers.forEach(WorkerStandIn::close);
+        workers.forEach(WorkerEmulator::close);
         roster.close();
         store.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2000);
--- a/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Parameters;
 import wharfhinge.app.Program;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.judge.Judge;
-import wharfhinge.standin.judge.MemoryJudge;
+import wharfhinge.standin.judge.MemoryAccountingVerifier;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /** The command {@code drill}: fault injection tests over real gateway processes, which the trace verifier checks. */
 @Command(
@@ -209,8 +209,8 @@
                 + scenario.gateways() + " gateways, " + scenario.workers().count() + " workers, " + scenario.seconds()
                 + " s; files in "
                 + folder);
-        Judge.Verdict verdict;
-        MemoryJudge memoryJudge;
+        TraceVerifier.VerificationResult verdict;
+        MemoryAccountingVerifier memoryJudge;
         try (DrillRun drillRun = new DrillRun(scenario, mutant, folder, capture)) {
             verdict = drillRun.run();
             memoryJudge = drillRun.memoryJudge();
@@ -219,7 +219,7 @@
                         + drillRun.unsupportedFaults());
             }
         }
-        Judge.report(verdict).forEach(System.out::println);
+        TraceVerifier.report(verdict).forEach(System.out::println);
         if (memoryJudge != null) {
             memoryJudge.faults().stream().limit(5).forEach(System.out::println);
             System.out.println(memoryJudge.summary());
@@ -327,7 +327,7 @@
         }
         scenario.seconds(seconds == null ? scenario.seconds() : seconds);
         try (DrillRun drillRun = new DrillRun(scenario, variant, Files.createTempDirectory("wharfhinge-drill"))) {
-            Judge.Verdict verdict = drillRun.run();
+            TraceVerifier.VerificationResult verdict = drillRun.run();
             Map<String, String> figures = verdict.figures();
             Map<String, Long> gatewayMetrics = drillRun.gatewayMetrics();
             System.out.printf(
@@ -356,7 +356,7 @@
             for (String faultText : faultTexts.equals("calm") ? new String[0] : faultTexts.split(";")) {
                 scenario.troubles().add(parseFault(faultText));
             }
-            Judge.Verdict verdict;
+            TraceVerifier.VerificationResult verdict;
             try (DrillRun drillRun = new DrillRun(scenario, mutant, Files.createTempDirectory("wharfhinge-drill"))) {
                 verdict = drillRun.run();
             }
@@ -368,7 +368,7 @@
                     + " | "
                     + figures.get("loads per call") + " |");
             if (verdict.kept() < 5) {
-                Judge.report(verdict).forEach(System.err::println);
+                TraceVerifier.report(verdict).forEach(System.err::println);
             }
         }
         System.out.println(
--- a/app/src/main/java/wharfhinge/app/drill/DrillRun.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillRun.java
@@ -17,19 +17,19 @@
 import java.util.concurrent.TimeUnit;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
+import wharfhinge.standin.EndpointServiceEmulator;
 import wharfhinge.standin.HttpCaller;
 import wharfhinge.standin.LoadClients;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.LoopbackServers;
+import wharfhinge.standin.PackageStoreEmulator;
+import wharfhinge.standin.RecorderStallWatch;
 import wharfhinge.standin.Scenario;
 import wharfhinge.standin.Scenario.Trouble;
-import wharfhinge.standin.StandstillWatch;
-import wharfhinge.standin.StoreStandIn;
 import wharfhinge.standin.Trace;
+import wharfhinge.standin.WorkerEmulator;
 import wharfhinge.standin.WorkerModel;
-import wharfhinge.standin.WorkerStandIn;
-import wharfhinge.standin.judge.Judge;
-import wharfhinge.standin.judge.MemoryJudge;
+import wharfhinge.standin.judge.MemoryAccountingVerifier;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /**
  * Runs a scenario with gateways, and real workers, in processes of their own and everything else in this one. The trace verifier then
@@ -39,16 +39,16 @@
     private final Scenario scenario;
     private final Path folder;
     private final Trace trace = new Trace(System::nanoTime);
-    private final EventLoopGroup group = Net.group(4);
+    private final EventLoopGroup group = LoopbackServers.group(4);
     private final Random random;
     private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(8);
     private final List<DrillWorker> workers = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
-    private final RosterStandIn roster;
-    private final StoreStandIn store;
+    private final EndpointServiceEmulator roster;
+    private final PackageStoreEmulator store;
     private final WorkerProcessFleet workerProcesses;
     private final List<String> unsupportedFaults = new ArrayList<>();
-    private MemoryJudge memoryJudge;
+    private MemoryAccountingVerifier memoryJudge;
     private LoadClients clients;
 
     DrillRun(Scenario scenario, Mutant mutant, Path folder) throws IOException, InterruptedException {
@@ -60,8 +60,8 @@
         this.scenario = scenario;
         this.folder = folder;
         this.random = new Random(scenario.seed());
-        roster = new RosterStandIn(group, 0, 0, trace);
-        store = new StoreStandIn(
+        roster = new EndpointServiceEmulator(group, 0, 0, trace);
+        store = new PackageStoreEmulator(
                 group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
         workerProcesses = scenario.workers().real() ? new WorkerProcessFleet(group, scenario, folder, trace) : null;
         if (workerProcesses != null) {
@@ -69,8 +69,8 @@
         } else {
             HttpCaller storeClient = new HttpCaller(group, store.port());
             for (int i = 0; i < scenario.workers().count(); i++) {
-                workers.add(
-                        new EmulatedWorker(new WorkerStandIn(group, 0, scenario.worker(i, false), storeClient, trace)));
+                workers.add(new EmulatedWorker(
+                        new WorkerEmulator(group, 0, scenario.worker(i, false), storeClient, trace)));
             }
         }
         for (int i = 0; i < workers.size(); i++) {
@@ -85,7 +85,7 @@
     }
 
     /** Runs the scenario to its end and checks the rules on its trace. */
-    Judge.Verdict run() throws IOException, InterruptedException {
+    TraceVerifier.VerificationResult run() throws IOException, InterruptedException {
         GatewayProcess.startAll(gateways);
         Thread.sleep(500);
         roster.lag(scenario.roster().lagMillis());
@@ -95,7 +95,7 @@
         scenario.troubles().forEach(this::plan);
         MemorySampler memorySampler =
                 workerProcesses == null ? null : new MemorySampler(group, workerProcesses.processes());
-        StandstillWatch standstillWatch = new StandstillWatch(group, trace);
+        RecorderStallWatch standstillWatch = new RecorderStallWatch(group, trace);
         clients.start(scenario.seconds());
         Thread.sleep((long) (scenario.seconds() * 1000));
         long maxGiveUpMillis = scenario.offered().classes().stream()
@@ -119,11 +119,11 @@
             trace.take(gateway.processorWaitLines());
         }
         trace.write(folder.resolve("trace.tsv"));
-        return Judge.judge(scenario.judged(), trace.lines());
+        return TraceVerifier.judge(scenario.judged(), trace.lines());
     }
 
     /** The check of the memory accounting of the workers, or null if the workers are emulated. */
-    MemoryJudge memoryJudge() {
+    MemoryAccountingVerifier memoryJudge() {
         return memoryJudge;
     }
 
--- a/app/src/main/java/wharfhinge/app/drill/EmulatedWorker.java
+++ b/app/src/main/java/wharfhinge/app/drill/EmulatedWorker.java
@@ -1,14 +1,14 @@
 package wharfhinge.app.drill;
 
+import wharfhinge.standin.WorkerEmulator;
 import wharfhinge.standin.WorkerModel;
-import wharfhinge.standin.WorkerStandIn;
 
 /** An emulated worker: it loads and runs nothing, but answers by the figures of the scenario. */
 final class EmulatedWorker implements DrillWorker {
-    private final WorkerStandIn worker;
+    private final WorkerEmulator worker;
     private final WorkerModel model;
 
-    EmulatedWorker(WorkerStandIn worker) {
+    EmulatedWorker(WorkerEmulator worker) {
         this.worker = worker;
         this.model = worker.model();
     }
--- a/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
+++ b/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import wharfhinge.standin.LoadClients;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.judge.Judge;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /** Writes the settings file of a gateway of a scenario. */
 final class GatewaySettings {
@@ -15,7 +15,7 @@
 
     static Path write(Path folder, Scenario scenario, int number, int port, int rosterPort, boolean capture)
             throws IOException {
-        Judge.Rules rules = scenario.judged();
+        TraceVerifier.Rules rules = scenario.judged();
         StringBuilder classes = new StringBuilder();
         for (LoadClients.CallClass callClass : scenario.offered().classes()) {
             classes.append(String.format(
--- a/app/src/main/java/wharfhinge/app/drill/MemorySampler.java
+++ b/app/src/main/java/wharfhinge/app/drill/MemorySampler.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import wharfhinge.standin.H2Caller;
-import wharfhinge.standin.judge.MemoryJudge;
+import wharfhinge.standin.Http2Caller;
+import wharfhinge.standin.judge.MemoryAccountingVerifier;
 
 /** Samples the memory of worker processes in turn until stopped, and compares it with their memory accounting. */
 final class MemorySampler {
@@ -21,8 +21,8 @@
     private static final int MAX_ATTEMPTS = 5;
     private final EventLoopGroup group;
     private final List<WorkerProcess> workers;
-    private final MemoryJudge judge = new MemoryJudge();
-    private final Map<Long, H2Caller> callers = new HashMap<>();
+    private final MemoryAccountingVerifier judge = new MemoryAccountingVerifier();
+    private final Map<Long, Http2Caller> callers = new HashMap<>();
     private final Thread thread = new Thread(this::run, "memory-watch");
     private volatile boolean stopped;
 
@@ -52,7 +52,7 @@
     private void sample(WorkerProcess worker)
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
         long pid = worker.pid();
-        H2Caller caller = callers.computeIfAbsent(pid, p -> new H2Caller(group, worker.port()));
+        Http2Caller caller = callers.computeIfAbsent(pid, p -> new Http2Caller(group, worker.port()));
         String before = readAccounting(caller);
         for (int attempt = 1; ; attempt++) {
             String smaps = Files.readString(Path.of("/proc/" + pid + "/smaps"));
@@ -73,7 +73,7 @@
                 .orElse("");
     }
 
-    private static String readAccounting(H2Caller caller)
+    private static String readAccounting(Http2Caller caller)
             throws InterruptedException, ExecutionException, TimeoutException {
         return new String(
                 caller.send(HttpMethod.GET, "/memory", new byte[0])
@@ -83,10 +83,10 @@
     }
 
     /** Stops sampling and returns the check with its findings. */
-    MemoryJudge stop() throws InterruptedException {
+    MemoryAccountingVerifier stop() throws InterruptedException {
         stopped = true;
         thread.join(2000);
-        callers.values().forEach(H2Caller::close);
+        callers.values().forEach(Http2Caller::close);
         return judge;
     }
 }
--- a/app/src/main/java/wharfhinge/app/measure/EchoCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/EchoCommand.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import wharfhinge.app.Program;
-import wharfhinge.standin.Echo;
-import wharfhinge.standin.Net;
+import wharfhinge.standin.EchoServers;
+import wharfhinge.standin.LoopbackServers;
 
 /** Runs the peers of a measurement: workers that respond at once, HTTP/1.1 servers that do the same, and a bare pass-through. */
 @Command(
@@ -22,16 +22,16 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        EventLoopGroup group = Net.group(2);
-        int directPort = Echo.plain(group);
+        EventLoopGroup group = LoopbackServers.group(2);
+        int directPort = EchoServers.plain(group);
         int[] httpPorts = new int[workers];
         StringBuilder ports = new StringBuilder("ports ").append(directPort);
         for (int i = 0; i < workers; i++) {
-            httpPorts[i] = Echo.plain(group);
+            httpPorts[i] = EchoServers.plain(group);
         }
-        ports.append(' ').append(Echo.passThrough(Net.group(2), httpPorts));
+        ports.append(' ').append(EchoServers.passThrough(LoopbackServers.group(2), httpPorts));
         for (int i = 0; i < workers; i++) {
-            ports.append(' ').append(Echo.worker(group));
+            ports.append(' ').append(EchoServers.worker(group));
         }
         System.out.println(ports);
         new CountDownLatch(1).await();
--- a/app/src/main/java/wharfhinge/app/measure/LoopbackTestbed.java
+++ b/app/src/main/java/wharfhinge/app/measure/LoopbackTestbed.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 import wharfhinge.app.Program;
 import wharfhinge.protocol.RosterEntry;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.EndpointServiceEmulator;
+import wharfhinge.standin.LoopbackServers;
 import wharfhinge.standin.Trace;
 
 /** Environment of measurements on loopback: echo workers in one process, an endpoint service, each gateway in its own process. */
@@ -32,10 +32,10 @@
         }
     }
 
-    final EventLoopGroup group = Net.group(2);
+    final EventLoopGroup group = LoopbackServers.group(2);
     final Path folder;
     private final List<Process> processes = new ArrayList<>();
-    private final RosterStandIn roster;
+    private final EndpointServiceEmulator roster;
     private final EchoPorts echoPorts;
 
     LoopbackTestbed(int workers) throws IOException, InterruptedException {
@@ -43,7 +43,7 @@
         Process echo = start(null, null, "measure", "echo", "--workers", Integer.toString(workers));
         int[] ports = ports(new BufferedReader(new InputStreamReader(echo.getInputStream(), StandardCharsets.UTF_8)));
         echoPorts = new EchoPorts(ports[0], ports[1], java.util.Arrays.copyOfRange(ports, 2, 2 + workers));
-        roster = new RosterStandIn(group, 0, 0, new Trace(System::nanoTime));
+        roster = new EndpointServiceEmulator(group, 0, 0, new Trace(System::nanoTime));
         for (int port : echoPorts.workers) {
             roster.report(new RosterEntry("127.0.0.1:" + port, "z", "k", 0, RosterEntry.State.UP, 1, 86_000_000, "b0"));
         }
--- a/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/MeasureCommand.java
@@ -170,7 +170,11 @@
     static void send(
             HttpCaller caller, int number, int functions, String deadline, Runnable onServed, Runnable onFailure) {
         caller.call(
-                HttpMethod.POST, "/v1/call/f" + number % functions, headers(deadline), BODY, new HttpCaller.Reply() {
+                HttpMethod.POST,
+                "/v1/call/f" + number % functions,
+                headers(deadline),
+                BODY,
+                new HttpCaller.ResponseHandler() {
                     @Override
                     public void answered(int status, HttpHeaders headers, byte[] body) {
                         (status == 200 ? onServed : onFailure).run();
@@ -298,7 +302,7 @@
         HttpCaller caller = new HttpCaller(group, port);
         LongAdder ended = new LongAdder();
         for (int i = 0; i < HELD_CONNECTIONS; i++) {
-            caller.call(HttpMethod.POST, "/v1/call/silent", headers("20000"), BODY, new HttpCaller.Reply() {
+            caller.call(HttpMethod.POST, "/v1/call/silent", headers("20000"), BODY, new HttpCaller.ResponseHandler() {
                 @Override
                 public void answered(int status, HttpHeaders headers, byte[] body) {
                     ended.increment();
--- a/app/src/main/java/wharfhinge/app/measure/WorkerCostCommand.java
+++ b/app/src/main/java/wharfhinge/app/measure/WorkerCostCommand.java
@@ -20,8 +20,8 @@
 import picocli.CommandLine.Option;
 import wharfhinge.app.Program;
 import wharfhinge.app.drill.WorkerProcess;
-import wharfhinge.standin.H2Caller;
-import wharfhinge.standin.Net;
+import wharfhinge.standin.Http2Caller;
+import wharfhinge.standin.LoopbackServers;
 import wharfhinge.standin.Trace;
 import wharfhinge.standin.WorkerModel;
 import wharfhinge.worker.api.CopyContext;
@@ -71,7 +71,7 @@
 
     @Override
     public Integer call() throws Exception {
-        EventLoopGroup group = Net.group(2);
+        EventLoopGroup group = LoopbackServers.group(2);
         Path folder = Files.createTempDirectory("wharfhinge-measure");
         Files.createDirectories(folder.resolve("packages"));
         Keys.generate(folder.resolve("publisher"));
@@ -93,7 +93,7 @@
                 System.out.printf(
                         "memory of an empty worker: %d MB resident (wanted under 80)%n",
                         residentKb(worker.pid()) / 1024);
-                H2Caller caller = new H2Caller(group, worker.port());
+                Http2Caller caller = new Http2Caller(group, worker.port());
                 measureLoads(caller);
                 double inProcessRate = measureInProcess();
                 System.out.printf("same function in-process, one thread: %8.0f calls/s%n", inProcessRate);
@@ -162,7 +162,7 @@
         }
     }
 
-    private static Map<String, Long> memoryAccounting(H2Caller caller) throws Exception {
+    private static Map<String, Long> memoryAccounting(Http2Caller caller) throws Exception {
         Map<String, Long> accounting = new HashMap<>();
         new String(
                         caller.send(HttpMethod.GET, "/memory", new byte[0])
@@ -176,7 +176,7 @@
     }
 
     /** Loads the packages one after the other; the first half is warm-up. */
-    private static void measureLoads(H2Caller caller) throws Exception {
+    private static void measureLoads(Http2Caller caller) throws Exception {
         Map<String, Long> before = Map.of();
         for (int i = 0; i < LOADS; i++) {
             if (i == LOADS / 2) {
@@ -219,7 +219,7 @@
     }
 
     /** Calls per second that are served with a fixed number in flight: each response sends the next call. */
-    private double runClosedLoop(H2Caller caller, String function, int inFlight) throws Exception {
+    private double runClosedLoop(Http2Caller caller, String function, int inFlight) throws Exception {
         AtomicLong served = new AtomicLong();
         long begin = System.nanoTime();
         long end = begin + seconds * 1_000_000_000L;
@@ -232,7 +232,7 @@
     }
 
     private static void sendNext(
-            H2Caller caller, String function, long end, AtomicLong served, CountDownLatch finished) {
+            Http2Caller caller, String function, long end, AtomicLong served, CountDownLatch finished) {
         caller.send(HttpMethod.POST, "/call/" + function, new byte[256]).whenComplete((response, failure) -> {
             if (failure == null && response.outcome().equals("served")) {
                 served.incrementAndGet();
--- a/app/src/test/java/wharfhinge/app/drill/DrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/DrillTest.java
@@ -14,7 +14,7 @@
 import wharfhinge.capture.Replayer;
 import wharfhinge.standin.Scenario;
 import wharfhinge.standin.Scenario.Trouble;
-import wharfhinge.standin.judge.Judge;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /** Short runs of a scenario against gateways in separate processes, checked by the trace verifier. */
 @Timeout(120)
@@ -22,7 +22,7 @@
     @TempDir
     private Path folder;
 
-    private Judge.Verdict run(Mutant mutant, double seconds, Trouble... troubles) throws Exception {
+    private TraceVerifier.VerificationResult run(Mutant mutant, double seconds, Trouble... troubles) throws Exception {
         Scenario day = Scenarios.load(null, "bad-day");
         day.seconds(seconds);
         day.troubles().clear();
@@ -52,7 +52,7 @@
 
     @Test
     void shortBadDay_keepsAllRules() throws Exception {
-        Judge.Verdict verdict = run(
+        TraceVerifier.VerificationResult verdict = run(
                 null,
                 9,
                 new Trouble("hang", 1, 3, 0.15, 0, 0),
@@ -63,7 +63,7 @@
                 new Trouble("restart", 4, 0.5, 0.2, 0, 0),
                 new Trouble("roster_lost", 5, 2, 0, 0, 0),
                 new Trouble("store_shut", 6, 1, 0, 0, 0));
-        assertEquals(5, verdict.kept(), Judge.report(verdict).toString());
+        assertEquals(5, verdict.kept(), TraceVerifier.report(verdict).toString());
         assertTrue(
                 Integer.parseInt(verdict.figures().get("calls")) > 800,
                 verdict.figures().toString());
@@ -73,7 +73,7 @@
     @ParameterizedTest
     @EnumSource(value = Mutant.class, mode = EnumSource.Mode.EXCLUDE, names = "NO_EARLY_REFUSAL")
     void mutant_isDetectedByTraceVerifier(Mutant mutant) throws Exception {
-        Judge.Verdict verdict =
+        TraceVerifier.VerificationResult verdict =
                 switch (mutant) {
                     case FORGETS_ANSWERS -> run(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.9, 0));
                     case REPEATS_UNSAFE -> run(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.5, 0));
@@ -88,6 +88,6 @@
                     case NO_EARLY_REFUSAL -> throw new AssertionError("breaks no rule");
                     case UNRATIONED -> run(mutant, 5, new Trouble("scan", 0, 9, 0, 0.5, 0));
                 };
-        assertTrue(verdict.broken().containsKey(mutant.rule()), mutant + ": " + Judge.report(verdict));
+        assertTrue(verdict.broken().containsKey(mutant.rule()), mutant + ": " + TraceVerifier.report(verdict));
     }
 }
--- a/app/src/test/java/wharfhinge/app/drill/GatewayKilledTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/GatewayKilledTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
+import wharfhinge.standin.EndpointServiceEmulator;
 import wharfhinge.standin.HttpCaller;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.LoopbackServers;
+import wharfhinge.standin.PackageStoreEmulator;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.StoreStandIn;
 import wharfhinge.standin.Trace;
-import wharfhinge.standin.WorkerStandIn;
+import wharfhinge.standin.WorkerEmulator;
 
 /** A gateway process is killed or stalled between two steps of a chain, and the client retries the chain. */
 @Timeout(60)
@@ -61,11 +61,11 @@
     /** Runs the body with an endpoint service, a package store and one worker, all emulated. */
     private void withOneWorker(TestBody body) throws Exception {
         Scenario day = Scenarios.load(null, "chains");
-        EventLoopGroup group = Net.group(2);
-        try (RosterStandIn roster = new RosterStandIn(group, 0, 0, trace);
-                StoreStandIn store = new StoreStandIn(group, 0, 10, 40, trace);
-                WorkerStandIn worker =
-                        new WorkerStandIn(group, 0, day.worker(0, false), new HttpCaller(group, store.port()), trace)) {
+        EventLoopGroup group = LoopbackServers.group(2);
+        try (EndpointServiceEmulator roster = new EndpointServiceEmulator(group, 0, 0, trace);
+                PackageStoreEmulator store = new PackageStoreEmulator(group, 0, 10, 40, trace);
+                WorkerEmulator worker = new WorkerEmulator(
+                        group, 0, day.worker(0, false), new HttpCaller(group, store.port()), trace)) {
             roster.report(new RosterEntry(
                     worker.id(),
                     "zone-a",
--- a/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.judge.Judge;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /** Scenario runs of half a minute each, in a separate class so that they run in parallel with the short ones. */
 @Timeout(120)
@@ -21,8 +21,8 @@
     void realWorkers_keepAllRulesAndAccountTheirMemoryCorrectly() throws Exception {
         Scenario day = Scenarios.load(null, "workers");
         try (DrillRun played = new DrillRun(day, null, folder)) {
-            Judge.Verdict verdict = played.run();
-            assertEquals(5, verdict.kept(), Judge.report(verdict).toString());
+            TraceVerifier.VerificationResult verdict = played.run();
+            assertEquals(5, verdict.kept(), TraceVerifier.report(verdict).toString());
             assertEquals(List.of(), played.memoryJudge().faults());
             assertTrue(
                     Integer.parseInt(verdict.figures().get("calls")) > 1000,
--- a/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
@@ -21,8 +21,8 @@
 import wharfhinge.engine.DispatcherFactory;
 import wharfhinge.protocol.RosterEntry.State;
 import wharfhinge.protocol.RosterFrame;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.EndpointServiceEmulator;
+import wharfhinge.standin.LoopbackServers;
 import wharfhinge.standin.Trace;
 
 /** Tests the endpoint list over a real stream that falls silent, skips a revision or is lost. */
@@ -31,15 +31,15 @@
     @TempDir
     private Path folder;
 
-    private final EventLoopGroup group = Net.group(2);
+    private final EventLoopGroup group = LoopbackServers.group(2);
     private FakePeer worker;
-    private RosterStandIn endpointService;
+    private EndpointServiceEmulator endpointService;
     private Gateway gateway;
 
     @BeforeEach
     void startGateway() throws Exception {
         worker = new FakePeer(in -> in.respond(SERVED, FOUND, "well"));
-        endpointService = new RosterStandIn(group, 0, 0, new Trace(System::nanoTime));
+        endpointService = new EndpointServiceEmulator(group, 0, 0, new Trace(System::nanoTime));
         endpointService.report(GatewayFixture.entry(worker.id(), State.UP, "b0"));
         gateway = new Gateway(
                 GatewayFixture.config(folder, "", "", endpointService.port()), DispatcherFactory.CACHE_AWARE, null);
--- a/stand-ins/src/main/java/wharfhinge/standin/Echo.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/EchoServers.java
@@ -21,19 +21,19 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /** Minimal-cost peers for measurements; calls of the function {@code silent} get no response. */
-public final class Echo {
+public final class EchoServers {
     private static final int MAX_BODY_BYTES = 1 << 20;
 
-    private Echo() {}
+    private EchoServers() {}
 
     /** Starts an HTTP/1.1 server that echoes the body of each call; returns its port. */
     public static int plain(EventLoopGroup group) {
-        return Net.port(Net.listenHttp(group, 0, EchoHandler::new));
+        return LoopbackServers.port(LoopbackServers.listenHttp(group, 0, EchoHandler::new));
     }
 
     /** Starts a worker that responds at once with the body of the call; returns its port. */
     public static int worker(EventLoopGroup group) {
-        return Net.port(Net.listen(group, group, 0, channel -> channel.pipeline()
+        return LoopbackServers.port(LoopbackServers.listen(group, group, 0, channel -> channel.pipeline()
                 .addLast(
                         Http2FrameCodecBuilder.forServer()
                                 .initialSettings(Http2Settings.defaultSettings())
@@ -56,27 +56,28 @@
         for (int i = 0; i < ports.length; i++) {
             callers[i] = new HttpCaller(group, ports[i]);
         }
-        return Net.port(Net.listenHttp(group, 0, () -> new SimpleChannelInboundHandler<FullHttpRequest>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                callers[ThreadLocalRandom.current().nextInt(ports.length)].call(
-                        request.method(),
-                        request.uri(),
-                        Map.of(),
-                        ByteBufUtil.getBytes(request.content()),
-                        new HttpCaller.Reply() {
-                            @Override
-                            public void answered(int status, HttpHeaders headers, byte[] body) {
-                                ctx.writeAndFlush(Net.response(status, body));
-                            }
+        return LoopbackServers.port(
+                LoopbackServers.listenHttp(group, 0, () -> new SimpleChannelInboundHandler<FullHttpRequest>() {
+                    @Override
+                    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+                        callers[ThreadLocalRandom.current().nextInt(ports.length)].call(
+                                request.method(),
+                                request.uri(),
+                                Map.of(),
+                                ByteBufUtil.getBytes(request.content()),
+                                new HttpCaller.ResponseHandler() {
+                                    @Override
+                                    public void answered(int status, HttpHeaders headers, byte[] body) {
+                                        ctx.writeAndFlush(LoopbackServers.response(status, body));
+                                    }
 
-                            @Override
-                            public void broken(boolean wasSent) {
-                                ctx.close();
-                            }
-                        });
-            }
-        }));
+                                    @Override
+                                    public void broken(boolean wasSent) {
+                                        ctx.close();
+                                    }
+                                });
+                    }
+                }));
     }
 
     private static final class EchoHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -85,7 +86,7 @@
             if (request.uri().endsWith("/silent")) {
                 return;
             }
-            FullHttpResponse response = Net.response(200, ByteBufUtil.getBytes(request.content()));
+            FullHttpResponse response = LoopbackServers.response(200, ByteBufUtil.getBytes(request.content()));
             response.headers()
                     .set(WorkerProtocol.OUTCOME, AnswerCode.SERVED.word())
                     .set(WorkerProtocol.NOTE, CopyNote.FOUND.word())
--- a/stand-ins/src/main/java/wharfhinge/standin/RosterStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/EndpointServiceEmulator.java
@@ -27,7 +27,7 @@
 import wharfhinge.protocol.RosterProtocol;
 
 /** Emulator of the endpoint service that publishes changes after a delay and pushes them to its streams. Runs on one event loop. */
-public final class RosterStandIn implements AutoCloseable {
+public final class EndpointServiceEmulator implements AutoCloseable {
     private static final int HEARTBEAT_INTERVAL_MS = 500;
 
     private final EventLoop loop;
@@ -42,12 +42,12 @@
     private volatile boolean silent;
 
     /** Starts an endpoint service that publishes changes {@code lagMillis} after they are reported to it. */
-    public RosterStandIn(EventLoopGroup group, int port, long lagMillis, Trace trace) {
+    public EndpointServiceEmulator(EventLoopGroup group, int port, long lagMillis, Trace trace) {
         this.loop = group.next();
         this.trace = trace;
         this.lagMillis = lagMillis;
-        this.listener = Net.listenHttp(loop, port, RequestHandler::new);
-        this.port = Net.port(listener);
+        this.listener = LoopbackServers.listenHttp(loop, port, RequestHandler::new);
+        this.port = LoopbackServers.port(listener);
         loop.scheduleAtFixedRate(
                 () -> push(new RosterFrame(RosterFrame.Kind.HEARTBEAT, 0, revision, List.of())),
                 HEARTBEAT_INTERVAL_MS,
@@ -104,7 +104,7 @@
     /** Closes all streams and stops listening, or listens again. Must not be called on its own event loop. */
     public void lost(boolean unreachable) {
         if (!unreachable) {
-            listener = Net.listenHttp(loop, port, RequestHandler::new);
+            listener = LoopbackServers.listenHttp(loop, port, RequestHandler::new);
             return;
         }
         loop.submit(() -> {
@@ -177,7 +177,8 @@
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             String gateway = request.headers().get(RosterProtocol.GATEWAY, "-");
             if (query.path().equals(RosterProtocol.LIST_PATH)) {
-                ctx.writeAndFlush(Net.response(200, snapshot().text().getBytes(StandardCharsets.UTF_8)))
+                ctx.writeAndFlush(
+                                LoopbackServers.response(200, snapshot().text().getBytes(StandardCharsets.UTF_8)))
                         .addListener(ChannelFutureListener.CLOSE);
                 return;
             }
--- a/stand-ins/src/main/java/wharfhinge/standin/H2Caller.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Http2Caller.java
@@ -31,7 +31,7 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /** One HTTP/2 connection with prior knowledge, such as a gateway keeps to a worker. Thread-safe. */
-public final class H2Caller implements AutoCloseable {
+public final class Http2Caller implements AutoCloseable {
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private final Channel channel;
     private final CompletableFuture<Void> goAway = new CompletableFuture<>();
@@ -61,7 +61,7 @@
     }
 
     /** Connects to a port on loopback; throws if nothing listens there. */
-    public H2Caller(EventLoopGroup group, int port) {
+    public Http2Caller(EventLoopGroup group, int port) {
         channel = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
--- a/stand-ins/src/main/java/wharfhinge/standin/HttpCaller.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/HttpCaller.java
@@ -29,7 +29,7 @@
     private static final int MAX_RESPONSE_BYTES = 1 << 24;
 
     /** Receives the progress of a call on an I/O thread. */
-    public interface Reply {
+    public interface ResponseHandler {
         /** The request was written to the socket. */
         default void sent() {}
 
@@ -70,11 +70,11 @@
     /** A call in progress. */
     public final class Call {
         private final FullHttpRequest request;
-        private final Reply responseHandler;
+        private final ResponseHandler responseHandler;
         private volatile Channel channel;
         private volatile boolean finished;
 
-        private Call(FullHttpRequest request, Reply responseHandler) {
+        private Call(FullHttpRequest request, ResponseHandler responseHandler) {
             this.request = request;
             this.responseHandler = responseHandler;
         }
@@ -95,7 +95,7 @@
             String path,
             Map<? extends CharSequence, String> headers,
             byte[] body,
-            Reply responseHandler) {
+            ResponseHandler responseHandler) {
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
         headers.forEach((name, value) -> request.headers().set(name, value));
--- a/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
@@ -308,7 +308,7 @@
         timer.shutdownNow();
     }
 
-    private final class Attempt implements HttpCaller.Reply {
+    private final class Attempt implements HttpCaller.ResponseHandler {
         private final PlannedCall planned;
         private final int retriesSoFar;
         private final String id;
--- a/stand-ins/src/main/java/wharfhinge/standin/Net.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/LoopbackServers.java
@@ -21,10 +21,10 @@
 import java.util.function.Supplier;
 
 /** Server sockets and HTTP helpers of the emulators; loopback only. */
-public final class Net {
+public final class LoopbackServers {
     private static final String LOOPBACK = "127.0.0.1";
 
-    private Net() {}
+    private LoopbackServers() {}
 
     /** Creates a group of I/O threads. */
     public static EventLoopGroup group(int threads) {
--- a/stand-ins/src/main/java/wharfhinge/standin/StoreStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/PackageStoreEmulator.java
@@ -14,7 +14,7 @@
  * Emulator of the package store. Fetches take longer when more are in flight than it serves at full speed, are rejected above a limit, and
  * are all rejected while it is unavailable.
  */
-public final class StoreStandIn implements AutoCloseable {
+public final class PackageStoreEmulator implements AutoCloseable {
     private final int fullSpeedFetches;
     private final int maxFetches;
     private final Trace trace;
@@ -28,16 +28,16 @@
      * @param fullSpeedFetches concurrent fetches that are served at full speed
      * @param maxFetches       concurrent fetches above which further ones are rejected
      */
-    public StoreStandIn(EventLoopGroup group, int port, int fullSpeedFetches, int maxFetches, Trace trace) {
+    public PackageStoreEmulator(EventLoopGroup group, int port, int fullSpeedFetches, int maxFetches, Trace trace) {
         this.fullSpeedFetches = fullSpeedFetches;
         this.maxFetches = maxFetches;
         this.trace = trace;
-        this.listener = Net.listenHttp(group, port, FetchHandler::new);
+        this.listener = LoopbackServers.listenHttp(group, port, FetchHandler::new);
     }
 
     /** The port that it listens on. */
     public int port() {
-        return Net.port(listener);
+        return LoopbackServers.port(listener);
     }
 
     /** Makes the store unavailable, or available again. */
@@ -59,7 +59,7 @@
             if (unavailable || currentFetches > maxFetches || fetchMillis == null) {
                 inFlight.decrementAndGet();
                 trace.note("fetch", "path", query.path(), "status", 503, "in_hand", currentFetches);
-                ctx.writeAndFlush(Net.response(503, new byte[0]));
+                ctx.writeAndFlush(LoopbackServers.response(503, new byte[0]));
                 return;
             }
             double slowdown = Math.max(1, currentFetches / (double) fullSpeedFetches);
@@ -68,7 +68,7 @@
                     .schedule(
                             () -> {
                                 inFlight.decrementAndGet();
-                                ctx.writeAndFlush(Net.response(200, new byte[0]));
+                                ctx.writeAndFlush(LoopbackServers.response(200, new byte[0]));
                             },
                             (long) (Double.parseDouble(fetchMillis.get(0)) * slowdown * 1000),
                             TimeUnit.MICROSECONDS);
--- a/stand-ins/src/main/java/wharfhinge/standin/StandstillWatch.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/RecorderStallWatch.java
@@ -11,7 +11,7 @@
  * Records in the trace when an I/O thread of this process was stalled or overloaded, so that the trace verifier does not blame a gateway
  * for events that the emulated clients and workers recorded late. Runs a periodic task on each thread until closed.
  */
-public final class StandstillWatch implements AutoCloseable {
+public final class RecorderStallWatch implements AutoCloseable {
     private static final long CHECK_INTERVAL_MS = 20;
     private static final long STALL_THRESHOLD_MS = 100;
 
@@ -19,7 +19,7 @@
     private final List<Future<?>> checks = new ArrayList<>();
 
     /** Starts to watch these threads. */
-    public StandstillWatch(EventExecutorGroup threads, Trace trace) {
+    public RecorderStallWatch(EventExecutorGroup threads, Trace trace) {
         this.trace = trace;
         for (EventExecutor thread : threads) {
             StallCheck check = new StallCheck();
--- a/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
@@ -9,7 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wharfhinge.standin.judge.Judge;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /** A fault injection test: the workers, the traffic, the parameters of the rules and the faults. Units and ranges are in scenario.xsd. */
 @XmlRootElement(name = "scenario")
@@ -463,7 +463,7 @@
     }
 
     /** Parameters of the rules for the trace verifier. */
-    public Judge.Rules judged() {
+    public TraceVerifier.Rules judged() {
         Map<String, String> effects = new LinkedHashMap<>();
         Map<String, Long> objectiveMillis = new LinkedHashMap<>();
         Map<String, Double> meanWorkMillis = new LinkedHashMap<>();
@@ -472,7 +472,7 @@
             objectiveMillis.put(c.name, c.aimMillis);
             meanWorkMillis.put(c.name, c.workMillis);
         });
-        return new Judge.Rules(
+        return new TraceVerifier.Rules(
                 rules.graceMillis,
                 rules.stopSendingMillis,
                 rules.coldFrom,
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerStandIn.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerEmulator.java
@@ -28,7 +28,7 @@
 /**
  * Emulator of a worker: serves docs/protocol-worker.md on a socket and simulates the work by a {@link WorkerModel}. Runs on one event loop.
  */
-public final class WorkerStandIn implements AutoCloseable {
+public final class WorkerEmulator implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 1 << 22;
 
     private final EventLoop loop;
@@ -39,11 +39,11 @@
     private Channel listener;
 
     /** Starts a worker on a port of loopback; port 0 selects a free port. */
-    public WorkerStandIn(EventLoopGroup group, int port, WorkerModel.Spec spec, HttpCaller store, Trace trace) {
+    public WorkerEmulator(EventLoopGroup group, int port, WorkerModel.Spec spec, HttpCaller store, Trace trace) {
         this.loop = group.next();
         this.trace = trace;
-        this.listener = Net.listen(loop, loop, port, this::onAccepted);
-        this.port = Net.port(listener);
+        this.listener = LoopbackServers.listen(loop, loop, port, this::onAccepted);
+        this.port = LoopbackServers.port(listener);
         this.model = new WorkerModel(loop, id(), spec, store, trace, this::stopProcess);
         model.start();
     }
@@ -66,7 +66,7 @@
     /** Starts a new incarnation at the same address, with no copies loaded and cold. */
     public void restart() {
         if (listener == null) {
-            Channel newListener = Net.listen(loop, loop, port, this::onAccepted);
+            Channel newListener = LoopbackServers.listen(loop, loop, port, this::onAccepted);
             loop.submit(() -> {
                         listener = newListener;
                         model.restart();
@@ -158,7 +158,7 @@
                         path.substring(WorkerProtocol.CALL_PATH.length()), request, gateway, new WorkerModel.Reply() {
                             @Override
                             public void answer(AnswerCode code, CopyNote note, int concurrentCalls, byte[] body) {
-                                FullHttpResponse response = Net.response(code.status(), body);
+                                FullHttpResponse response = LoopbackServers.response(code.status(), body);
                                 response.headers().set(WorkerProtocol.OUTCOME, code.word());
                                 if (note != CopyNote.NONE) {
                                     response.headers().set(WorkerProtocol.NOTE, note.word());
@@ -182,7 +182,7 @@
                 trace.note("probe", "worker", id(), "gw", gateway);
                 model.runUnlessPaused(() -> {
                     if (!model.isHanging()) {
-                        FullHttpResponse response = Net.response(200, new byte[0]);
+                        FullHttpResponse response = LoopbackServers.response(200, new byte[0]);
                         response.headers().set(WorkerProtocol.OUTCOME, AnswerCode.SERVED.word());
                         addLoadReport(response);
                         ctx.writeAndFlush(response);
@@ -193,7 +193,7 @@
 
         private void rejectFenced(ChannelHandlerContext ctx, String path) {
             trace.note("fenced", "worker", id(), "path", path);
-            FullHttpResponse response = Net.response(AnswerCode.FULL.status(), new byte[0]);
+            FullHttpResponse response = LoopbackServers.response(AnswerCode.FULL.status(), new byte[0]);
             response.headers()
                     .set(WorkerProtocol.OUTCOME, AnswerCode.FULL.word())
                     .setInt(WorkerProtocol.COUNT, 0);
@@ -207,7 +207,7 @@
                 trace.note("unload", "worker", id(), "fn", functionAndQuery, "gw", gateway);
                 model.runUnlessPaused(() -> {
                     model.unload(functionAndQuery);
-                    ctx.writeAndFlush(Net.response(204, new byte[0]));
+                    ctx.writeAndFlush(LoopbackServers.response(204, new byte[0]));
                 });
                 return;
             }
@@ -220,7 +220,7 @@
             trace.note("hold", "worker", id(), "fn", function, "count", count, "gw", gateway);
             WorkerModel.Call functionSpec = WorkerModel.Call.of(function, request, gateway, null);
             model.orderLoad(functionSpec, count, (code, loadedCopies) -> {
-                FullHttpResponse response = Net.response(code.status(), new byte[0]);
+                FullHttpResponse response = LoopbackServers.response(code.status(), new byte[0]);
                 response.headers().set(WorkerProtocol.OUTCOME, code.word()).setInt(WorkerProtocol.COUNT, loadedCopies);
                 addLoadReport(response);
                 ctx.writeAndFlush(response);
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
@@ -609,7 +609,7 @@
                     "/image/" + copy.function + "?ms=" + ms * FETCH_SHARE,
                     Map.of(),
                     new byte[0],
-                    new HttpCaller.Reply() {
+                    new HttpCaller.ResponseHandler() {
                         @Override
                         public void answered(int status, HttpHeaders headers, byte[] body) {
                             onFetched(status == 200);
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/MemoryJudge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/MemoryAccountingVerifier.java
@@ -11,7 +11,7 @@
  * meanwhile, so the accepted range is widened on both sides by the change. Relies only on docs/operate/worker.md: the keys of the
  * accounting and that the memory of copies is mapped from a file named {@value #COPY_MAPPING_FILE}. Not thread-safe.
  */
-public final class MemoryJudge {
+public final class MemoryAccountingVerifier {
     private static final String COPY_MAPPING_FILE = "copies.map";
     private static final double MAX_DEVIATION = 0.02;
     /** A load touches memory in steps of this size and updates the accounting after each. */
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/TraceVerifier.java
@@ -16,7 +16,7 @@
  * sockets, and nothing else. Its time tolerance covers only the delay that a loopback socket and a busy machine may add between two
  * recorders.
  */
-public final class Judge {
+public final class TraceVerifier {
     private static final long NANOS_PER_MS = 1_000_000L;
     private static final long TOLERANCE_NANOS = StallIntervals.TOLERANCE_NANOS;
     private static final int MAX_EXAMPLES = 5;
@@ -63,7 +63,7 @@
      * @param broken  violations by number of the rule
      * @param figures statistics of the run by name
      */
-    public record Verdict(Map<Integer, List<String>> broken, Map<String, String> figures) {
+    public record VerificationResult(Map<Integer, List<String>> broken, Map<String, String> figures) {
         /** The number of the five rules that were kept. */
         public int kept() {
             return 5 - broken.size();
@@ -106,7 +106,7 @@
     private int explainedByStalls;
     private final Map<Integer, List<String>> violations = new TreeMap<>();
 
-    private Judge(Rules rules, List<String> trace) {
+    private TraceVerifier(Rules rules, List<String> trace) {
         this.rules = rules;
         for (String traceLine : trace) {
             String[] parts = traceLine.split("\t");
@@ -121,15 +121,15 @@
     }
 
     /** Verifies a recorded run. */
-    public static Verdict judge(Rules rules, List<String> trace) {
-        Judge judge = new Judge(rules, trace);
+    public static VerificationResult judge(Rules rules, List<String> trace) {
+        TraceVerifier judge = new TraceVerifier(rules, trace);
         judge.read();
         judge.checkAnswers();
         judge.checkEffects();
         judge.checkDrains();
         judge.checkSlowStarts();
         judge.checkLoadQuotas();
-        return new Verdict(judge.violations, judge.figures());
+        return new VerificationResult(judge.violations, judge.figures());
     }
 
     private void addViolation(int rule, String what) {
@@ -447,7 +447,7 @@
                         : event.number("attempts")
                                 - 1
                                 - call.stepsReceived.stream()
-                                        .filter(Judge::isLaterStep)
+                                        .filter(TraceVerifier::isLaterStep)
                                         .count();
                 for (long i = 0; i < unreceivedSteps; i++) { // steps that started but did not reach a worker
                     receiptTimes
@@ -630,7 +630,7 @@
     }
 
     /** Formats the result as lines of text; the last line has the number of rules kept. */
-    public static List<String> report(Verdict verdict) {
+    public static List<String> report(VerificationResult verdict) {
         List<String> report = new ArrayList<>();
         verdict.figures.forEach((name, value) -> report.add(String.format("  %-16s %s", name, value)));
         verdict.broken.forEach((rule, what) -> {
--- a/stand-ins/src/test/java/wharfhinge/standin/judge/JudgeTest.java
+++ b/stand-ins/src/test/java/wharfhinge/standin/judge/JudgeTest.java
@@ -40,8 +40,8 @@
     }
 
     private Set<Integer> brokenRules() {
-        return Judge.judge(
-                        new Judge.Rules(
+        return TraceVerifier.judge(
+                        new TraceVerifier.Rules(
                                 16,
                                 2000,
                                 0.2,
--- a/stand-ins/src/test/java/wharfhinge/standin/judge/MemoryJudgeTest.java
+++ b/stand-ins/src/test/java/wharfhinge/standin/judge/MemoryJudgeTest.java
@@ -7,7 +7,7 @@
 
 /** Checks handwritten memory accounting and smaps files, each with one deviation or none. */
 class MemoryJudgeTest {
-    private final MemoryJudge judge = new MemoryJudge();
+    private final MemoryAccountingVerifier judge = new MemoryAccountingVerifier();
 
     private static String accounting(long free, long idle, long working, long resident) {
         return "total_kb 100000\nfree_kb " + free + "\nloading_kb 0\nidle_kb " + idle + "\nworking_kb " + working
--- a/worker/src/test/java/wharfhinge/worker/TestGateway.java
+++ b/worker/src/test/java/wharfhinge/worker/TestGateway.java
@@ -6,22 +6,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import wharfhinge.standin.H2Caller;
-import wharfhinge.standin.Net;
+import wharfhinge.standin.Http2Caller;
+import wharfhinge.standin.LoopbackServers;
 
 /** A connection to a worker like that of a gateway. */
 final class TestGateway implements AutoCloseable {
-    private final EventLoopGroup group = Net.group(1);
-    private final H2Caller caller;
+    private final EventLoopGroup group = LoopbackServers.group(1);
+    private final Http2Caller caller;
 
     /** The response to a request. */
     record Answer(
             int status, String outcome, String note, String count, String report, String incarnation, String body) {}
 
     /** A request in flight. */
-    record Open(H2Caller.Open exchange) {
+    record Open(Http2Caller.Open exchange) {
         Answer get() throws Exception {
-            H2Caller.Answer answer = exchange.answer().get(20, TimeUnit.SECONDS);
+            Http2Caller.Answer answer = exchange.answer().get(20, TimeUnit.SECONDS);
             return new Answer(
                     answer.status(),
                     answer.headers().get("wh-outcome"),
@@ -38,7 +38,7 @@
     }
 
     TestGateway(int port) {
-        caller = new H2Caller(group, port);
+        caller = new Http2Caller(group, port);
     }
 
     /** Waits some seconds for the worker's GOAWAY; fails if there is none. */
