--- a/app/src/main/java/wharfhinge/app/StandInCommand.java
+++ b/app/src/main/java/wharfhinge/app/StandInCommand.java
@@ -68,7 +68,7 @@
                 workerSpec.cell(),
                 RosterEntry.State.UP,
                 workerSpec.cores(),
-                2 * workerSpec.coldMillis(),
+                2 * workerSpec.slowStartMillis(),
                 "b0"));
     }
 
--- a/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientDrills.java
@@ -76,7 +76,7 @@
                         "wh-class",
                         callClass.name(),
                         "wh-deadline-ms",
-                        Long.toString(callClass.giveUpMillis()),
+                        Long.toString(callClass.deadlineMillis()),
                         "wh-memory-mb",
                         Double.toString(callClass.memoryMb()),
                         "wh-lanes",
--- a/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
@@ -80,7 +80,7 @@
                     spec.cell(),
                     State.UP,
                     spec.cores(),
-                    2 * spec.coldMillis(),
+                    2 * spec.slowStartMillis(),
                     worker.model().boot()));
         }
         FreePorts ports = new FreePorts();
@@ -152,13 +152,13 @@
     /** A call that ended; {@code tookMillis} counts from the time at which it was due. */
     record CompletedCall(long dueMillis, CallClass callClass, String tenant, CallOutcome outcome, long tookMillis) {
         boolean inTime() {
-            return outcome.kind.equals("served") && tookMillis <= callClass.aimMillis();
+            return outcome.kind.equals("served") && tookMillis <= callClass.objectiveMillis();
         }
     }
 
     static Caller caller(WharfhingeClient client) {
         return (function, callClass, tenant, onEnd) -> {
-            Duration deadline = Duration.ofMillis(callClass.giveUpMillis());
+            Duration deadline = Duration.ofMillis(callClass.deadlineMillis());
             Call.Builder call = callClass.effect().equals("idempotent")
                     ? Call.safe(function, callClass.name(), deadline)
                     : Call.once(function, callClass.name(), deadline);
@@ -234,7 +234,7 @@
     private CallCounts load(String library, double seconds) {
         WharfhingeClient client = client(library);
         List<CompletedCall> all =
-                load(caller(client), null, seconds, s -> scenario.offered().perS() / 2);
+                load(caller(client), null, seconds, s -> scenario.offered().callsPerSecond() / 2);
         Map<String, Long> byKind = new LinkedHashMap<>();
         all.forEach(e -> byKind.merge(e.outcome.kind, 1L, Long::sum));
         try {
--- a/app/src/main/java/wharfhinge/app/drill/DrillRun.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillRun.java
@@ -98,11 +98,11 @@
         RecorderStallWatch standstillWatch = new RecorderStallWatch(group, trace);
         clients.start(scenario.seconds());
         Thread.sleep((long) (scenario.seconds() * 1000));
-        long maxGiveUpMillis = scenario.offered().classes().stream()
-                .mapToLong(LoadClients.CallClass::giveUpMillis)
+        long maxDeadlineMillis = scenario.offered().classes().stream()
+                .mapToLong(LoadClients.CallClass::deadlineMillis)
                 .max()
                 .orElse(0);
-        for (long waitedMillis = 0; clients.open() > 0 && waitedMillis < maxGiveUpMillis + 500; waitedMillis += 50) {
+        for (long waitedMillis = 0; clients.open() > 0 && waitedMillis < maxDeadlineMillis + 500; waitedMillis += 50) {
             Thread.sleep(50);
         }
         scheduler.shutdownNow();
@@ -151,7 +151,7 @@
     private void reportState(int i, State state, boolean justStarted) {
         DrillWorker worker = workers.get(i);
         WorkerModel.Spec spec = scenario.worker(i, false);
-        long ageMillis = justStarted ? 0 : 2 * spec.coldMillis();
+        long ageMillis = justStarted ? 0 : 2 * spec.slowStartMillis();
         roster.report(new RosterEntry(
                 worker.id(),
                 spec.zone(),
--- a/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
+++ b/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
@@ -20,13 +20,13 @@
         for (LoadClients.CallClass callClass : scenario.offered().classes()) {
             classes.append(String.format(
                     "    <class name=\"%s\" effect=\"%s\" aim-ms=\"%d\" give-up-ms=\"%d\" " + "late-worth=\"0.2\"/>%n",
-                    callClass.name(), callClass.effect(), callClass.aimMillis(), callClass.giveUpMillis()));
+                    callClass.name(), callClass.effect(), callClass.objectiveMillis(), callClass.deadlineMillis()));
         }
-        String loadQuota = rules.rationMillis() == 0
+        String loadQuota = rules.quotaWindowMillis() == 0
                 ? ""
                 : String.format(
                         "<ration period-ms=\"%d\" anyway=\"%s\" ratio=\"%s\"/>",
-                        rules.rationMillis(), rules.rationAnyway(), rules.rationRatio());
+                        rules.quotaWindowMillis(), rules.quotaBase(), rules.quotaPerCall());
         String settings = String.format(
                 """
             <wharfhinge xmlns="urn:wharfhinge:settings:1">
@@ -56,21 +56,21 @@
                 Math.min(
                         MAX_RETRY_AFTER_MS,
                         scenario.offered().classes().stream()
-                                .mapToLong(LoadClients.CallClass::giveUpMillis)
+                                .mapToLong(LoadClients.CallClass::deadlineMillis)
                                 .max()
                                 .orElse(MAX_RETRY_AFTER_MS)),
                 scenario.workers().reports(),
-                scenario.secondCopies(),
+                scenario.concurrentAttempts(),
                 scenario.workers().memoryMb(),
                 scenario.workers().notLoaded(),
                 scenario.workers().keepMillis(),
                 loadQuota,
                 classes,
                 rules.stopSendingMillis(),
-                rules.coldFrom(),
-                rules.coldMillis(),
+                rules.slowStartInitialShare(),
+                rules.slowStartMillis(),
                 rules.overloadFactor(),
-                rules.tipMillis(),
+                rules.overloadWindowMillis(),
                 rules.graceMillis(),
                 rosterPort,
                 number,
--- a/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
@@ -31,15 +31,15 @@
      * A class of calls; times in milliseconds.
      *
      * @param share        of all single calls
-     * @param aimMillis    latency objective
-     * @param giveUpMillis deadline
+     * @param objectiveMillis    latency objective
+     * @param deadlineMillis deadline
      */
     public record CallClass(
             String name,
             String effect,
             double share,
-            long aimMillis,
-            long giveUpMillis,
+            long objectiveMillis,
+            long deadlineMillis,
             double workMillis,
             double loadMillis,
             double memoryMb,
@@ -48,7 +48,7 @@
     /**
      * The offered traffic.
      *
-     * @param perS                calls a second
+     * @param callsPerSecond                calls a second
      * @param functions           number of functions in each class
      * @param zipf                exponent of the popularity of functions
      * @param retries             retries of a call at most
@@ -56,7 +56,7 @@
      * @param chainDeadlineMillis deadline of a chain
      */
     public record Traffic(
-            double perS,
+            double callsPerSecond,
             int functions,
             double zipf,
             int retries,
@@ -158,7 +158,10 @@
                         send(draw(), 0, null);
                     }
                     scheduleNext(
-                            at + (long) (-Math.log(1 - random.nextDouble()) * 1e9 / (traffic.perS() * rateFactor)),
+                            at
+                                    + (long) (-Math.log(1 - random.nextDouble())
+                                            * 1e9
+                                            / (traffic.callsPerSecond() * rateFactor)),
                             end);
                 },
                 at - System.nanoTime(),
@@ -199,7 +202,7 @@
                 function,
                 work,
                 random.nextDouble() < earlyCancelShare,
-                System.nanoTime() + callClass.giveUpMillis() * 1_000_000L);
+                System.nanoTime() + callClass.deadlineMillis() * 1_000_000L);
     }
 
     private void send(PlannedCall planned, int retriesSoFar, String retryOf) {
--- a/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
@@ -31,7 +31,7 @@
     private int gateways = 3;
 
     @XmlAttribute(name = "second-copies")
-    private boolean secondCopies;
+    private boolean concurrentAttempts;
 
     @XmlElement(name = "workers")
     private Workers workers;
@@ -151,25 +151,25 @@
         private long stopSendingMillis;
 
         @XmlAttribute(name = "cold-from")
-        private double coldFrom;
+        private double slowStartInitialShare;
 
         @XmlAttribute(name = "cold-ms")
-        private long coldMillis;
+        private long slowStartMillis;
 
         @XmlAttribute(name = "overload-factor")
         private double overloadFactor;
 
         @XmlAttribute(name = "tip-ms")
-        private long tipMillis;
+        private long overloadWindowMillis;
 
         @XmlAttribute(name = "ration-ms")
-        private long rationMillis;
+        private long quotaWindowMillis;
 
         @XmlAttribute(name = "ration-anyway")
-        private double rationAnyway;
+        private double quotaBase;
 
         @XmlAttribute(name = "ration-ratio")
-        private double rationRatio;
+        private double quotaPerCall;
     }
 
     /** The package store. */
@@ -208,7 +208,7 @@
     @XmlAccessorType(XmlAccessType.FIELD)
     public static final class Traffic {
         @XmlAttribute(name = "per-s")
-        private double perS;
+        private double callsPerSecond;
 
         @XmlAttribute(name = "functions")
         private int functions;
@@ -242,10 +242,10 @@
         private double share;
 
         @XmlAttribute(name = "aim-ms")
-        private long aimMillis;
+        private long objectiveMillis;
 
         @XmlAttribute(name = "give-up-ms")
-        private long giveUpMillis;
+        private long deadlineMillis;
 
         @XmlAttribute(name = "work-ms")
         private double workMillis;
@@ -342,7 +342,7 @@
 
     /** Multiplies the call rate by a factor. */
     public void load(double factor) {
-        traffic.perS *= factor;
+        traffic.callsPerSecond *= factor;
     }
 
     /** Sets the memory of each worker in MB. */
@@ -388,8 +388,8 @@
     }
 
     /** Whether a call may have two attempts in flight at once, as hedged requests do. */
-    public boolean secondCopies() {
-        return secondCopies;
+    public boolean concurrentAttempts() {
+        return concurrentAttempts;
     }
 
     /** The workers. */
@@ -427,10 +427,10 @@
                 workers.loadsAtOnce,
                 workers.keepMillis,
                 workers.notLoaded.equals("load"),
-                rules.coldFrom,
-                rules.coldMillis,
+                rules.slowStartInitialShare,
+                rules.slowStartMillis,
                 rules.overloadFactor,
-                rules.tipMillis,
+                rules.overloadWindowMillis,
                 workers.reportMillis,
                 cold,
                 (long) traffic.classes.stream()
@@ -442,7 +442,7 @@
     /** The offered traffic. */
     public LoadClients.Traffic offered() {
         return new LoadClients.Traffic(
-                traffic.perS,
+                traffic.callsPerSecond,
                 traffic.functions,
                 traffic.zipf,
                 traffic.retries,
@@ -451,8 +451,8 @@
                                 c.name,
                                 c.effect,
                                 c.share,
-                                c.aimMillis,
-                                c.giveUpMillis,
+                                c.objectiveMillis,
+                                c.deadlineMillis,
                                 c.workMillis,
                                 c.loadMillis,
                                 c.memoryMb,
@@ -469,21 +469,21 @@
         Map<String, Double> meanWorkMillis = new LinkedHashMap<>();
         traffic.classes.forEach(c -> {
             effects.put(c.name, c.effect);
-            objectiveMillis.put(c.name, c.aimMillis);
+            objectiveMillis.put(c.name, c.objectiveMillis);
             meanWorkMillis.put(c.name, c.workMillis);
         });
         return new TraceVerifier.Rules(
                 rules.graceMillis,
                 rules.stopSendingMillis,
-                rules.coldFrom,
-                rules.coldMillis,
+                rules.slowStartInitialShare,
+                rules.slowStartMillis,
                 rules.overloadFactor,
-                rules.tipMillis,
-                rules.rationMillis,
-                rules.rationAnyway,
-                rules.rationRatio,
+                rules.overloadWindowMillis,
+                rules.quotaWindowMillis,
+                rules.quotaBase,
+                rules.quotaPerCall,
                 CONNECT_TIMEOUT_MS,
-                secondCopies,
+                concurrentAttempts,
                 effects,
                 objectiveMillis,
                 meanWorkMillis);
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
@@ -37,10 +37,10 @@
      * @param loadsAtOnce          loads that run concurrently
      * @param keepMillis           time after which an idle copy is evicted
      * @param loadsOnCall          whether a call for a function that is not loaded starts a load; otherwise it is answered as a miss
-     * @param coldFrom             share of full capacity at the beginning of the slow start
-     * @param coldMillis           length of the slow start
+     * @param slowStartInitialShare             share of full capacity at the beginning of the slow start
+     * @param slowStartMillis           length of the slow start
      * @param overloadFactor       multiple of its current capacity that a worker in slow start survives
-     * @param tipMillis            window over which that work is summed
+     * @param overloadWindowMillis            window over which that work is summed
      * @param reportIntervalMillis interval at which the load report is refreshed
      * @param cold                 whether it begins in slow start
      * @param meanWorkUs           mean work of a call in microseconds
@@ -56,10 +56,10 @@
             int loadsAtOnce,
             long keepMillis,
             boolean loadsOnCall,
-            double coldFrom,
-            long coldMillis,
+            double slowStartInitialShare,
+            long slowStartMillis,
             double overloadFactor,
-            long tipMillis,
+            long overloadWindowMillis,
             long reportIntervalMillis,
             boolean cold,
             long meanWorkUs,
@@ -249,7 +249,7 @@
 
     private void begin(boolean cold) {
         long now = System.nanoTime();
-        startedAt = cold ? now : now - spec.coldMillis() * 1_000_000L;
+        startedAt = cold ? now : now - spec.slowStartMillis() * 1_000_000L;
         trace.note(
                 "start",
                 "worker",
@@ -411,18 +411,19 @@
      */
     private boolean isOverloaded() {
         long now = System.nanoTime();
-        double age = (now - startedAt) / 1e6 / spec.coldMillis();
+        double age = (now - startedAt) / 1e6 / spec.slowStartMillis();
         if (age >= 1) {
             arrivalsInWindow.clear();
             return false;
         }
         arrivalsInWindow.add(now);
-        while (now - arrivalsInWindow.peek() > spec.tipMillis() * 1_000_000L) {
+        while (now - arrivalsInWindow.peek() > spec.overloadWindowMillis() * 1_000_000L) {
             arrivalsInWindow.poll();
         }
         double sum = arrivalsInWindow.size() * spec.meanWorkUs() / 1000.0;
-        double capacity = spec.cores() * spec.speed() * (spec.coldFrom() + (1 - spec.coldFrom()) * age);
-        return sum > OVERLOAD_TOLERANCE * spec.overloadFactor() * capacity * spec.tipMillis();
+        double capacity =
+                spec.cores() * spec.speed() * (spec.slowStartInitialShare() + (1 - spec.slowStartInitialShare()) * age);
+        return sum > OVERLOAD_TOLERANCE * spec.overloadFactor() * capacity * spec.overloadWindowMillis();
     }
 
     private int concurrentCalls(String function) {
@@ -473,8 +474,8 @@
         copy.running++;
         running++;
         trace.note("run", "worker", id, "call", call.id, "attempt", call.attempt);
-        double age = Math.min(1, (System.nanoTime() - startedAt) / 1e6 / spec.coldMillis());
-        double warmth = spec.coldFrom() + (1 - spec.coldFrom()) * age;
+        double age = Math.min(1, (System.nanoTime() - startedAt) / 1e6 / spec.slowStartMillis());
+        double warmth = spec.slowStartInitialShare() + (1 - spec.slowStartInitialShare()) * age;
         double ms =
                 call.workUs / 1000.0 / spec.speed() / warmth * slowdown * Math.max(1, running / (double) spec.cores());
         after(ms, () -> {
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/TraceVerifier.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/TraceVerifier.java
@@ -28,15 +28,15 @@
      *
      * @param graceMillis          tolerance after a deadline
      * @param stopSendingMillis    time after an endpoint update until which a gateway may still send to a worker that leaves
-     * @param coldFrom             share of full capacity at the beginning of the slow start
-     * @param coldMillis           length of the slow start
+     * @param slowStartInitialShare             share of full capacity at the beginning of the slow start
+     * @param slowStartMillis           length of the slow start
      * @param overloadFactor       multiple of its current capacity that may be sent to a worker in slow start
-     * @param tipMillis            window over which that work is summed
-     * @param rationMillis         window of the load quota; 0 if there is no quota
-     * @param rationAnyway         load orders that are allowed in a window without any calls
-     * @param rationRatio          further load orders that are allowed for each call in the window
+     * @param overloadWindowMillis            window over which that work is summed
+     * @param quotaWindowMillis         window of the load quota; 0 if there is no quota
+     * @param quotaBase         load orders that are allowed in a window without any calls
+     * @param quotaPerCall          further load orders that are allowed for each call in the window
      * @param connectTimeoutMillis time for which a load order may wait for a connection before it is sent
-     * @param secondCopies         whether a call may have two attempts in flight at once
+     * @param concurrentAttempts         whether a call may have two attempts in flight at once
      * @param effects              effect of each class: idempotent, deduplicated or at-most-once
      * @param objectiveMillis      latency objective of each class
      * @param meanWorkMillis       mean work of a call of each class
@@ -44,15 +44,15 @@
     public record Rules(
             long graceMillis,
             long stopSendingMillis,
-            double coldFrom,
-            long coldMillis,
+            double slowStartInitialShare,
+            long slowStartMillis,
             double overloadFactor,
-            long tipMillis,
-            long rationMillis,
-            double rationAnyway,
-            double rationRatio,
+            long overloadWindowMillis,
+            long quotaWindowMillis,
+            double quotaBase,
+            double quotaPerCall,
             long connectTimeoutMillis,
-            boolean secondCopies,
+            boolean concurrentAttempts,
             Map<String, String> effects,
             Map<String, Long> objectiveMillis,
             Map<String, Double> meanWorkMillis) {}
@@ -268,7 +268,7 @@
             if (refused && unsafeStepRan) {
                 addViolation(2, id + " was called harmless to repeat after a step that must run once");
             }
-            if (!rules.secondCopies) {
+            if (!rules.concurrentAttempts) {
                 for (int i = 1; i < call.received.size(); i++) {
                     Event previous = call.received.get(i - 1);
                     Event end = call.attemptEnds.get(previous.get("attempt"));
@@ -374,20 +374,20 @@
                 sums.put(worker, 0.0);
             } else if (event.word.equals("recv") && starts.get(worker) != null) {
                 Event start = starts.get(worker);
-                double age = (event.at - start.at) / (double) (rules.coldMillis * NANOS_PER_MS);
+                double age = (event.at - start.at) / (double) (rules.slowStartMillis * NANOS_PER_MS);
                 if (age >= 1) {
                     continue;
                 }
                 Deque<Event> window = windows.get(worker);
                 window.add(event);
                 sums.merge(worker, work(event), Double::sum);
-                while (event.at - window.peek().at > rules.tipMillis * NANOS_PER_MS) {
+                while (event.at - window.peek().at > rules.overloadWindowMillis * NANOS_PER_MS) {
                     sums.merge(worker, -work(window.poll()), Double::sum);
                 }
                 double capacity = Double.parseDouble(start.get("cores"))
                         * Double.parseDouble(start.get("speed"))
-                        * (rules.coldFrom + (1 - rules.coldFrom) * age);
-                double limit = 1.25 * rules.overloadFactor * capacity * rules.tipMillis;
+                        * (rules.slowStartInitialShare + (1 - rules.slowStartInitialShare) * age);
+                double limit = 1.25 * rules.overloadFactor * capacity * rules.overloadWindowMillis;
                 double informedWork = window.stream()
                         .filter(e -> {
                             Long at = toldAt.get(e.get("gw") + ' ' + worker + ' ' + start.get("boot"));
@@ -398,7 +398,8 @@
                 if (sums.get(worker) > limit && informedWork >= sums.get(worker) * 2 / 3) {
                     addViolation(
                             4,
-                            worker + " was sent " + Math.round(sums.get(worker)) + " ms of work in " + rules.tipMillis
+                            worker + " was sent " + Math.round(sums.get(worker)) + " ms of work in "
+                                    + rules.overloadWindowMillis
                                     + " ms, " + (event.at - start.at) / NANOS_PER_MS + " ms after its start, where "
                                     + (long) limit
                                     + " tip it");
@@ -429,7 +430,7 @@
 
     /** Rule 5: the load orders of one incarnation of a gateway within any window stay within its load quota. */
     private void checkLoadQuotas() {
-        if (rules.rationMillis == 0) {
+        if (rules.quotaWindowMillis == 0) {
             return;
         }
         Map<String, List<Long>> receiptTimes = new HashMap<>();
@@ -468,18 +469,18 @@
             List<Long> gatewayReceiptTimes = receiptTimes.getOrDefault(gateway, List.of());
             for (int i = 0; i < times.size(); i++) {
                 long at = times.get(i);
-                long from = at - rules.rationMillis * NANOS_PER_MS;
+                long from = at - rules.quotaWindowMillis * NANOS_PER_MS;
                 long count = times.subList(0, i + 1).stream()
                         .filter(t -> t > from + TOLERANCE_NANOS + rules.connectTimeoutMillis * NANOS_PER_MS)
                         .count();
                 long calls = gatewayReceiptTimes.stream()
                         .filter(t -> t > from - TOLERANCE_NANOS && t <= at + TOLERANCE_NANOS)
                         .count();
-                double quota = rules.rationAnyway + rules.rationRatio * calls;
+                double quota = rules.quotaBase + rules.quotaPerCall * calls;
                 if (count > quota) {
                     addViolation(
                             5,
-                            gateway + " gave " + count + " orders in " + rules.rationMillis + " ms with " + calls
+                            gateway + " gave " + count + " orders in " + rules.quotaWindowMillis + " ms with " + calls
                                     + " calls, where " + quota + " are allowed");
                 }
             }
