--- a/app/src/main/java/wharfhinge/app/StandInCommand.java
+++ b/app/src/main/java/wharfhinge/app/StandInCommand.java
@@ -102,8 +102,8 @@
             PackageStoreEmulator store = new PackageStoreEmulator(
                     group,
                     port + 1,
-                    scenario.store().fullPace(),
-                    scenario.store().most(),
+                    scenario.store().fullSpeedFetches(),
+                    scenario.store().maxFetches(),
                     trace);
             List<WorkerEmulator> workers =
                     workers(scenario, group, port + 2, scenario.workers().count(), store.port(), trace);
--- a/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
@@ -67,7 +67,7 @@
         this.folder = Files.createDirectories(folder);
         roster = new EndpointServiceEmulator(group, 0, scenario.roster().lagMillis(), trace);
         store = new PackageStoreEmulator(
-                group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
+                group, 0, scenario.store().fullSpeedFetches(), scenario.store().maxFetches(), trace);
         HttpCaller storeClient = new HttpCaller(group, store.port());
         for (int i = 0; i < scenario.workers().count(); i++) {
             WorkerModel.Spec spec = scenario.worker(i, false);
@@ -186,7 +186,8 @@
     /** Counts over all workers: copies, functions that have a copy, and loads begun since the start. */
     int[] copies() {
         Map<String, Integer> all = new LinkedHashMap<>();
-        workers.forEach(w -> w.model().held().forEach((function, count) -> all.merge(function, count, Integer::sum)));
+        workers.forEach(
+                w -> w.model().loadedCopies().forEach((function, count) -> all.merge(function, count, Integer::sum)));
         return new int[] {
             all.values().stream().mapToInt(Integer::intValue).sum(),
             (int) all.values().stream().filter(n -> n > 0).count(),
@@ -203,7 +204,7 @@
     List<CompletedCall> load(Caller caller, String tenant, double seconds, DoubleUnaryOperator callsPerSecond) {
         List<CompletedCall> all = Collections.synchronizedList(new ArrayList<>());
         LongAdder open = new LongAdder();
-        List<CallClass> classes = scenario.offered().classes();
+        List<CallClass> classes = scenario.offeredTraffic().classes();
         Random random = new Random(scenario.seed());
         long startNanos = System.nanoTime();
         double atSeconds = 0;
@@ -215,7 +216,7 @@
             CallClass callClass = random.nextDouble() < classes.get(0).share() ? classes.get(0) : classes.get(1);
             String function = "f"
                     + (int) (Math.pow(random.nextDouble(), 2)
-                            * scenario.offered().functions());
+                            * scenario.offeredTraffic().functions());
             long dueMillis = (long) (atSeconds * 1000);
             open.increment();
             caller.call(function, callClass, tenant, outcome -> {
@@ -233,8 +234,8 @@
 
     private CallCounts load(String library, double seconds) {
         WharfhingeClient client = client(library);
-        List<CompletedCall> all =
-                load(caller(client), null, seconds, s -> scenario.offered().callsPerSecond() / 2);
+        List<CompletedCall> all = load(
+                caller(client), null, seconds, s -> scenario.offeredTraffic().callsPerSecond() / 2);
         Map<String, Long> byKind = new LinkedHashMap<>();
         all.forEach(e -> byKind.merge(e.outcome.kind, 1L, Long::sum));
         try {
--- a/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
@@ -224,7 +224,7 @@
             memoryJudge.faults().stream().limit(5).forEach(System.out::println);
             System.out.println(memoryJudge.summary());
         }
-        return verdict.kept() == 5
+        return verdict.rulesKept() == 5
                         && (memoryJudge == null || memoryJudge.faults().isEmpty())
                 ? Program.OK
                 : Program.FAILURE;
@@ -284,7 +284,7 @@
         scenario.load(load);
         if (name.equals("storm")) {
             scenario.memoryMb(
-                    memory.copies * scenario.offered().classes().get(0).memoryMb());
+                    memory.copies * scenario.offeredTraffic().classes().get(0).memoryMb());
             scenario.loadsOnCall(loadsOnCall);
             scenario.gateways(gateways == null ? scenario.gateways() : gateways);
             return new StormDrill(scenario, peak).run(folder) ? Program.OK : Program.FAILURE;
@@ -322,7 +322,7 @@
         Scenario scenario = Scenarios.load(file, "chains");
         scenario.load(loadFactor);
         if (singlesOnly) { // keeps the rate of single calls of the run with chains
-            scenario.load(1 - scenario.offered().chainShare());
+            scenario.load(1 - scenario.offeredTraffic().chainShare());
             scenario.chainShare(0);
         }
         scenario.seconds(seconds == null ? scenario.seconds() : seconds);
@@ -334,7 +334,7 @@
                     "| %s | %s | %d of 5 | %s | %s | %s | %s | %d, %d | %s |%n",
                     loadFactor,
                     label,
-                    verdict.kept(),
+                    verdict.rulesKept(),
                     figures.get("chains"),
                     figures.get("chains in time"),
                     figures.get("work done ms"),
@@ -360,14 +360,14 @@
             try (DrillRun drillRun = new DrillRun(scenario, mutant, Files.createTempDirectory("wharfhinge-drill"))) {
                 verdict = drillRun.run();
             }
-            failedRuns += verdict.kept() == 5 ? 0 : 1;
+            failedRuns += verdict.rulesKept() == 5 ? 0 : 1;
             Map<String, String> figures = verdict.figures();
-            System.out.println("| " + faultTexts.replace(";", " and ") + " | " + verdict.kept() + " of 5 | "
+            System.out.println("| " + faultTexts.replace(";", " and ") + " | " + verdict.rulesKept() + " of 5 | "
                     + figures.get("in time")
                     + " | " + figures.get("late") + " | " + figures.get("refusals") + " | " + figures.get("failures")
                     + " | "
                     + figures.get("loads per call") + " |");
-            if (verdict.kept() < 5) {
+            if (verdict.rulesKept() < 5) {
                 TraceVerifier.report(verdict).forEach(System.err::println);
             }
         }
--- a/app/src/main/java/wharfhinge/app/drill/DrillRun.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillRun.java
@@ -62,7 +62,7 @@
         this.random = new Random(scenario.seed());
         roster = new EndpointServiceEmulator(group, 0, 0, trace);
         store = new PackageStoreEmulator(
-                group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
+                group, 0, scenario.store().fullSpeedFetches(), scenario.store().maxFetches(), trace);
         workerProcesses = scenario.workers().real() ? new WorkerProcessFleet(group, scenario, folder, trace) : null;
         if (workerProcesses != null) {
             workers.addAll(workerProcesses.start());
@@ -88,17 +88,17 @@
     TraceVerifier.VerificationResult run() throws IOException, InterruptedException {
         GatewayProcess.startAll(gateways);
         Thread.sleep(500);
-        roster.lag(scenario.roster().lagMillis());
+        roster.setLagMillis(scenario.roster().lagMillis());
         Map<String, Integer> ports = new LinkedHashMap<>();
         gateways.forEach(gateway -> ports.put(gateway.name(), gateway.port()));
-        clients = new LoadClients(group, ports, scenario.offered(), scenario.seed(), trace);
+        clients = new LoadClients(group, ports, scenario.offeredTraffic(), scenario.seed(), trace);
         scenario.troubles().forEach(this::plan);
         MemorySampler memorySampler =
                 workerProcesses == null ? null : new MemorySampler(group, workerProcesses.processes());
         RecorderStallWatch standstillWatch = new RecorderStallWatch(group, trace);
         clients.start(scenario.seconds());
         Thread.sleep((long) (scenario.seconds() * 1000));
-        long maxDeadlineMillis = scenario.offered().classes().stream()
+        long maxDeadlineMillis = scenario.offeredTraffic().classes().stream()
                 .mapToLong(LoadClients.CallClass::deadlineMillis)
                 .max()
                 .orElse(0);
@@ -112,14 +112,14 @@
             memoryJudge = memorySampler.stop();
             workerProcesses.stop();
             for (WorkerProcess worker : workerProcesses.processes()) {
-                trace.take(worker.events());
+                trace.addAll(worker.events());
             }
         }
         for (GatewayProcess gateway : gateways) {
-            trace.take(gateway.processorWaitLines());
+            trace.addAll(gateway.processorWaitLines());
         }
         trace.write(folder.resolve("trace.tsv"));
-        return TraceVerifier.judge(scenario.judged(), trace.lines());
+        return TraceVerifier.verify(scenario.verifierRules(), trace.lines());
     }
 
     /** The check of the memory accounting of the workers, or null if the workers are emulated. */
@@ -257,14 +257,16 @@
             case "scan" -> scheduleSpan(fault, () -> clients.scan(fault.size()), () -> clients.scan(0));
             case "heavy_tail" -> scheduleSpan(
                     fault, () -> clients.heavy(fault.part(), fault.size()), () -> clients.heavy(0, 1));
-            case "give_up" -> scheduleSpan(fault, () -> clients.leave(fault.size()), () -> clients.leave(0));
-            case "shift" -> schedule(fault.at(), () -> clients.shift(fault.size()));
+            case "give_up" -> scheduleSpan(
+                    fault, () -> clients.cancelEarly(fault.size()), () -> clients.cancelEarly(0));
+            case "shift" -> schedule(fault.at(), () -> clients.preferFirstGateway(fault.size()));
             case "discovery_stale" -> scheduleSpan(
                     fault,
-                    () -> roster.lag(scenario.roster().lagMillis() + (long) (fault.size() * 1000)),
-                    () -> roster.lag(scenario.roster().lagMillis()));
-            case "roster_lost" -> scheduleSpan(fault, () -> roster.lost(true), () -> roster.lost(false));
-            case "roster_silent" -> scheduleSpan(fault, () -> roster.mute(true), () -> roster.mute(false));
+                    () -> roster.setLagMillis(scenario.roster().lagMillis() + (long) (fault.size() * 1000)),
+                    () -> roster.setLagMillis(scenario.roster().lagMillis()));
+            case "roster_lost" -> scheduleSpan(
+                    fault, () -> roster.setUnreachable(true), () -> roster.setUnreachable(false));
+            case "roster_silent" -> scheduleSpan(fault, () -> roster.silence(true), () -> roster.silence(false));
             case "store_shut" -> scheduleSpan(fault, () -> setStoreShut(true), () -> setStoreShut(false));
             case "drain" -> drawWorkers(fault).forEach(i -> drain(fault, i));
             case "restart" -> drawWorkers(fault).forEach(i -> restart(fault.at(), fault.length(), i));
@@ -290,7 +292,7 @@
         if (workerProcesses != null) {
             workerProcesses.shut(shut);
         } else {
-            store.shut(shut);
+            store.setUnavailable(shut);
         }
     }
 
--- a/app/src/main/java/wharfhinge/app/drill/EmulatedWorker.java
+++ b/app/src/main/java/wharfhinge/app/drill/EmulatedWorker.java
@@ -50,7 +50,7 @@
 
     @Override
     public void slowDown(double factor) {
-        model.slower(factor);
+        model.slowDown(factor);
     }
 
     @Override
--- a/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
+++ b/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
@@ -15,9 +15,9 @@
 
     static Path write(Path folder, Scenario scenario, int number, int port, int rosterPort, boolean capture)
             throws IOException {
-        TraceVerifier.Rules rules = scenario.judged();
+        TraceVerifier.Rules rules = scenario.verifierRules();
         StringBuilder classes = new StringBuilder();
-        for (LoadClients.CallClass callClass : scenario.offered().classes()) {
+        for (LoadClients.CallClass callClass : scenario.offeredTraffic().classes()) {
             classes.append(String.format(
                     "    <class name=\"%s\" effect=\"%s\" aim-ms=\"%d\" give-up-ms=\"%d\" " + "late-worth=\"0.2\"/>%n",
                     callClass.name(), callClass.effect(), callClass.objectiveMillis(), callClass.deadlineMillis()));
@@ -55,7 +55,7 @@
                 port,
                 Math.min(
                         MAX_RETRY_AFTER_MS,
-                        scenario.offered().classes().stream()
+                        scenario.offeredTraffic().classes().stream()
                                 .mapToLong(LoadClients.CallClass::deadlineMillis)
                                 .max()
                                 .orElse(MAX_RETRY_AFTER_MS)),
--- a/app/src/main/java/wharfhinge/app/drill/Scenarios.java
+++ b/app/src/main/java/wharfhinge/app/drill/Scenarios.java
@@ -36,7 +36,7 @@
 
     private static Scenario read(Path file) throws InvalidConfigurationException {
         return XmlFile.load(file, Scenario.class.getResource("scenario.xsd"), Scenario.class, (scenario, faults) -> {
-            double shareSum = scenario.offered().classes().stream()
+            double shareSum = scenario.offeredTraffic().classes().stream()
                     .mapToDouble(c -> c.share())
                     .sum();
             if (Math.abs(shareSum - 1) > 0.001) {
--- a/app/src/main/java/wharfhinge/app/drill/StormDrill.java
+++ b/app/src/main/java/wharfhinge/app/drill/StormDrill.java
@@ -34,7 +34,7 @@
         this.capacityPerS = scenario.workers().count()
                 * scenario.workers().cores()
                 * 1000.0
-                / scenario.offered().classes().get(0).workMillis();
+                / scenario.offeredTraffic().classes().get(0).workMillis();
     }
 
     /** Runs the test. Returns whether, from {@link #RECOVERY_S} seconds after the storm on, the share in time was what it was before. */
--- a/app/src/main/java/wharfhinge/app/drill/WorkerProcessFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/WorkerProcessFleet.java
@@ -38,12 +38,12 @@
     WorkerProcessFleet(EventLoopGroup group, Scenario scenario, Path folder, Trace trace) throws IOException {
         this.group = group;
         this.folder = folder;
-        this.maxFetches = scenario.store().most();
+        this.maxFetches = scenario.store().maxFetches();
         Files.createDirectories(folder.resolve("packages"));
         Keys.generate(folder.resolve("publisher"));
-        for (LoadClients.CallClass callClass : scenario.offered().classes()) {
-            for (int i = 0; i < scenario.offered().functions() + HOT_FUNCTIONS; i++) {
-                int hotIndex = i - scenario.offered().functions();
+        for (LoadClients.CallClass callClass : scenario.offeredTraffic().classes()) {
+            for (int i = 0; i < scenario.offeredTraffic().functions() + HOT_FUNCTIONS; i++) {
+                int hotIndex = i - scenario.offeredTraffic().functions();
                 publish(
                         folder,
                         callClass.name() + "-" + (hotIndex < 0 ? Integer.toString(i) : "hot" + hotIndex),
--- a/app/src/test/java/wharfhinge/app/drill/DrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/DrillTest.java
@@ -63,7 +63,7 @@
                 new Trouble("restart", 4, 0.5, 0.2, 0, 0),
                 new Trouble("roster_lost", 5, 2, 0, 0, 0),
                 new Trouble("store_shut", 6, 1, 0, 0, 0));
-        assertEquals(5, verdict.kept(), TraceVerifier.report(verdict).toString());
+        assertEquals(5, verdict.rulesKept(), TraceVerifier.report(verdict).toString());
         assertTrue(
                 Integer.parseInt(verdict.figures().get("calls")) > 800,
                 verdict.figures().toString());
--- a/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/LongDrillTest.java
@@ -22,7 +22,7 @@
         Scenario day = Scenarios.load(null, "workers");
         try (DrillRun played = new DrillRun(day, null, folder)) {
             TraceVerifier.VerificationResult verdict = played.run();
-            assertEquals(5, verdict.kept(), TraceVerifier.report(verdict).toString());
+            assertEquals(5, verdict.rulesKept(), TraceVerifier.report(verdict).toString());
             assertEquals(List.of(), played.memoryJudge().faults());
             assertTrue(
                     Integer.parseInt(verdict.figures().get("calls")) > 1000,
--- a/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
+++ b/gateway/src/test/java/wharfhinge/gateway/EndpointStreamTest.java
@@ -77,12 +77,12 @@
     @Test
     void silentStream_isClosedAndListStaysValidUntilNextUpdate() throws Exception {
         GatewayFixture.await("the first call is served", () -> call().equals("well"));
-        endpointService.mute(true);
+        endpointService.silence(true);
         long before = endpointUpdates();
         Thread.sleep(2500); // longer than silent-after-ms
         assertEquals("well", call(), "the held list stays in use");
         assertEquals(before, endpointUpdates());
-        endpointService.mute(false);
+        endpointService.silence(false);
         endpointService.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
         GatewayFixture.await("the first update after the silence is applied", () -> endpointUpdates() > before);
     }
@@ -96,10 +96,10 @@
         Thread.sleep(400);
         assertEquals("well", call(), "changes after a gap are not applied");
         assertEquals(before, endpointUpdates(), "the full list that was requested equals the held one");
-        endpointService.lost(true);
+        endpointService.setUnreachable(true);
         Thread.sleep(300);
         assertEquals("well", call());
-        endpointService.lost(false);
+        endpointService.setUnreachable(false);
         endpointService.report(GatewayFixture.entry("127.0.0.1:9", State.UP, "b0"));
         GatewayFixture.await("the first update after the loss is applied", () -> endpointUpdates() > before);
     }
@@ -108,12 +108,12 @@
     void restartedGateway_servesFromSnapshotWhileEndpointServiceIsDown() throws Exception {
         GatewayFixture.await("the first call is served", () -> call().equals("well"));
         gateway.stop();
-        endpointService.lost(true);
+        endpointService.setUnreachable(true);
         gateway = new Gateway(
                 GatewayFixture.config(folder, "", "", endpointService.port()), DispatcherFactory.CACHE_AWARE, null);
         gateway.start();
         assertEquals("well", call());
         assertTrue(gateway.metrics().get("lists") >= 1);
-        endpointService.lost(false);
+        endpointService.setUnreachable(false);
     }
 }
--- a/stand-ins/src/main/java/wharfhinge/standin/EndpointServiceEmulator.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/EndpointServiceEmulator.java
@@ -61,12 +61,12 @@
     }
 
     /** Sets the delay of changes reported from now on. */
-    public void lag(long millis) {
+    public void setLagMillis(long millis) {
         lagMillis = millis;
     }
 
     /** While silent, its streams stay open but carry nothing, not even heartbeats. */
-    public void mute(boolean isSilent) {
+    public void silence(boolean isSilent) {
         silent = isSilent;
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** Closes all streams and stops listening, or listens again. Must not be called on its own event loop. */
-    public void lost(boolean unreachable) {
+    public void setUnreachable(boolean unreachable) {
         if (!unreachable) {
             listener = LoopbackServers.listenHttp(loop, port, RequestHandler::new);
             return;
--- a/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/LoadClients.java
@@ -129,12 +129,12 @@
     }
 
     /** Cancels a share of the calls after a third of their time to the deadline. */
-    public void leave(double share) {
+    public void cancelEarly(double share) {
         earlyCancelShare = share;
     }
 
     /** Sends a share of the calls to the first gateway and spreads the others evenly over all. */
-    public void shift(double share) {
+    public void preferFirstGateway(double share) {
         firstGatewayShare = share;
     }
 
--- a/stand-ins/src/main/java/wharfhinge/standin/PackageStoreEmulator.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/PackageStoreEmulator.java
@@ -41,7 +41,7 @@
     }
 
     /** Makes the store unavailable, or available again. */
-    public void shut(boolean isUnavailable) {
+    public void setUnavailable(boolean isUnavailable) {
         unavailable = isUnavailable;
     }
 
--- a/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
@@ -182,12 +182,12 @@
         private int most;
 
         /** Concurrent fetches that are served at full speed. */
-        public int fullPace() {
+        public int fullSpeedFetches() {
             return fullPace;
         }
 
         /** Concurrent fetches above which further ones are rejected. */
-        public int most() {
+        public int maxFetches() {
             return most;
         }
     }
@@ -440,7 +440,7 @@
     }
 
     /** The offered traffic. */
-    public LoadClients.Traffic offered() {
+    public LoadClients.Traffic offeredTraffic() {
         return new LoadClients.Traffic(
                 traffic.callsPerSecond,
                 traffic.functions,
@@ -463,7 +463,7 @@
     }
 
     /** Parameters of the rules for the trace verifier. */
-    public TraceVerifier.Rules judged() {
+    public TraceVerifier.Rules verifierRules() {
         Map<String, String> effects = new LinkedHashMap<>();
         Map<String, Long> objectiveMillis = new LinkedHashMap<>();
         Map<String, Double> meanWorkMillis = new LinkedHashMap<>();
--- a/stand-ins/src/main/java/wharfhinge/standin/Trace.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Trace.java
@@ -35,7 +35,7 @@
     }
 
     /** Adds lines that another process recorded on the same clock. */
-    public void take(List<String> recorded) {
+    public void addAll(List<String> recorded) {
         synchronized (lines) {
             lines.addAll(recorded);
         }
--- a/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/WorkerModel.java
@@ -198,7 +198,7 @@
     }
 
     /** Multiplies the duration of calls by a factor. */
-    public void slower(double factor) {
+    public void slowDown(double factor) {
         slowdown = factor;
     }
 
@@ -269,7 +269,7 @@
     }
 
     /** Loaded copies by function as of the last load report; thread-safe. */
-    public Map<String, Integer> held() {
+    public Map<String, Integer> loadedCopies() {
         return loadedByFunction;
     }
 
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/TraceVerifier.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/TraceVerifier.java
@@ -65,7 +65,7 @@
      */
     public record VerificationResult(Map<Integer, List<String>> broken, Map<String, String> figures) {
         /** The number of the five rules that were kept. */
-        public int kept() {
+        public int rulesKept() {
             return 5 - broken.size();
         }
     }
@@ -121,7 +121,7 @@
     }
 
     /** Verifies a recorded run. */
-    public static VerificationResult judge(Rules rules, List<String> trace) {
+    public static VerificationResult verify(Rules rules, List<String> trace) {
         TraceVerifier judge = new TraceVerifier(rules, trace);
         judge.read();
         judge.checkAnswers();
@@ -638,7 +638,7 @@
             report.add("rule " + rule + " broken " + what.size() + " times:");
             what.stream().limit(MAX_EXAMPLES).forEach(w -> report.add("  " + w));
         });
-        report.add("rules kept: " + verdict.kept() + " of 5");
+        report.add("rules kept: " + verdict.rulesKept() + " of 5");
         return report;
     }
 }
--- a/stand-ins/src/test/java/wharfhinge/standin/judge/JudgeTest.java
+++ b/stand-ins/src/test/java/wharfhinge/standin/judge/JudgeTest.java
@@ -40,7 +40,7 @@
     }
 
     private Set<Integer> brokenRules() {
-        return TraceVerifier.judge(
+        return TraceVerifier.verify(
                         new TraceVerifier.Rules(
                                 16,
                                 2000,
