--- a/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
@@ -376,12 +376,12 @@
         return failedRuns == 0 ? Program.OK : Program.FAILURE;
     }
 
-    private static Scenario.Trouble parseFault(String text) {
+    private static Scenario.InjectedFault parseFault(String text) {
         String[] fields = text.split(",");
         double[] figures = new double[5];
         for (int i = 1; i < fields.length; i++) {
             figures[i - 1] = Double.parseDouble(fields[i]);
         }
-        return new Scenario.Trouble(fields[0], figures[0], figures[1], figures[2], figures[3], figures[4]);
+        return new Scenario.InjectedFault(fields[0], figures[0], figures[1], figures[2], figures[3], figures[4]);
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/DrillRun.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillRun.java
@@ -24,7 +24,7 @@
 import wharfhinge.standin.PackageStoreEmulator;
 import wharfhinge.standin.RecorderStallWatch;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.Scenario.Trouble;
+import wharfhinge.standin.Scenario.InjectedFault;
 import wharfhinge.standin.Trace;
 import wharfhinge.standin.WorkerEmulator;
 import wharfhinge.standin.WorkerModel;
@@ -199,13 +199,13 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void scheduleSpan(Trouble fault, Action begin, Action end) {
+    private void scheduleSpan(InjectedFault fault, Action begin, Action end) {
         schedule(fault.at(), begin);
         schedule(fault.at() + fault.length(), end);
     }
 
     /** Draws the workers that a fault affects, by the seed of the scenario. */
-    private List<Integer> drawWorkers(Trouble fault) {
+    private List<Integer> drawWorkers(InjectedFault fault) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < workers.size(); i++) {
             all.add(i);
@@ -214,7 +214,7 @@
         return all.subList(0, Math.min(all.size(), (int) Math.ceil(fault.part() * all.size())));
     }
 
-    private void plan(Trouble fault) {
+    private void plan(InjectedFault fault) {
         List<DrillWorker> affected =
                 drawWorkers(fault).stream().map(workers::get).toList();
         if (workerProcesses != null && !workers.get(0).supports(fault.name())) {
@@ -278,7 +278,7 @@
         }
     }
 
-    private void onAndOff(Trouble fault, Toggle toggle) {
+    private void onAndOff(InjectedFault fault, Toggle toggle) {
         boolean on = true;
         for (double offsetSeconds = 0; offsetSeconds < fault.length(); offsetSeconds += fault.extra()) {
             boolean value = on;
@@ -296,7 +296,7 @@
         }
     }
 
-    private void drain(Trouble fault, int i) {
+    private void drain(InjectedFault fault, int i) {
         schedule(fault.at(), () -> reportState(i, State.DRAINING, false));
         restart(fault.at() + fault.length(), fault.extra(), i);
     }
@@ -312,7 +312,7 @@
         });
     }
 
-    private void restartGateways(Trouble fault) {
+    private void restartGateways(InjectedFault fault) {
         int index = 0;
         for (GatewayProcess gateway : gateways.subList(0, (int) Math.ceil(fault.part() * gateways.size()))) {
             schedule(fault.at() + index++ * fault.length(), () -> {
--- a/app/src/test/java/wharfhinge/app/drill/DrillTest.java
+++ b/app/src/test/java/wharfhinge/app/drill/DrillTest.java
@@ -13,7 +13,7 @@
 import wharfhinge.capture.CaptureReader;
 import wharfhinge.capture.Replayer;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.Scenario.Trouble;
+import wharfhinge.standin.Scenario.InjectedFault;
 import wharfhinge.standin.judge.TraceVerifier;
 
 /** Short runs of a scenario against gateways in separate processes, checked by the trace verifier. */
@@ -22,11 +22,12 @@
     @TempDir
     private Path folder;
 
-    private TraceVerifier.VerificationResult run(Mutant mutant, double seconds, Trouble... troubles) throws Exception {
+    private TraceVerifier.VerificationResult run(Mutant mutant, double seconds, InjectedFault... troubles)
+            throws Exception {
         Scenario day = Scenarios.load(null, "bad-day");
         day.seconds(seconds);
         day.troubles().clear();
-        for (Trouble t : troubles) {
+        for (InjectedFault t : troubles) {
             if (t.name().equals("chains")) {
                 day.chainShare(t.size());
             } else {
@@ -55,14 +56,14 @@
         TraceVerifier.VerificationResult verdict = run(
                 null,
                 9,
-                new Trouble("hang", 1, 3, 0.15, 0, 0),
-                new Trouble("drain", 1, 3, 0.15, 0, 1),
-                new Trouble("balancer_stall", 3, 2, 0.3, 0, 0),
-                new Trouble("balancer_roll", 6, 1, 0.6, 0.3, 0),
-                new Trouble("answer_lost", 5, 3, 0.4, 0.2, 1),
-                new Trouble("restart", 4, 0.5, 0.2, 0, 0),
-                new Trouble("roster_lost", 5, 2, 0, 0, 0),
-                new Trouble("store_shut", 6, 1, 0, 0, 0));
+                new InjectedFault("hang", 1, 3, 0.15, 0, 0),
+                new InjectedFault("drain", 1, 3, 0.15, 0, 1),
+                new InjectedFault("balancer_stall", 3, 2, 0.3, 0, 0),
+                new InjectedFault("balancer_roll", 6, 1, 0.6, 0.3, 0),
+                new InjectedFault("answer_lost", 5, 3, 0.4, 0.2, 1),
+                new InjectedFault("restart", 4, 0.5, 0.2, 0, 0),
+                new InjectedFault("roster_lost", 5, 2, 0, 0, 0),
+                new InjectedFault("store_shut", 6, 1, 0, 0, 0));
         assertEquals(5, verdict.rulesKept(), TraceVerifier.report(verdict).toString());
         assertTrue(
                 Integer.parseInt(verdict.figures().get("calls")) > 800,
@@ -75,18 +76,21 @@
     void mutant_isDetectedByTraceVerifier(Mutant mutant) throws Exception {
         TraceVerifier.VerificationResult verdict =
                 switch (mutant) {
-                    case FORGETS_ANSWERS -> run(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.9, 0));
-                    case REPEATS_UNSAFE -> run(mutant, 4, new Trouble("fast_errors", 0, 9, 1, 0.5, 0));
-                    case DEAF_TO_DRAINS -> run(mutant, 6, new Trouble("drain", 0.5, 9, 0.5, 0, 1));
+                    case FORGETS_ANSWERS -> run(mutant, 4, new InjectedFault("fast_errors", 0, 9, 1, 0.9, 0));
+                    case REPEATS_UNSAFE -> run(mutant, 4, new InjectedFault("fast_errors", 0, 9, 1, 0.5, 0));
+                    case DEAF_TO_DRAINS -> run(mutant, 6, new InjectedFault("drain", 0.5, 9, 0.5, 0, 1));
                     case COLD_AS_WARM -> run(
                             mutant,
                             6,
-                            new Trouble("restart", 1, 0.2, 0.5, 0, 0),
-                            new Trouble("overload", 1, 9, 0, 2, 0));
+                            new InjectedFault("restart", 1, 0.2, 0.5, 0, 0),
+                            new InjectedFault("overload", 1, 9, 0, 2, 0));
                     case CLOCK_FOR_EACH_STEP -> run(
-                            mutant, 4, new Trouble("chains", 0, 9, 0, 0.6, 0), new Trouble("slow", 0, 9, 0.5, 4, 0));
+                            mutant,
+                            4,
+                            new InjectedFault("chains", 0, 9, 0, 0.6, 0),
+                            new InjectedFault("slow", 0, 9, 0.5, 4, 0));
                     case NO_EARLY_REFUSAL -> throw new AssertionError("breaks no rule");
-                    case UNRATIONED -> run(mutant, 5, new Trouble("scan", 0, 9, 0, 0.5, 0));
+                    case UNRATIONED -> run(mutant, 5, new InjectedFault("scan", 0, 9, 0, 0.5, 0));
                 };
         assertTrue(verdict.broken().containsKey(mutant.rule()), mutant + ": " + TraceVerifier.report(verdict));
     }
--- a/stand-ins/src/main/java/wharfhinge/standin/Http2Caller.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Http2Caller.java
@@ -45,7 +45,7 @@
     }
 
     /** A request in progress. */
-    public static final class Open {
+    public static final class Exchange {
         private final CompletableFuture<Answer> answer = new CompletableFuture<>();
         private volatile Http2StreamChannel stream;
 
@@ -109,8 +109,8 @@
     }
 
     /** Sends a request. {@code headers} alternates names and values. */
-    public Open open(HttpMethod method, String path, byte[] body, String... headers) {
-        Open exchange = new Open();
+    public Exchange open(HttpMethod method, String path, byte[] body, String... headers) {
+        Exchange exchange = new Exchange();
         CompletableFuture<Answer> answer = exchange.answer;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
--- a/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Scenario.java
@@ -49,7 +49,7 @@
     private Traffic traffic;
 
     @XmlElement(name = "trouble")
-    private final List<Trouble> troubles = new ArrayList<>();
+    private final List<InjectedFault> troubles = new ArrayList<>();
 
     /** The workers. */
     @XmlAccessorType(XmlAccessType.FIELD)
@@ -262,7 +262,7 @@
 
     /** A fault that is injected during the test. */
     @XmlAccessorType(XmlAccessType.FIELD)
-    public static final class Trouble {
+    public static final class InjectedFault {
         @XmlAttribute(name = "name")
         private String name;
 
@@ -282,7 +282,7 @@
         private double extra;
 
         /** A fault that begins {@code at} seconds after the start of the test. */
-        public Trouble(String name, double at, double length, double part, double size, double extra) {
+        public InjectedFault(String name, double at, double length, double part, double size, double extra) {
             this.name = name;
             this.at = at;
             this.length = length;
@@ -292,7 +292,7 @@
         }
 
         /** For JAXB. */
-        Trouble() {}
+        InjectedFault() {}
 
         /** The name of the fault. */
         public String name() {
@@ -408,7 +408,7 @@
     }
 
     /** The faults; the list may be modified. */
-    public List<Trouble> troubles() {
+    public List<InjectedFault> troubles() {
         return troubles;
     }
 
--- a/worker/src/test/java/wharfhinge/worker/TestGateway.java
+++ b/worker/src/test/java/wharfhinge/worker/TestGateway.java
@@ -19,7 +19,7 @@
             int status, String outcome, String note, String count, String report, String incarnation, String body) {}
 
     /** A request in flight. */
-    record Open(Http2Caller.Open exchange) {
+    record Open(Http2Caller.Exchange exchange) {
         Answer get() throws Exception {
             Http2Caller.Answer answer = exchange.answer().get(20, TimeUnit.SECONDS);
             return new Answer(
