--- a/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
+++ b/app/src/main/java/wharfhinge/app/drill/ClientFleet.java
@@ -24,15 +24,15 @@
 import wharfhinge.client.http.HttpTransport;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
+import wharfhinge.standin.EndpointServiceEmulator;
 import wharfhinge.standin.HttpCaller;
 import wharfhinge.standin.LoadClients.CallClass;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.LoopbackServers;
+import wharfhinge.standin.PackageStoreEmulator;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.StoreStandIn;
 import wharfhinge.standin.Trace;
+import wharfhinge.standin.WorkerEmulator;
 import wharfhinge.standin.WorkerModel;
-import wharfhinge.standin.WorkerStandIn;
 
 /** Gateways in processes of their own, with emulated workers behind them, called through the client libraries. */
 final class ClientFleet implements AutoCloseable {
@@ -52,10 +52,10 @@
     private final Scenario scenario;
     private final Path folder;
     private final Trace trace = new Trace(System::nanoTime);
-    private final EventLoopGroup group = Net.group(4);
-    private final RosterStandIn roster;
-    private final StoreStandIn store;
-    private final List<WorkerStandIn> workers = new ArrayList<>();
+    private final EventLoopGroup group = LoopbackServers.group(4);
+    private final EndpointServiceEmulator roster;
+    private final PackageStoreEmulator store;
+    private final List<WorkerEmulator> workers = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
     private final List<Path> settingsFiles = new ArrayList<>();
     private final List<String> httpAddresses = new ArrayList<>();
@@ -65,13 +65,13 @@
     ClientFleet(Scenario scenario, Path folder, String extraSettings) throws IOException, InterruptedException {
         this.scenario = scenario;
         this.folder = Files.createDirectories(folder);
-        roster = new RosterStandIn(group, 0, scenario.roster().lagMillis(), trace);
-        store = new StoreStandIn(
-                group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
+        roster = new EndpointServiceEmulator(group, 0, scenario.roster().lagMillis(), trace);
+        store = new PackageStoreEmulator(
+                group, 0, scenario.store().fullSpeedFetches(), scenario.store().maxFetches(), trace);
         HttpCaller storeClient = new HttpCaller(group, store.port());
         for (int i = 0; i < scenario.workers().count(); i++) {
             WorkerModel.Spec spec = scenario.worker(i, false);
-            WorkerStandIn worker = new WorkerStandIn(group, 0, spec, storeClient, trace);
+            WorkerEmulator worker = new WorkerEmulator(group, 0, spec, storeClient, trace);
             workers.add(worker);
             roster.report(new RosterEntry(
                     worker.id(),
@@ -80,7 +80,7 @@
                     spec.cell(),
                     State.UP,
                     spec.cores(),
-                    2 * spec.coldMillis(),
+                    2 * spec.slowStartMillis(),
                     worker.model().boot()));
         }
         FreePorts ports = new FreePorts();
@@ -152,13 +152,13 @@
     /** A call that ended; {@code tookMillis} counts from the time at which it was due. */
     record CompletedCall(long dueMillis, CallClass callClass, String tenant, CallOutcome outcome, long tookMillis) {
         boolean inTime() {
-            return outcome.kind.equals("served") && tookMillis <= callClass.aimMillis();
+            return outcome.kind.equals("served") && tookMillis <= callClass.objectiveMillis();
         }
     }
 
     static Caller caller(WharfhingeClient client) {
         return (function, callClass, tenant, onEnd) -> {
-            Duration deadline = Duration.ofMillis(callClass.giveUpMillis());
+            Duration deadline = Duration.ofMillis(callClass.deadlineMillis());
             Call.Builder call = callClass.effect().equals("idempotent")
                     ? Call.safe(function, callClass.name(), deadline)
                     : Call.once(function, callClass.name(), deadline);
@@ -186,7 +186,8 @@
     /** Counts over all workers: copies, functions that have a copy, and loads begun since the start. */
     int[] copies() {
         Map<String, Integer> all = new LinkedHashMap<>();
-        workers.forEach(w -> w.model().held().forEach((function, count) -> all.merge(function, count, Integer::sum)));
+        workers.forEach(
+                w -> w.model().loadedCopies().forEach((function, count) -> all.merge(function, count, Integer::sum)));
         return new int[] {
             all.values().stream().mapToInt(Integer::intValue).sum(),
             (int) all.values().stream().filter(n -> n > 0).count(),
@@ -203,7 +204,7 @@
     List<CompletedCall> load(Caller caller, String tenant, double seconds, DoubleUnaryOperator callsPerSecond) {
         List<CompletedCall> all = Collections.synchronizedList(new ArrayList<>());
         LongAdder open = new LongAdder();
-        List<CallClass> classes = scenario.offered().classes();
+        List<CallClass> classes = scenario.offeredTraffic().classes();
         Random random = new Random(scenario.seed());
         long startNanos = System.nanoTime();
         double atSeconds = 0;
@@ -215,7 +216,7 @@
             CallClass callClass = random.nextDouble() < classes.get(0).share() ? classes.get(0) : classes.get(1);
             String function = "f"
                     + (int) (Math.pow(random.nextDouble(), 2)
-                            * scenario.offered().functions());
+                            * scenario.offeredTraffic().functions());
             long dueMillis = (long) (atSeconds * 1000);
             open.increment();
             caller.call(function, callClass, tenant, outcome -> {
@@ -233,8 +234,8 @@
 
     private CallCounts load(String library, double seconds) {
         WharfhingeClient client = client(library);
-        List<CompletedCall> all =
-                load(caller(client), null, seconds, s -> scenario.offered().perS() / 2);
+        List<CompletedCall> all = load(
+                caller(client), null, seconds, s -> scenario.offeredTraffic().callsPerSecond() / 2);
         Map<String, Long> byKind = new LinkedHashMap<>();
         all.forEach(e -> byKind.merge(e.outcome.kind, 1L, Long::sum));
         try {
@@ -252,7 +253,7 @@
     @Override
     public void close() throws InterruptedException {
         GatewayProcess.stopAll(gateways);
-        workers.forEach(WorkerStandIn::close);
+        workers.forEach(WorkerEmulator::close);
         roster.close();
         store.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(2000);
--- a/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Parameters;
 import wharfhinge.app.Program;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.judge.Judge;
-import wharfhinge.standin.judge.MemoryJudge;
+import wharfhinge.standin.judge.MemoryAccountingVerifier;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /** The command {@code drill}: fault injection tests over real gateway processes, which the trace verifier checks. */
 @Command(
@@ -209,8 +209,8 @@
                 + scenario.gateways() + " gateways, " + scenario.workers().count() + " workers, " + scenario.seconds()
                 + " s; files in "
                 + folder);
-        Judge.Verdict verdict;
-        MemoryJudge memoryJudge;
+        TraceVerifier.VerificationResult verdict;
+        MemoryAccountingVerifier memoryJudge;
         try (DrillRun drillRun = new DrillRun(scenario, mutant, folder, capture)) {
             verdict = drillRun.run();
             memoryJudge = drillRun.memoryJudge();
@@ -219,12 +219,12 @@
                         + drillRun.unsupportedFaults());
             }
         }
-        Judge.report(verdict).forEach(System.out::println);
+        TraceVerifier.report(verdict).forEach(System.out::println);
         if (memoryJudge != null) {
             memoryJudge.faults().stream().limit(5).forEach(System.out::println);
             System.out.println(memoryJudge.summary());
         }
-        return verdict.kept() == 5
+        return verdict.rulesKept() == 5
                         && (memoryJudge == null || memoryJudge.faults().isEmpty())
                 ? Program.OK
                 : Program.FAILURE;
@@ -284,7 +284,7 @@
         scenario.load(load);
         if (name.equals("storm")) {
             scenario.memoryMb(
-                    memory.copies * scenario.offered().classes().get(0).memoryMb());
+                    memory.copies * scenario.offeredTraffic().classes().get(0).memoryMb());
             scenario.loadsOnCall(loadsOnCall);
             scenario.gateways(gateways == null ? scenario.gateways() : gateways);
             return new StormDrill(scenario, peak).run(folder) ? Program.OK : Program.FAILURE;
@@ -322,19 +322,19 @@
         Scenario scenario = Scenarios.load(file, "chains");
         scenario.load(loadFactor);
         if (singlesOnly) { // keeps the rate of single calls of the run with chains
-            scenario.load(1 - scenario.offered().chainShare());
+            scenario.load(1 - scenario.offeredTraffic().chainShare());
             scenario.chainShare(0);
         }
         scenario.seconds(seconds == null ? scenario.seconds() : seconds);
         try (DrillRun drillRun = new DrillRun(scenario, variant, Files.createTempDirectory("wharfhinge-drill"))) {
-            Judge.Verdict verdict = drillRun.run();
+            TraceVerifier.VerificationResult verdict = drillRun.run();
             Map<String, String> figures = verdict.figures();
             Map<String, Long> gatewayMetrics = drillRun.gatewayMetrics();
             System.out.printf(
                     "| %s | %s | %d of 5 | %s | %s | %s | %s | %d, %d | %s |%n",
                     loadFactor,
                     label,
-                    verdict.kept(),
+                    verdict.rulesKept(),
                     figures.get("chains"),
                     figures.get("chains in time"),
                     figures.get("work done ms"),
@@ -356,19 +356,19 @@
             for (String faultText : faultTexts.equals("calm") ? new String[0] : faultTexts.split(";")) {
                 scenario.troubles().add(parseFault(faultText));
             }
-            Judge.Verdict verdict;
+            TraceVerifier.VerificationResult verdict;
             try (DrillRun drillRun = new DrillRun(scenario, mutant, Files.createTempDirectory("wharfhinge-drill"))) {
                 verdict = drillRun.run();
             }
-            failedRuns += verdict.kept() == 5 ? 0 : 1;
+            failedRuns += verdict.rulesKept() == 5 ? 0 : 1;
             Map<String, String> figures = verdict.figures();
-            System.out.println("| " + faultTexts.replace(";", " and ") + " | " + verdict.kept() + " of 5 | "
+            System.out.println("| " + faultTexts.replace(";", " and ") + " | " + verdict.rulesKept() + " of 5 | "
                     + figures.get("in time")
                     + " | " + figures.get("late") + " | " + figures.get("refusals") + " | " + figures.get("failures")
                     + " | "
                     + figures.get("loads per call") + " |");
-            if (verdict.kept() < 5) {
-                Judge.report(verdict).forEach(System.err::println);
+            if (verdict.rulesKept() < 5) {
+                TraceVerifier.report(verdict).forEach(System.err::println);
             }
         }
         System.out.println(
@@ -376,12 +376,12 @@
         return failedRuns == 0 ? Program.OK : Program.FAILURE;
     }
 
-    private static Scenario.Trouble parseFault(String text) {
+    private static Scenario.InjectedFault parseFault(String text) {
         String[] fields = text.split(",");
         double[] figures = new double[5];
         for (int i = 1; i < fields.length; i++) {
             figures[i - 1] = Double.parseDouble(fields[i]);
         }
-        return new Scenario.Trouble(fields[0], figures[0], figures[1], figures[2], figures[3], figures[4]);
+        return new Scenario.InjectedFault(fields[0], figures[0], figures[1], figures[2], figures[3], figures[4]);
     }
 }
--- a/app/src/main/java/wharfhinge/app/drill/DrillRun.java
+++ b/app/src/main/java/wharfhinge/app/drill/DrillRun.java
@@ -17,19 +17,19 @@
 import java.util.concurrent.TimeUnit;
 import wharfhinge.protocol.RosterEntry;
 import wharfhinge.protocol.RosterEntry.State;
+import wharfhinge.standin.EndpointServiceEmulator;
 import wharfhinge.standin.HttpCaller;
 import wharfhinge.standin.LoadClients;
-import wharfhinge.standin.Net;
-import wharfhinge.standin.RosterStandIn;
+import wharfhinge.standin.LoopbackServers;
+import wharfhinge.standin.PackageStoreEmulator;
+import wharfhinge.standin.RecorderStallWatch;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.Scenario.Trouble;
-import wharfhinge.standin.StandstillWatch;
-import wharfhinge.standin.StoreStandIn;
+import wharfhinge.standin.Scenario.InjectedFault;
 import wharfhinge.standin.Trace;
+import wharfhinge.standin.WorkerEmulator;
 import wharfhinge.standin.WorkerModel;
-import wharfhinge.standin.WorkerStandIn;
-import wharfhinge.standin.judge.Judge;
-import wharfhinge.standin.judge.MemoryJudge;
+import wharfhinge.standin.judge.MemoryAccountingVerifier;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /**
  * Runs a scenario with gateways, and real workers, in processes of their own and everything else in this one. The trace verifier then
@@ -39,16 +39,16 @@
     private final Scenario scenario;
     private final Path folder;
     private final Trace trace = new Trace(System::nanoTime);
-    private final EventLoopGroup group = Net.group(4);
+    private final EventLoopGroup group = LoopbackServers.group(4);
     private final Random random;
     private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(8);
     private final List<DrillWorker> workers = new ArrayList<>();
     private final List<GatewayProcess> gateways = new ArrayList<>();
-    private final RosterStandIn roster;
-    private final StoreStandIn store;
+    private final EndpointServiceEmulator roster;
+    private final PackageStoreEmulator store;
     private final WorkerProcessFleet workerProcesses;
     private final List<String> unsupportedFaults = new ArrayList<>();
-    private MemoryJudge memoryJudge;
+    private MemoryAccountingVerifier memoryJudge;
     private LoadClients clients;
 
     DrillRun(Scenario scenario, Mutant mutant, Path folder) throws IOException, InterruptedException {
@@ -60,17 +60,17 @@
         this.scenario = scenario;
         this.folder = folder;
         this.random = new Random(scenario.seed());
-        roster = new RosterStandIn(group, 0, 0, trace);
-        store = new StoreStandIn(
-                group, 0, scenario.store().fullPace(), scenario.store().most(), trace);
+        roster = new EndpointServiceEmulator(group, 0, 0, trace);
+        store = new PackageStoreEmulator(
+                group, 0, scenario.store().fullSpeedFetches(), scenario.store().maxFetches(), trace);
         workerProcesses = scenario.workers().real() ? new WorkerProcessFleet(group, scenario, folder, trace) : null;
         if (workerProcesses != null) {
             workers.addAll(workerProcesses.start());
         } else {
             HttpCaller storeClient = new HttpCaller(group, store.port());
             for (int i = 0; i < scenario.workers().count(); i++) {
-                workers.add(
-                        new EmulatedWorker(new WorkerStandIn(group, 0, scenario.worker(i, false), storeClient, trace)));
+                workers.add(new EmulatedWorker(
+                        new WorkerEmulator(group, 0, scenario.worker(i, false), storeClient, trace)));
             }
         }
         for (int i = 0; i < workers.size(); i++) {
@@ -85,24 +85,24 @@
     }
 
     /** Runs the scenario to its end and checks the rules on its trace. */
-    Judge.Verdict run() throws IOException, InterruptedException {
+    TraceVerifier.VerificationResult run() throws IOException, InterruptedException {
         GatewayProcess.startAll(gateways);
         Thread.sleep(500);
-        roster.lag(scenario.roster().lagMillis());
+        roster.setLagMillis(scenario.roster().lagMillis());
         Map<String, Integer> ports = new LinkedHashMap<>();
         gateways.forEach(gateway -> ports.put(gateway.name(), gateway.port()));
-        clients = new LoadClients(group, ports, scenario.offered(), scenario.seed(), trace);
+        clients = new LoadClients(group, ports, scenario.offeredTraffic(), scenario.seed(), trace);
         scenario.troubles().forEach(this::plan);
         MemorySampler memorySampler =
                 workerProcesses == null ? null : new MemorySampler(group, workerProcesses.processes());
-        StandstillWatch standstillWatch = new StandstillWatch(group, trace);
+        RecorderStallWatch standstillWatch = new RecorderStallWatch(group, trace);
         clients.start(scenario.seconds());
         Thread.sleep((long) (scenario.seconds() * 1000));
-        long maxGiveUpMillis = scenario.offered().classes().stream()
-                .mapToLong(LoadClients.CallClass::giveUpMillis)
+        long maxDeadlineMillis = scenario.offeredTraffic().classes().stream()
+                .mapToLong(LoadClients.CallClass::deadlineMillis)
                 .max()
                 .orElse(0);
-        for (long waitedMillis = 0; clients.open() > 0 && waitedMillis < maxGiveUpMillis + 500; waitedMillis += 50) {
+        for (long waitedMillis = 0; clients.open() > 0 && waitedMillis < maxDeadlineMillis + 500; waitedMillis += 50) {
             Thread.sleep(50);
         }
         scheduler.shutdownNow();
@@ -112,18 +112,18 @@
             memoryJudge = memorySampler.stop();
             workerProcesses.stop();
             for (WorkerProcess worker : workerProcesses.processes()) {
-                trace.take(worker.events());
+                trace.addAll(worker.events());
             }
         }
         for (GatewayProcess gateway : gateways) {
-            trace.take(gateway.processorWaitLines());
+            trace.addAll(gateway.processorWaitLines());
         }
         trace.write(folder.resolve("trace.tsv"));
-        return Judge.judge(scenario.judged(), trace.lines());
+        return TraceVerifier.verify(scenario.verifierRules(), trace.lines());
     }
 
     /** The check of the memory accounting of the workers, or null if the workers are emulated. */
-    MemoryJudge memoryJudge() {
+    MemoryAccountingVerifier memoryJudge() {
         return memoryJudge;
     }
 
@@ -151,7 +151,7 @@
     private void reportState(int workerIndex, State state, boolean justStarted) {
         DrillWorker worker = workers.get(workerIndex);
         WorkerModel.Spec spec = scenario.worker(workerIndex, false);
-        long ageMillis = justStarted ? 0 : 2 * spec.coldMillis();
+        long ageMillis = justStarted ? 0 : 2 * spec.slowStartMillis();
         roster.report(new RosterEntry(
                 worker.id(),
                 spec.zone(),
@@ -199,13 +199,13 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    private void scheduleSpan(Trouble fault, Action begin, Action end) {
+    private void scheduleSpan(InjectedFault fault, Action begin, Action end) {
         schedule(fault.at(), begin);
         schedule(fault.at() + fault.length(), end);
     }
 
     /** Draws the workers that a fault affects, by the seed of the scenario. */
-    private List<Integer> drawWorkers(Trouble fault) {
+    private List<Integer> drawWorkers(InjectedFault fault) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < workers.size(); i++) {
             all.add(i);
@@ -214,7 +214,7 @@
         return all.subList(0, Math.min(all.size(), (int) Math.ceil(fault.part() * all.size())));
     }
 
-    private void plan(Trouble fault) {
+    private void plan(InjectedFault fault) {
         List<DrillWorker> affected =
                 drawWorkers(fault).stream().map(workers::get).toList();
         if (workerProcesses != null && !workers.get(0).supports(fault.name())) {
@@ -257,14 +257,16 @@
             case "scan" -> scheduleSpan(fault, () -> clients.scan(fault.size()), () -> clients.scan(0));
             case "heavy_tail" -> scheduleSpan(
                     fault, () -> clients.heavy(fault.part(), fault.size()), () -> clients.heavy(0, 1));
-            case "give_up" -> scheduleSpan(fault, () -> clients.leave(fault.size()), () -> clients.leave(0));
-            case "shift" -> schedule(fault.at(), () -> clients.shift(fault.size()));
+            case "give_up" -> scheduleSpan(
+                    fault, () -> clients.cancelEarly(fault.size()), () -> clients.cancelEarly(0));
+            case "shift" -> schedule(fault.at(), () -> clients.preferFirstGateway(fault.size()));
             case "discovery_stale" -> scheduleSpan(
                     fault,
-                    () -> roster.lag(scenario.roster().lagMillis() + (long) (fault.size() * 1000)),
-                    () -> roster.lag(scenario.roster().lagMillis()));
-            case "roster_lost" -> scheduleSpan(fault, () -> roster.lost(true), () -> roster.lost(false));
-            case "roster_silent" -> scheduleSpan(fault, () -> roster.mute(true), () -> roster.mute(false));
+                    () -> roster.setLagMillis(scenario.roster().lagMillis() + (long) (fault.size() * 1000)),
+                    () -> roster.setLagMillis(scenario.roster().lagMillis()));
+            case "roster_lost" -> scheduleSpan(
+                    fault, () -> roster.setUnreachable(true), () -> roster.setUnreachable(false));
+            case "roster_silent" -> scheduleSpan(fault, () -> roster.silence(true), () -> roster.silence(false));
             case "store_shut" -> scheduleSpan(fault, () -> setStoreShut(true), () -> setStoreShut(false));
             case "drain" -> drawWorkers(fault).forEach(i -> drain(fault, i));
             case "restart" -> drawWorkers(fault).forEach(i -> restart(fault.at(), fault.length(), i));
@@ -276,7 +278,7 @@
         }
     }
 
-    private void onAndOff(Trouble fault, Toggle toggle) {
+    private void onAndOff(InjectedFault fault, Toggle toggle) {
         boolean on = true;
         for (double offsetSeconds = 0; offsetSeconds < fault.length(); offsetSeconds += fault.extra()) {
             boolean value = on;
@@ -290,11 +292,11 @@
         if (workerProcesses != null) {
             workerProcesses.shut(shut);
         } else {
-            store.shut(shut);
+            store.setUnavailable(shut);
         }
     }
 
-    private void drain(Trouble fault, int workerIndex) {
+    private void drain(InjectedFault fault, int workerIndex) {
         schedule(fault.at(), () -> reportState(workerIndex, State.DRAINING, false));
         restart(fault.at() + fault.length(), fault.extra(), workerIndex);
     }
@@ -310,7 +312,7 @@
         });
     }
 
-    private void restartGateways(Trouble fault) {
+    private void restartGateways(InjectedFault fault) {
         int index = 0;
         for (GatewayProcess gateway : gateways.subList(0, (int) Math.ceil(fault.part() * gateways.size()))) {
             schedule(fault.at() + index++ * fault.length(), () -> {
--- a/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
+++ b/app/src/main/java/wharfhinge/app/drill/GatewaySettings.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import wharfhinge.standin.LoadClients;
 import wharfhinge.standin.Scenario;
-import wharfhinge.standin.judge.Judge;
+import wharfhinge.standin.judge.TraceVerifier;
 
 /** Writes the settings file of a gateway of a scenario. */
 final class GatewaySettings {
@@ -15,18 +15,18 @@
 
     static Path write(Path folder, Scenario scenario, int number, int port, int rosterPort, boolean capture)
             throws IOException {
-        Judge.Rules rules = scenario.judged();
+        TraceVerifier.Rules rules = scenario.verifierRules();
         StringBuilder classes = new StringBuilder();
-        for (LoadClients.CallClass callClass : scenario.offered().classes()) {
+        for (LoadClients.CallClass callClass : scenario.offeredTraffic().classes()) {
             classes.append(String.format(
                     "    <class name=\"%s\" effect=\"%s\" aim-ms=\"%d\" give-up-ms=\"%d\" " + "late-worth=\"0.2\"/>%n",
-                    callClass.name(), callClass.effect(), callClass.aimMillis(), callClass.giveUpMillis()));
+                    callClass.name(), callClass.effect(), callClass.objectiveMillis(), callClass.deadlineMillis()));
         }
-        String loadQuota = rules.rationMillis() == 0
+        String loadQuota = rules.quotaWindowMillis() == 0
                 ? ""
                 : String.format(
                         "<ration period-ms=\"%d\" anyway=\"%s\" ratio=\"%s\"/>",
-                        rules.rationMillis(), rules.rationAnyway(), rules.rationRatio());
+                        rules.quotaWindowMillis(), rules.quotaBase(), rules.quotaPerCall());
         String settings = String.format(
                 """
             <wharfhinge xmlns="urn:wharfhinge:settings:1">
@@ -55,22 +55,22 @@
                 port,
                 Math.min(
                         MAX_RETRY_AFTER_MS,
-                        scenario.offered().classes().stream()
-                                .mapToLong(LoadClients.CallClass::giveUpMillis)
+                        scenario.offeredTraffic().classes().stream()
+                                .mapToLong(LoadClients.CallClass::deadlineMillis)
                                 .max()
                                 .orElse(MAX_RETRY_AFTER_MS)),
                 scenario.workers().reports(),
-                scenario.secondCopies(),
+                scenario.concurrentAttempts(),
                 scenario.workers().memoryMb(),
                 scenario.workers().notLoaded(),
                 scenario.workers().keepMillis(),
                 loadQuota,
                 classes,
                 rules.stopSendingMillis(),
-                rules.coldFrom(),
-                rules.coldMillis(),
+                rules.slowStartInitialShare(),
+                rules.slowStartMillis(),
                 rules.overloadFactor(),
-                rules.tipMillis(),
+                rules.overloadWindowMillis(),
                 rules.graceMillis(),
                 rosterPort,
                 number,
--- a/stand-ins/src/main/java/wharfhinge/standin/H2Caller.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/Http2Caller.java
@@ -31,7 +31,7 @@
 import wharfhinge.protocol.WorkerProtocol;
 
 /** One HTTP/2 connection with prior knowledge, such as a gateway keeps to a worker. Thread-safe. */
-public final class H2Caller implements AutoCloseable {
+public final class Http2Caller implements AutoCloseable {
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private final Channel channel;
     private final CompletableFuture<Void> goAway = new CompletableFuture<>();
@@ -45,7 +45,7 @@
     }
 
     /** A request in progress. */
-    public static final class Open {
+    public static final class Exchange {
         private final CompletableFuture<Answer> answer = new CompletableFuture<>();
         private volatile Http2StreamChannel stream;
 
@@ -61,7 +61,7 @@
     }
 
     /** Connects to a port on loopback; throws if nothing listens there. */
-    public H2Caller(EventLoopGroup group, int port) {
+    public Http2Caller(EventLoopGroup group, int port) {
         channel = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
@@ -109,8 +109,8 @@
     }
 
     /** Sends a request. {@code headers} alternates names and values. */
-    public Open open(HttpMethod method, String path, byte[] body, String... headers) {
-        Open exchange = new Open();
+    public Exchange open(HttpMethod method, String path, byte[] body, String... headers) {
+        Exchange exchange = new Exchange();
         CompletableFuture<Answer> answer = exchange.answer;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(body));
--- a/stand-ins/src/main/java/wharfhinge/standin/judge/Judge.java
+++ b/stand-ins/src/main/java/wharfhinge/standin/judge/TraceVerifier.java
@@ -16,7 +16,7 @@
  * sockets, and nothing else. Its time tolerance covers only the delay that a loopback socket and a busy machine may add between two
  * recorders.
  */
-public final class Judge {
+public final class TraceVerifier {
     private static final long NANOS_PER_MS = 1_000_000L;
     private static final long TOLERANCE_NANOS = StallIntervals.TOLERANCE_NANOS;
     private static final int MAX_EXAMPLES = 5;
@@ -28,15 +28,15 @@
      *
      * @param graceMillis          tolerance after a deadline
      * @param stopSendingMillis    time after an endpoint update until which a gateway may still send to a worker that leaves
-     * @param coldFrom             share of full capacity at the beginning of the slow start
-     * @param coldMillis           length of the slow start
+     * @param slowStartInitialShare             share of full capacity at the beginning of the slow start
+     * @param slowStartMillis           length of the slow start
      * @param overloadFactor       multiple of its current capacity that may be sent to a worker in slow start
-     * @param tipMillis            window over which that work is summed
-     * @param rationMillis         window of the load quota; 0 if there is no quota
-     * @param rationAnyway         load orders that are allowed in a window without any calls
-     * @param rationRatio          further load orders that are allowed for each call in the window
+     * @param overloadWindowMillis            window over which that work is summed
+     * @param quotaWindowMillis         window of the load quota; 0 if there is no quota
+     * @param quotaBase         load orders that are allowed in a window without any calls
+     * @param quotaPerCall          further load orders that are allowed for each call in the window
      * @param connectTimeoutMillis time for which a load order may wait for a connection before it is sent
-     * @param secondCopies         whether a call may have two attempts in flight at once
+     * @param concurrentAttempts         whether a call may have two attempts in flight at once
      * @param effects              effect of each class: idempotent, deduplicated or at-most-once
      * @param objectiveMillis      latency objective of each class
      * @param meanWorkMillis       mean work of a call of each class
@@ -44,15 +44,15 @@
     public record Rules(
             long graceMillis,
             long stopSendingMillis,
-            double coldFrom,
-            long coldMillis,
+            double slowStartInitialShare,
+            long slowStartMillis,
             double overloadFactor,
-            long tipMillis,
-            long rationMillis,
-            double rationAnyway,
-            double rationRatio,
+            long overloadWindowMillis,
+            long quotaWindowMillis,
+            double quotaBase,
+            double quotaPerCall,
             long connectTimeoutMillis,
-            boolean secondCopies,
+            boolean concurrentAttempts,
             Map<String, String> effects,
             Map<String, Long> objectiveMillis,
             Map<String, Double> meanWorkMillis) {}
@@ -63,9 +63,9 @@
      * @param broken  violations by number of the rule
      * @param figures statistics of the run by name
      */
-    public record Verdict(Map<Integer, List<String>> broken, Map<String, String> figures) {
+    public record VerificationResult(Map<Integer, List<String>> broken, Map<String, String> figures) {
         /** The number of the five rules that were kept. */
-        public int kept() {
+        public int rulesKept() {
             return 5 - broken.size();
         }
     }
@@ -106,7 +106,7 @@
     private int explainedByStalls;
     private final Map<Integer, List<String>> violations = new TreeMap<>();
 
-    private Judge(Rules rules, List<String> trace) {
+    private TraceVerifier(Rules rules, List<String> trace) {
         this.rules = rules;
         for (String traceLine : trace) {
             String[] parts = traceLine.split("\t");
@@ -121,15 +121,15 @@
     }
 
     /** Verifies a recorded run. */
-    public static Verdict judge(Rules rules, List<String> trace) {
-        Judge judge = new Judge(rules, trace);
+    public static VerificationResult verify(Rules rules, List<String> trace) {
+        TraceVerifier judge = new TraceVerifier(rules, trace);
         judge.read();
         judge.checkAnswers();
         judge.checkEffects();
         judge.checkDrains();
         judge.checkSlowStarts();
         judge.checkLoadQuotas();
-        return new Verdict(judge.violations, judge.figures());
+        return new VerificationResult(judge.violations, judge.figures());
     }
 
     private void addViolation(int rule, String what) {
@@ -268,7 +268,7 @@
             if (refused && unsafeStepRan) {
                 addViolation(2, id + " was called harmless to repeat after a step that must run once");
             }
-            if (!rules.secondCopies) {
+            if (!rules.concurrentAttempts) {
                 for (int i = 1; i < call.received.size(); i++) {
                     Event previous = call.received.get(i - 1);
                     Event end = call.attemptEnds.get(previous.get("attempt"));
@@ -374,20 +374,20 @@
                 sums.put(worker, 0.0);
             } else if (event.word.equals("recv") && starts.get(worker) != null) {
                 Event start = starts.get(worker);
-                double age = (event.at - start.at) / (double) (rules.coldMillis * NANOS_PER_MS);
+                double age = (event.at - start.at) / (double) (rules.slowStartMillis * NANOS_PER_MS);
                 if (age >= 1) {
                     continue;
                 }
                 Deque<Event> window = windows.get(worker);
                 window.add(event);
                 sums.merge(worker, work(event), Double::sum);
-                while (event.at - window.peek().at > rules.tipMillis * NANOS_PER_MS) {
+                while (event.at - window.peek().at > rules.overloadWindowMillis * NANOS_PER_MS) {
                     sums.merge(worker, -work(window.poll()), Double::sum);
                 }
                 double capacity = Double.parseDouble(start.get("cores"))
                         * Double.parseDouble(start.get("speed"))
-                        * (rules.coldFrom + (1 - rules.coldFrom) * age);
-                double limit = 1.25 * rules.overloadFactor * capacity * rules.tipMillis;
+                        * (rules.slowStartInitialShare + (1 - rules.slowStartInitialShare) * age);
+                double limit = 1.25 * rules.overloadFactor * capacity * rules.overloadWindowMillis;
                 double informedWork = window.stream()
                         .filter(e -> {
                             Long at = toldAt.get(e.get("gw") + ' ' + worker + ' ' + start.get("boot"));
@@ -398,7 +398,8 @@
                 if (sums.get(worker) > limit && informedWork >= sums.get(worker) * 2 / 3) {
                     addViolation(
                             4,
-                            worker + " was sent " + Math.round(sums.get(worker)) + " ms of work in " + rules.tipMillis
+                            worker + " was sent " + Math.round(sums.get(worker)) + " ms of work in "
+                                    + rules.overloadWindowMillis
                                     + " ms, " + (event.at - start.at) / NANOS_PER_MS + " ms after its start, where "
                                     + (long) limit
                                     + " tip it");
@@ -429,7 +430,7 @@
 
     /** Rule 5: the load orders of one incarnation of a gateway within any window stay within its load quota. */
     private void checkLoadQuotas() {
-        if (rules.rationMillis == 0) {
+        if (rules.quotaWindowMillis == 0) {
             return;
         }
         Map<String, List<Long>> receiptTimes = new HashMap<>();
@@ -447,7 +448,7 @@
                         : event.number("attempts")
                                 - 1
                                 - call.stepsReceived.stream()
-                                        .filter(Judge::isLaterStep)
+                                        .filter(TraceVerifier::isLaterStep)
                                         .count();
                 for (long i = 0; i < unreceivedSteps; i++) { // steps that started but did not reach a worker
                     receiptTimes
@@ -468,18 +469,18 @@
             List<Long> gatewayReceiptTimes = receiptTimes.getOrDefault(gateway, List.of());
             for (int i = 0; i < times.size(); i++) {
                 long at = times.get(i);
-                long from = at - rules.rationMillis * NANOS_PER_MS;
+                long from = at - rules.quotaWindowMillis * NANOS_PER_MS;
                 long count = times.subList(0, i + 1).stream()
                         .filter(t -> t > from + TOLERANCE_NANOS + rules.connectTimeoutMillis * NANOS_PER_MS)
                         .count();
                 long calls = gatewayReceiptTimes.stream()
                         .filter(t -> t > from - TOLERANCE_NANOS && t <= at + TOLERANCE_NANOS)
                         .count();
-                double quota = rules.rationAnyway + rules.rationRatio * calls;
+                double quota = rules.quotaBase + rules.quotaPerCall * calls;
                 if (count > quota) {
                     addViolation(
                             5,
-                            gateway + " gave " + count + " orders in " + rules.rationMillis + " ms with " + calls
+                            gateway + " gave " + count + " orders in " + rules.quotaWindowMillis + " ms with " + calls
                                     + " calls, where " + quota + " are allowed");
                 }
             }
@@ -630,14 +631,14 @@
     }
 
     /** Formats the result as lines of text; the last line has the number of rules kept. */
-    public static List<String> report(Verdict verdict) {
+    public static List<String> report(VerificationResult verdict) {
         List<String> report = new ArrayList<>();
         verdict.figures.forEach((name, value) -> report.add(String.format("  %-16s %s", name, value)));
         verdict.broken.forEach((rule, what) -> {
             report.add("rule " + rule + " broken " + what.size() + " times:");
             what.stream().limit(MAX_EXAMPLES).forEach(w -> report.add("  " + w));
         });
-        report.add("rules kept: " + verdict.kept() + " of 5");
+        report.add("rules kept: " + verdict.rulesKept() + " of 5");
         return report;
     }
 }
