--- a/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/AdmissionController.java
@@ -14,9 +14,9 @@
  * nothing. Capacity that one tenant leaves unused is available to the others. A tenant that is the only active one is never
  * rejected for exceeding its share: in that case load shedding is left to the policy.
  *
- * <p>No call is counted both here and by the policy: a call rejected here never reaches the policy, and a rejection by the policy
- * gives no token back. A chain counts as one call; its steps are not checked. Tenants that the settings do not name share one
- * entry. No I/O, clock or thread; not thread-safe.
+ * <p>No call is counted as rejected both here and by the policy: a call rejected here never reaches the policy. A call that the
+ * policy rejects gives no token back. A chain counts as one call; its steps are not checked. Tenants that the settings do not name
+ * share one entry. No I/O, clock or thread; not thread-safe.
  */
 public final class AdmissionController {
     /** Name of the quota entry for calls without a tenant and for tenants that the settings do not name. */
@@ -59,7 +59,7 @@
     private static final Verdict ADMITTED = new Verdict(Decision.ADMITTED, 0);
     /** A tenant whose average of pending calls is at most this fraction of its share may exceed the share briefly. */
     private static final double STEADY_FRACTION = 0.9;
-    /** By how many standard deviations of Poisson arrivals such a tenant may exceed its share. */
+    /** Margin above the share of a tenant whose average is low, in standard deviations of Poisson arrivals. */
     private static final double BURST_DEVIATIONS = 3;
     /** Rough time until some of the pending calls have ended. */
     private static final long RETRY_AFTER_NANOS = 100_000_000L;
@@ -99,7 +99,7 @@
             return reject(tenant, Decision.OVER_SHARE, RETRY_AFTER_NANOS);
         }
         OptionalLong nanosUntilToken =
-                tenant.acquireToken(nowNanos); // last, so that a call rejected otherwise takes no token
+                tenant.acquireToken(nowNanos); // last, so that a call rejected for another reason takes no token
         if (nanosUntilToken.isPresent()) {
             return reject(tenant, Decision.OVER_RATE, nanosUntilToken.getAsLong());
         }
--- a/decisions/src/main/java/wharfhinge/decisions/admission/FleetConcurrencyLimit.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/FleetConcurrencyLimit.java
@@ -22,6 +22,7 @@
     private final double fullAtObjectiveShare;
     private double limit = INITIAL_LIMIT;
     private boolean hasBeenOverloaded;
+    /** Initially long ago; half of the minimum, so that the time since then does not overflow. */
     private long lastDecreaseNanos = Long.MIN_VALUE / 2;
 
     /**
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Raises the limit, quickly until the first overload. While less than half of the limit is in use, a quick answer says nothing
-     * about it.
+     * Raises the limit: by 1 for each quick answer until the first overload, after that by about 1 for as many quick
+     * answers as the limit. While less than half of the limit is in use, a quick answer says nothing about it.
      */
     private void onQuickAnswer(int pending) {
         if (pending >= limit / 2) {
--- a/decisions/src/main/java/wharfhinge/decisions/admission/TenantAdmission.java
+++ b/decisions/src/main/java/wharfhinge/decisions/admission/TenantAdmission.java
@@ -14,7 +14,9 @@
     private final TenantQuota quota;
     private double tokens;
     private long refilledAtNanos;
+    /** Initially long ago; half of the minimum, so that the time since then does not overflow. */
     private long lastCallNanos = Long.MIN_VALUE / 2;
+
     private int pending;
     private double meanPending;
     private long meanUpdatedAtNanos;
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ActiveChain.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ActiveChain.java
@@ -68,7 +68,7 @@
         return totalTimeNanos;
     }
 
-    /** High estimate of the time of a step if nothing is known about its function. */
+    /** High estimate of a step's time if nothing is known about it: an equal part of the chain's time for each step of the longest path. */
     long defaultStepNanos() {
         return defaultStepNanos;
     }
@@ -153,7 +153,7 @@
         };
     }
 
-    /** Share of the steps, 0 to 1, on which work was spent. */
+    /** Share of the steps, 0 to 1, on which work was spent: those that are running, are served or may have run. */
     double spentWorkShare() {
         long spent = Arrays.stream(states)
                 .filter(state -> state != StepState.NOT_STARTED && state != StepState.REFUSED)
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainFeasibility.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainFeasibility.java
@@ -27,7 +27,9 @@
      */
     private static final double EXTRA_PROBABILITY_UNDER_PRESSURE = 0.2;
 
+    /** Share of the steps, 0 to 1, that are rejected or lost, from which the whole extra probability is required. */
     private static final double FULL_PRESSURE = 0.1;
+
     private static final double SMOOTHING_FACTOR = 0.01; // averages over about 100 steps
     private static final String TOO_MANY_FOR_FLEET = "too-many-for-the-fleet";
     private static final String TOO_LITTLE_TIME = "too-little-time";
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainResult.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainResult.java
@@ -13,9 +13,9 @@
     public enum Kind {
         /** All steps were served. */
         SERVED,
-        /** The chain was not served, and no step that is not idempotent may have run: a retry is safe. */
+        /** The chain was not served. Every step that may have run is idempotent, so a retry is safe. */
         REFUSED,
-        /** The chain was not served, and steps that are not idempotent may have run; the step states tell which. */
+        /** The chain was not served, and at least one step that is not idempotent may have run; the step states tell which. */
         FAILED
     }
 
@@ -23,7 +23,7 @@
     public enum StepState {
         /** The step was never sent. */
         NOT_STARTED,
-        /** The call of the step is in flight. */
+        /** The call of the step is in flight. Does not occur in a final answer. */
         RUNNING,
         /** The step ran and was answered. */
         SERVED,
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainScheduler.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainScheduler.java
@@ -72,19 +72,19 @@
         CHAINS,
         /** Chains whose steps were all served. */
         SERVED,
-        /** Chains not served that are safe to retry: no step that is not idempotent may have run. */
+        /** Chains not served that are safe to retry, since every step that may have run is idempotent. */
         REFUSED,
-        /** Chains not served in which steps that are not idempotent may have run. */
+        /** Chains not served in which at least one step that is not idempotent may have run. */
         FAILED,
         /** Chains cancelled by their client. */
         LEFT,
-        /** Chains rejected because too many were open. */
+        /** Chains rejected because {@link ChainSettings#maxChains} chains were open. */
         REFUSED_FULL,
-        /** Chains rejected as infeasible when they arrived. */
+        /** Chains rejected on arrival: unlikely to meet their deadline, or too many open for the fleet. */
         REFUSED_AT_START,
-        /** Chains rejected as infeasible before a later step. */
+        /** Chains rejected as unlikely to meet their deadline at a check after the one on arrival. */
         REFUSED_LATER,
-        /** Chains found infeasible but let through as samples. */
+        /** Chains let through as samples in place of a rejection on arrival or later. */
         LET_THROUGH,
         /** Samples that were served, so that their rejection would have been wrong. */
         LET_THROUGH_SERVED,
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainSettings.java
@@ -27,7 +27,7 @@
     public enum Clock {
         /** From the chain's deadline, which all its steps share. */
         SHARED_DEADLINE,
-        /** From a separate deadline of the same length for each step; only for comparison in experiments and as a mutant in tests. */
+        /** From a separate deadline of the same length for each step; only for experiments and as a faulty variant in tests. */
         DEADLINE_PER_STEP
     }
 }
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ChainTimeEstimator.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ChainTimeEstimator.java
@@ -30,7 +30,10 @@
         return fleet.isBelievedWarm(step.function());
     }
 
-    /** Time that a step may take: the time left in the chain, less the minimum that the later steps need. */
+    /**
+     * Time that a step may take: the time left in the chain, less the reserve for delivering the answer and the minimum that the later
+     * steps need.
+     */
     long stepBudgetNanos(long nowNanos, ActiveChain chain, int step) {
         if (settings.clock() == Clock.DEADLINE_PER_STEP) {
             return chain.totalTimeNanos() - settings.reserveNanos();
@@ -61,7 +64,7 @@
                 .probabilityWithin(chain.deadlineNanos() - settings.reserveNanos() - nowNanos);
     }
 
-    /** Whether requesting the load of a step's function now makes it more likely that the chain is in time. */
+    /** Whether the chain may miss its deadline and requesting the load of a step's function now makes that less likely. */
     boolean isPrefetchWorthwhile(long nowNanos, ActiveChain chain, int step) {
         LatencyQuantiles rest = longestPath(nowNanos, chain);
         LatencyQuantiles uncertain = estimate(chain, step, false);
--- a/decisions/src/main/java/wharfhinge/decisions/chain/LatencyHistogram.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/LatencyHistogram.java
@@ -4,12 +4,15 @@
 import org.HdrHistogram.IntCountsHistogram;
 
 /**
- * Recent latencies of one kind. Only the samples of the current and the previous time window are kept, each in its own histogram. The
- * quantiles are recomputed every few samples, which keeps reading them cheap.
+ * Recent latencies of one kind. Only the samples of the current and the previous window are kept, each in its own histogram. A window
+ * ends when it has enough samples, or with the first sample after its time is over. The quantiles are recomputed every few samples,
+ * which keeps reading them cheap.
  */
 final class LatencyHistogram {
     private static final long RESOLUTION_NANOS = 100_000L;
+    /** Highest latency recorded, 60 s, in units of the resolution; longer ones are recorded as this. */
     private static final long MAX_UNITS = 60_000_000_000L / RESOLUTION_NANOS;
+
     private static final int SIGNIFICANT_DIGITS = 1;
     private static final int WINDOW_SAMPLES = 64;
     private static final long WINDOW_NANOS = 20_000_000_000L;
--- a/decisions/src/main/java/wharfhinge/decisions/chain/LatencyQuantiles.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/LatencyQuantiles.java
@@ -25,7 +25,10 @@
                 Math.max(0, low - elapsedNanos), Math.max(0, median - elapsedNanos), Math.max(0, high - elapsedNanos));
     }
 
-    /** Probability, 0 to 1, that the latency is at most {@code nanos}; interpolated linearly between the quantiles. */
+    /**
+     * Probability, 0 to 1, that the latency is at most {@code nanos}: interpolated linearly between 0, the quantiles and twice the high
+     * quantile, where it reaches 1.
+     */
     double probabilityWithin(long nanos) {
         if (nanos <= 0) {
             return high == 0 ? 1 : 0;
--- a/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
+++ b/decisions/src/main/java/wharfhinge/decisions/chain/ServiceTimeEstimates.java
@@ -11,8 +11,11 @@
  * the least recently used functions are dropped first.
  */
 final class ServiceTimeEstimates {
-    private static final double SMOOTHING_FACTOR = 0.05;
-    /** A quantile is taken from the cold starts if their share exceeds the complement of the quantile. */
+    private static final double SMOOTHING_FACTOR = 0.05; // averages over about 20 calls
+    /**
+     * If more than this share of the calls are cold starts, fewer than a tenth are warm, so that the 10th percentile is taken from the
+     * cold starts. The shares for the median and the 90th percentile follow in the same way.
+     */
     private static final double COLD_START_AT_LOW = 0.9;
 
     private static final double COLD_START_AT_MEDIAN = 0.5;
@@ -51,7 +54,11 @@
         }
     }
 
-    /** Estimate for a call of a loaded function: as learned, otherwise from the step's cost, otherwise as for any function. */
+    /**
+     * Estimate for a call of a loaded function: as learned, otherwise from the step's cost, otherwise as for any function.
+     *
+     * @param defaultNanos high estimate if no call of any function has been learned
+     */
     LatencyQuantiles warm(Step step, long defaultNanos) {
         Optional<LatencyQuantiles> learned = learned(warmByFunction, step);
         if (learned.isPresent()) {
@@ -85,7 +92,7 @@
 
     /**
      * Estimate for a call of a function that is not believed to be loaded. Such a call is not always a cold start: other gateways may
-     * keep the function loaded. The recent share of cold starts among such calls decides which estimate is used.
+     * keep the function loaded. The recent share of cold starts among such calls decides for each quantile which estimate is used.
      */
     LatencyQuantiles uncertain(Step step, long defaultNanos) {
         LatencyQuantiles warm = warm(step, defaultNanos);
--- a/decisions/src/main/java/wharfhinge/decisions/copies/Copy.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/Copy.java
@@ -32,7 +32,9 @@
     private final long id;
     private final FunctionState function;
     private long memoryKb;
+    /** Number of calls that the copy can run concurrently; 1 until its package reports it. */
     private int lanes = 1;
+
     private State state = State.QUEUED;
     private boolean retired;
     private Cause cause;
@@ -55,7 +57,7 @@
         return function;
     }
 
-    /** Memory booked for the copy, or to be booked when its load starts. */
+    /** Memory booked for the copy, or to be booked when its load starts, in KiB. */
     long memoryKb() {
         return memoryKb;
     }
@@ -107,7 +109,7 @@
         retired = true;
     }
 
-    /** What the copy is loaded for. A load for an order is retried even if no call waits. */
+    /** What the copy is loaded for. A load that ends for lack of memory is retried for an order even if no call waits. */
     Cause cause() {
         return cause;
     }
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopyScheduler.java
@@ -3,15 +3,16 @@
 import java.util.Optional;
 
 /**
- * Schedules the calls and loads of one worker. A call runs on a copy with a free lane, waits for one, starts a load, is answered as
- * a miss, or is rejected; idle copies are evicted when memory is needed. This class handles the events; the state is kept by its
- * collaborators: {@link CallTable} (calls in flight), {@link LoadQueue} (admitted loads), {@link LoadOrders} (orders for copies) and
- * {@link CopyPool} (copies and their memory).
+ * Schedules the calls and loads of one worker. A copy runs one call in each of its lanes at a time. A call runs on a copy with a free
+ * lane, waits for one, starts a load, is answered as a miss, or is rejected; idle copies are evicted when memory is needed. This class
+ * handles the events; the state is kept by its collaborators: {@link CallTable} (calls in flight), {@link LoadQueue} (admitted loads),
+ * {@link LoadOrders} (orders for copies) and {@link CopyPool} (copies and their memory).
  *
  * <p>No I/O, clock or thread: events are passed in with their time in nanoseconds of one monotonic clock, and decisions are carried
  * out by {@link Actions}, which must not call the scheduler. Not thread-safe.
  *
- * <p>Waiting calls, waiting loads and loads in progress are bounded; beyond a bound the answer is {@link Answer#FULL}.
+ * <p>Waiting calls, waiting loads and loads in progress are bounded. A load beyond the bound of loads in progress waits; a call that
+ * can neither wait nor start the load that it needs is answered with {@link Answer#FULL}.
  */
 public final class CopyScheduler {
     /** How a call is answered. */
@@ -20,21 +21,21 @@
         SERVED,
         /** The call ran and failed, or may still be running. */
         ERROR,
-        /** The call did not run: no lane, queue place or memory was available in time. */
+        /** The call did not run: no lane, queue place or memory was available in time, or the worker is draining. */
         FULL,
-        /** The call did not run: no copy is loaded, and only orders start loads. */
+        /** The call did not run: no copy is loaded or being loaded, and only orders start loads. */
         MISS,
         /** The call did not run: the load that it waited for failed. */
         MISS_LOAD_FAILED
     }
 
-    /** Whether a copy was loaded when the call that ran on it arrived. */
+    /** Which copies of its function a call found when it arrived. */
     public enum CopyUse {
-        /** The copy was already loaded. */
+        /** A copy was loaded, and it had a free lane or no load was pending. */
         ALREADY_LOADED,
-        /** The copy was loaded for the call. */
+        /** No copy was loaded or being loaded; the call started a load. */
         COLD_START,
-        /** The load of the copy had been admitted before the call arrived. */
+        /** No lane was free, but a load admitted earlier was pending. */
         AWAITED_LOAD
     }
 
@@ -44,7 +45,7 @@
         SERVED,
         /** Fewer copies than requested could be admitted, and those are ready; or the worker is draining. */
         FULL,
-        /** A load failed. */
+        /** A load failed, or was abandoned for lack of memory. */
         ERROR
     }
 
@@ -68,7 +69,7 @@
         FAILED,
         /** The load failed and its memory cannot be released because code in the copy does not end. */
         FAILED_STUCK,
-        /** The package needs more memory than was booked; {@link CopyScheduler#onMemoryMeasured} reported how much. */
+        /** The package needs more memory than could be booked; {@link CopyScheduler#onMemoryMeasured} reported how much. */
         NEEDS_MORE_MEMORY
     }
 
@@ -86,7 +87,7 @@
         /**
          * Answers a call.
          *
-         * @param copyUse         whether the copy that ran the call was loaded before; null if the call failed or did not run
+         * @param copyUse         which copies the call found on arrival; null if the call failed or did not run
          * @param concurrentCalls other calls of the function that ran or waited on this worker when the call arrived
          */
         void completeCall(long call, Answer answer, CopyUse copyUse, int concurrentCalls);
@@ -94,7 +95,7 @@
         /** Answers an order with the number of copies that are ready. */
         void completeOrder(long order, OrderAnswer answer, int readyCopies);
 
-        /** Unloads an idle copy; {@link CopyScheduler#onCopyUnloaded} or {@link CopyScheduler#onCopyStuck} follows. */
+        /** Unloads a copy that runs no call; {@link CopyScheduler#onCopyUnloaded} or {@link CopyScheduler#onCopyStuck} follows. */
         void unloadCopy(long copy);
 
         /** Called when the graceful shutdown is complete: no call is in flight. */
@@ -180,7 +181,7 @@
         pool.forgetIfUnused(function);
     }
 
-    /** Queues a call and admits a load if its function lacks a copy or may get another. Rejects the call if neither is available. */
+    /** Queues a call; admits a load if its function has no copy or may get another. Rejects it if it has no copy and gets no load. */
     private void enqueueWithLoad(ScheduledCall call, MemoryEstimate hint) {
         FunctionState function = call.function();
         boolean isCold = !function.hasLiveCopy();
@@ -256,7 +257,7 @@
         }
     }
 
-    /** Handles an order for {@code count} copies; 0 only asks. The idle time of the function's idle copies restarts. */
+    /** Handles an order for {@code count} copies; 0 only asks how many are ready. The idle time of the function's idle copies restarts. */
     public void onLoadOrder(long nowNanos, long orderId, String functionName, int count, MemoryEstimate hint) {
         FunctionState function = pool.functionOf(functionName);
         function.restartIdleTimes(nowNanos);
@@ -278,7 +279,7 @@
         });
     }
 
-    /** Unloads a function's idle copies. A copy that runs a call is not idle, nor is one that waiting calls need. */
+    /** Unloads a function's idle copies. Copies that run calls or are still being loaded stay. */
     public void onUnloadOrder(long nowNanos, String functionName) {
         pool.findFunction(functionName).ifPresent(function -> {
             pool.unloadIdleCopies(function);
--- a/decisions/src/main/java/wharfhinge/decisions/copies/CopySettings.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/CopySettings.java
@@ -10,7 +10,8 @@
  * @param maxQueuedLoads     maximum number of loads that wait for their turn or for memory
  * @param idleRetentionNanos how long an idle copy is kept; it is evicted earlier if its memory is needed
  * @param loadsOnCall        whether a call for a function that is not loaded starts its load; otherwise it is a miss
- * @param addsCopiesOnCall   whether a call that finds no free lane starts the load of a further copy; otherwise only orders do
+ * @param addsCopiesOnCall   whether a call that finds no free lane starts the load of a further copy if none is pending; otherwise only
+ *                           orders do; no effect without {@code loadsOnCall}
  */
 public record CopySettings(
         long totalKb,
--- a/decisions/src/main/java/wharfhinge/decisions/copies/EvictionPolicy.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/EvictionPolicy.java
@@ -48,7 +48,11 @@
         return Optional.of(victims.stream().map(IdleCopy::copy).toList());
     }
 
-    /** Drops copies that are not needed to free enough memory from the selection, most recently used first. */
+    /**
+     * Removes copies from the selection, most recently used first, as long as the others still free enough memory.
+     *
+     * @param surplusKb memory in KiB that the selection frees beyond what is needed
+     */
     private static void dropUnneeded(List<IdleCopy> victims, long surplusKb) {
         long remainingKb = surplusKb;
         for (int index = victims.size() - 1; index >= 0; index--) {
--- a/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/LoadQueue.java
@@ -94,6 +94,7 @@
         actions.startLoad(copy.id(), copy.function().name(), copy.memoryKb());
     }
 
+    /** Starts to evict copies until the memory of a load will be free. Returns whether any eviction was started. */
     private boolean evictFor(Copy copy) {
         return pool.evict(copy.memoryKb() - pool.memory().freeKb()).orElse(0) > 0;
     }
@@ -116,7 +117,10 @@
         }
     }
 
-    /** Records what a package needs. Returns false if that much memory is not available beside the waiting loads. */
+    /**
+     * Records what a package needs and books that much memory for the copy. Returns false, with the booking unchanged, if it is not
+     * available beside the waiting loads.
+     */
     boolean onMeasured(Copy copy, MemoryEstimate measured) {
         estimates.learn(copy.function().name(), measured);
         copy.setLanes(measured.lanes());
--- a/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
+++ b/decisions/src/main/java/wharfhinge/decisions/copies/MemoryEstimate.java
@@ -1,7 +1,7 @@
 package wharfhinge.decisions.copies;
 
 /**
- * What one copy of a function needs.
+ * Memory that one copy of a function needs, and the number of its lanes.
  *
  * @param memoryKb memory in KiB; 0 if unknown
  * @param lanes    number of calls that one copy runs concurrently; 0 if unknown
--- a/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
+++ b/decisions/src/main/java/wharfhinge/decisions/watch/WatchBackoff.java
@@ -3,10 +3,10 @@
 import java.util.Random;
 
 /**
- * Exponential backoff with jitter between attempts to open an endpoint list watch. A watch that lasted is reopened without a pause.
- * Otherwise the pause doubles with each attempt up to a maximum, and the actual pause is drawn between half of it and the whole.
- * This limits each process to a few attempts per second if watches break repeatedly or the source is down, and keeps processes whose
- * watches ended together from reconnecting together.
+ * Exponential backoff with jitter between attempts to open an endpoint list watch. A watch that delivered data and lasted a second
+ * or more is reopened without a pause. Otherwise the pause doubles with each attempt up to a maximum, and the actual pause is drawn
+ * between half of it and the whole. This limits each process to a few attempts per second if watches break repeatedly or the source
+ * is down, and keeps processes whose watches ended together from reconnecting together.
  *
  * <p>Deterministic: durations are passed in, and the jitter depends on the seed alone. Not thread-safe.
  */
