--- a/engine/src/main/java/wharfhinge/engine/AccessLog.java
+++ b/engine/src/main/java/wharfhinge/engine/AccessLog.java
@@ -47,6 +47,11 @@
     /** The dispatcher reports a diagnostic. */
     void onDiagnostic(String text);
 
-    /** The dispatcher threw; a new incarnation starts. */
+    /**
+     * The dispatcher threw, or a new incarnation of it could not be created; another incarnation starts.
+     *
+     * @param event      name of the event or timer during which it threw
+     * @param callsEnded calls that got their final answer for this reason
+     */
     void onDispatcherRestarted(String event, Throwable cause, int callsEnded);
 }
--- a/engine/src/main/java/wharfhinge/engine/ChainCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ChainCall.java
@@ -32,7 +32,7 @@
     /** The name of the client's input among a step's inputs. */
     public static final String CLIENT = "client";
 
-    /** A copy of this chain with another tenant; null for none. */
+    /** A copy of this chain with another tenant; {@code newTenant} is null for a chain without a tenant. */
     public ChainCall withTenant(String newTenant) {
         return new ChainCall(
                 plan, heads, inputs, input, id, newTenant, key, digest, deadlineNanos, receivedAt, joiner, listener);
@@ -41,11 +41,17 @@
     /** Combines several named inputs of a step into one. */
     @FunctionalInterface
     public interface Joiner {
-        /** Joins the parts; {@code names} has a name for each of them. */
+        /** Joins the parts; {@code names} holds the name of each part, in the same order. */
         byte[] join(List<String> names, List<byte[]> parts);
     }
 
-    /** The answer of one step; {@code body} is null unless it was served. */
+    /**
+     * The answer of one served step.
+     *
+     * @param worker    null if the answer was kept from an earlier call under the same key
+     * @param tookNanos 0 if the answer was kept from an earlier call
+     * @param loaded    whether the worker had to load the function first
+     */
     public record StepAnswer(String worker, long tookNanos, boolean loaded, byte[] body, String contentType) {}
 
     /** Receives the chain's one final answer, on the engine's thread. */
--- a/engine/src/main/java/wharfhinge/engine/ClientCall.java
+++ b/engine/src/main/java/wharfhinge/engine/ClientCall.java
@@ -10,7 +10,7 @@
  * @param head            the validated call head
  * @param deadlineNanos   how long the client waits, counted from {@code receivedAt}
  * @param receivedAt      {@link System#nanoTime} when its last byte was received
- * @param body            kept for a retry; the engine owns it once the call is accepted
+ * @param body            the request body, kept for retries until the call is answered; owned by the engine once the call is accepted
  * @param clientCancelled set as soon as the client cancels or disconnects; no attempt is sent from then on
  */
 public record ClientCall(
--- a/engine/src/main/java/wharfhinge/engine/DispatcherFactory.java
+++ b/engine/src/main/java/wharfhinge/engine/DispatcherFactory.java
@@ -11,9 +11,14 @@
     /** The production dispatcher. */
     DispatcherFactory CACHE_AWARE = CacheAwareDispatcher::new;
 
-    /** Creates a dispatcher without any state. */
+    /** Creates a dispatcher that knows nothing of earlier incarnations. */
     Dispatcher create(long now, long seed, DispatcherSettings settings, DispatcherActions actions);
 
-    /** Reports the client's id of the request that the dispatcher receives next; ignored by default. */
+    /**
+     * Reports the ids of the request that the dispatcher receives next; ignored by default.
+     *
+     * @param id         the engine's id, by which the dispatcher knows the request
+     * @param externalId the client's own id, or the engine's if the client gave none
+     */
     default void onRequestNamed(long now, String id, String externalId) {}
 }
--- a/engine/src/main/java/wharfhinge/engine/EndpointList.java
+++ b/engine/src/main/java/wharfhinge/engine/EndpointList.java
@@ -24,7 +24,7 @@
      * The effect of an update.
      *
      * @param endpoints           the endpoints of the update
-     * @param incarnationsToStart by worker, the process that requests may be sent to
+     * @param incarnationsToStart incarnations to which requests may be sent, by worker
      * @param workersToStop       workers that no further requests are sent to
      */
     record Change(List<Endpoint> endpoints, Map<String, String> incarnationsToStart, List<String> workersToStop) {}
@@ -84,14 +84,17 @@
                 startedAt(entry, now));
     }
 
-    /** Reported ages are delayed and jitter, so a process keeps the start time computed when it was first listed. */
+    /**
+     * The start time of a worker process. Reported ages are delayed and jitter, so a process keeps the start time that was computed when
+     * it was first listed. A new worker of unknown age counts as started long ago (0).
+     */
     private long startedAt(RosterEntry entry, long now) {
         KnownEndpoint previous = knownByWorker.get(entry.id());
         if (previous != null && previous.incarnation.equals(entry.boot())) {
             return previous.endpoint.startedAt();
         }
         if (entry.ageMillis() == RosterEntry.UNKNOWN_AGE) {
-            return previous == null ? 0 : now; // a new process at a known address has just started
+            return previous == null ? 0 : now; // a new process of a known worker has just started
         }
         return Math.max(0, now - entry.ageMillis() * NANOS_PER_MILLI);
     }
--- a/engine/src/main/java/wharfhinge/engine/EngineActions.java
+++ b/engine/src/main/java/wharfhinge/engine/EngineActions.java
@@ -38,7 +38,7 @@
     /**
      * Creates the actions of a new incarnation.
      *
-     * @param functions            recently called functions by name
+     * @param functions            properties of recently called functions and of those that chains announced, by name
      * @param dispatcher           supplies the current incarnation of the dispatcher
      * @param isCurrentIncarnation whether these actions belong to the current incarnation
      */
--- a/engine/src/main/java/wharfhinge/engine/EventLoop.java
+++ b/engine/src/main/java/wharfhinge/engine/EventLoop.java
@@ -47,7 +47,10 @@
         events.add(new Event(name, nanoTime.getAsLong(), task));
     }
 
-    /** The time at which the current task started, on {@link #clock}. */
+    /**
+     * The time on {@link #clock} that was read when the current task started. Timers that are run directly one after the other share
+     * one reading.
+     */
     long now() {
         return now;
     }
@@ -107,7 +110,7 @@
         }
     }
 
-    /** Runs a task, reports an exception that it throws, and records its duration. */
+    /** Runs a task, passes an exception that it throws to {@code onFailure}, and records its duration. */
     void runGuarded(String name, Runnable task) {
         long startedAt = nanoTime.getAsLong();
         try {
--- a/engine/src/main/java/wharfhinge/engine/PendingCall.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCall.java
@@ -13,7 +13,7 @@
     final List<PendingAttempt> attempts = new ArrayList<>(2);
     int attemptsInFlight;
     boolean answered;
-    boolean admitted; // by the admission gate; false for a step of a chain, since the chain was admitted
+    boolean admitted; // whether the admission gate counts this call; it counts a chain, not the chain's steps
 
     PendingCall(String id, ClientCall clientCall, long acceptedAt, long deadline) {
         this.id = id;
@@ -51,16 +51,16 @@
         return summaries;
     }
 
-    /** One attempt, from when it is sent until its result is known or it was cancelled. */
+    /** One attempt of a call, kept until the call is removed. It is completed once its result is known or it was cancelled. */
     static final class PendingAttempt {
         final PendingCall pendingCall;
         final int index;
         final String worker;
         final long sentAt;
         WorkerTransport.AttemptHandle handle;
-        WorkerTransport.ResponseStream stream;
+        WorkerTransport.ResponseStream stream; // null unless a streamed answer has started
         boolean completed;
-        String reason;
+        String reason; // as in ExchangeResult, or "streams" for a streamed answer; null before
         long tookNanos;
 
         PendingAttempt(PendingCall pendingCall, int index, String worker, long sentAt) {
--- a/engine/src/main/java/wharfhinge/engine/PendingCalls.java
+++ b/engine/src/main/java/wharfhinge/engine/PendingCalls.java
@@ -33,7 +33,7 @@
     private final Map<String, PendingCall> callsById = new HashMap<>();
     private final Map<ClientCall, PendingCall> callsByClientCall = new IdentityHashMap<>();
     private long nextCallNumber;
-    private boolean endingAll;
+    private boolean endingAll; // in endAll: the engine must not stop before every call has its answer
 
     /**
      * Creates an empty table.
@@ -137,7 +137,7 @@
         removeIfDone(attempt.pendingCall);
     }
 
-    /** Ends an attempt on the engine's initiative: cancels it at the transport and reports the outcome to the dispatcher. */
+    /** Ends an attempt that has no result yet: cancels it at the transport and reports {@code outcome} to the dispatcher. */
     void endAttempt(PendingAttempt attempt, Outcome outcome) {
         if (!attempt.completed) {
             attempt.handle.cancel();
@@ -184,8 +184,8 @@
     // ---- Final answers ----------------------------------------------------------------------
 
     /**
-     * Handles a client that cancelled its call or disconnected. With {@code cancelAll} all attempts are cancelled, otherwise only
-     * those of which nothing was sent.
+     * Handles a client that cancelled its call or disconnected. An answer that is being streamed is cancelled. If the call has no
+     * answer yet, {@code cancelAll} cancels all its attempts; without it, attempts that were already written to a worker continue.
      */
     void onClientCancelled(ClientCall clientCall, boolean cancelAll) {
         PendingCall call = callsByClientCall.get(clientCall);
@@ -221,9 +221,10 @@
     }
 
     /**
-     * Sends every pending call its final answer and cancels its attempts. Streams that have started continue unless
-     * {@code cancelStreams} is set.
+     * Sends every call that has no answer yet its final answer, cancels all attempts and empties the table. Answers that are being
+     * streamed continue unless {@code cancelStreams} is set.
      *
+     * @param reason stands in answers and in the access log for the attempts of a call that had none
      * @return the number of calls that had not been answered
      */
     int endAll(String reason, boolean cancelStreams) {
--- a/engine/src/main/java/wharfhinge/engine/StepTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/StepTransport.java
@@ -10,8 +10,10 @@
 
     void startStep(ClientCall step);
 
+    /** Cancels a step whose answer its chain no longer needs, as if a client had cancelled the call. */
     void cancel(ClientCall step);
 
+    /** Tells the dispatcher that a request like this one is expected soon, so that it may prefetch the function. */
     void expectRequest(Request request);
 
     boolean isCached(String function);
--- a/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
+++ b/engine/src/main/java/wharfhinge/engine/WorkerTransport.java
@@ -64,9 +64,10 @@
     /**
      * The result of an attempt, probe or load order.
      *
-     * @param loadedCopies the number of loaded copies, for load orders
+     * @param report       the worker's load report by field name; empty if there is none
+     * @param loadedCopies the number of copies that the worker has loaded; valid only for load orders and residency queries
      * @param body         released by the receiver; may be null
-     * @param reason       the outcome as named in the worker protocol
+     * @param reason       the outcome as named in the worker protocol, or a text that says why there is no response
      */
     record ExchangeResult(
             Outcome outcome,
@@ -81,11 +82,12 @@
 
     /** Controls an attempt in flight. */
     interface AttemptHandle {
-        /** Cancels the attempt: an unwritten one is never written, a written one has its stream reset. No result follows. */
+        /** Cancels the attempt. If it is unwritten, it is never written; otherwise the worker may be told to stop. No result follows. */
         void cancel();
 
         /**
-         * Cancels the attempt if nothing of it was written yet; the result is then {@link Outcome#CANCELLED}. Otherwise it continues.
+         * Cancels the attempt if it was not written to a connection yet; the result is then {@link Outcome#CANCELLED}. Otherwise it
+         * continues.
          */
         void cancelIfUnsent();
 
@@ -110,7 +112,7 @@
 
     /** A streamed answer on its way to one client. */
     interface ResponseStream {
-        /** Delivers all parts to a consumer. Any thread. */
+        /** Delivers all parts to a consumer. May be called from any thread. */
         void subscribe(StreamConsumer consumer);
 
         /** Cancels the stream at the worker. */
