--- a/policy/src/main/java/wharfhinge/policy/AdmissionController.java
+++ b/policy/src/main/java/wharfhinge/policy/AdmissionController.java
@@ -2,11 +2,15 @@
 
 /**
  * Sheds load when the fleet is saturated: new requests with a probability that grows with the share of recent attempts
- * that were rejected, timed out or were answered late, and any request for which every eligible worker is far above its
- * limit. Acts too, and then hurts, where a fault without load makes most responses late.
+ * that were rejected, timed out or were answered late, and any request for which every eligible worker has reached {@link
+ * #REJECT_LIMIT_MULTIPLE} times its limits. It may hurt where a fault, and not load, makes most responses late: requests
+ * are then shed without need.
  */
 final class AdmissionController {
-    /** Multiple of a worker's concurrency limit up to which requests are still sent to it. */
+    /**
+     * Multiple of a worker's limits (the concurrency limit and the reported load that counts as saturation) up to which
+     * requests are still sent to it.
+     */
     private static final double REJECT_LIMIT_MULTIPLE = 1.25;
 
     private static final long WINDOW_NANOS = 4000 * DispatcherContext.NANOS_PER_MILLI;
@@ -14,7 +18,7 @@
     /** Timely responses added to the counted ones, so that a few late responses alone do not cause shedding. */
     private static final double PRIOR_GOOD_RESPONSES = 1;
 
-    /** Share of attempts that show saturation which is tolerated without shedding. */
+    /** Largest share of attempts showing saturation at which no request is shed. */
     private static final double TOLERATED_SHARE = 0.25;
 
     /** Increase of the shedding probability per unit of the share above the tolerated one. */
@@ -55,7 +59,10 @@
         return saturatedResponses.valueAt(context.now) / (responses.valueAt(context.now) + PRIOR_GOOD_RESPONSES);
     }
 
-    /** Whether no eligible worker is below the limit for rejection, so that any response would come too late. */
+    /**
+     * Whether {@link #isBelowRejectLimit} is false for all workers that are eligible for the request being handled, so
+     * that any response would come too late.
+     */
     boolean isFleetSaturated() {
         return registry.active().stream()
                 .noneMatch(worker -> eligibility.isEligible(worker) && isBelowRejectLimit(worker));
@@ -67,8 +74,9 @@
     }
 
     /**
-     * Counts an attempt and whether it showed saturation. A served attempt that may have loaded its function is
-     * ignored, since a long load time does not indicate a queue on the worker.
+     * Counts an attempt and whether it showed saturation: a rejection, a timeout, or a response that took longer than
+     * the latency objective. Ignores attempts on ejected workers, those with any other outcome, and served ones that may
+     * have loaded their function, since a long load time does not indicate a queue on the worker.
      */
     void onAttemptCompleted(Attempt attempt, AttemptCompletion completion) {
         boolean saturated = completion.outcome() == Outcome.TIMEOUT || completion.outcome() == Outcome.SATURATED;
--- a/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptCompletion.java
@@ -8,9 +8,10 @@
  * @param request            id of the request
  * @param attempt            index of the attempt among the request's attempts, from 0
  * @param tookNanos          time from the send to the end of the attempt
- * @param concurrentOnWorker requests of the function that the attempt found on the worker
+ * @param worker             id of the worker
+ * @param concurrentOnWorker other requests of the function that the attempt found on the worker; 0 if not reported
  * @param answered           whether the request has its final response
- * @param report             load report of the worker: metric values by name
+ * @param report             load report of the worker: metric values by name; empty if there is none
  */
 public record AttemptCompletion(
         String request,
--- a/policy/src/main/java/wharfhinge/policy/AttemptCompletionHandler.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptCompletionHandler.java
@@ -76,12 +76,14 @@
     }
 
     /**
-     * Whether the outcome invalidates the cache entry, so that the next send counts as a load.
+     * Whether the cache entry is to be removed, since the outcome (a timeout, a cancellation, a superseded attempt or a
+     * miss) does not show that the worker has a copy; never where functions are loaded by order only. The next send then
+     * counts as a load.
      *
      * <p>Departure from the source design: a connection failure says nothing about copies or the package store, so the
-     * cache entry is kept. It acts on connections refused or reset, and guards against networks that reset connections,
-     * where all copies would be considered lost. It may hurt where a worker restarts before the endpoint list says so:
-     * one more load.
+     * cache entry is kept. It acts on connections refused or reset and on leases that expired before the write, and
+     * guards against networks that reset connections, where all copies would be considered lost. It may hurt where a
+     * worker restarts before the endpoint list says so: one more load.
      */
     private boolean invalidatesCopy(Outcome outcome) {
         return !context.loadsOnlyByOrder
@@ -91,7 +93,10 @@
                 && !AttemptTracker.isConnectionFailure(outcome);
     }
 
-    /** Whether the worker's memory allows a copy to stay there, or to be loaded there again. */
+    /**
+     * Whether a copy may stay on the worker or be loaded there again: the worker has memory left, or the function
+     * belongs on it.
+     */
     private boolean mayKeepCopy(WorkerState worker, String function) {
         return assignment.hasMemoryFor(worker, 0) || assignment.belongsOn(worker, function);
     }
--- a/policy/src/main/java/wharfhinge/policy/AttemptTracker.java
+++ b/policy/src/main/java/wharfhinge/policy/AttemptTracker.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Whether the connection was lost, refused or not used, so that the outcome says nothing about the function's
-     * copies or the package store.
+     * Whether the connection was refused or lost, or nothing was written since the worker's lease had expired. Such an
+     * outcome says nothing about the function's copies or the package store.
      */
     static boolean isConnectionFailure(Outcome outcome) {
         return outcome == Outcome.RESET || outcome == Outcome.CONNECT_FAILED || outcome == Outcome.LEASE_EXPIRED;
@@ -74,7 +74,10 @@
         return state == null || index >= state.attempts.size() ? null : state.attempts.get(index);
     }
 
-    /** Counts the end of an attempt and updates load scheduling and the request's possibly executed attempts. */
+    /**
+     * Removes an attempt that ended from the counts of attempts in flight, reports it to load scheduling, and updates
+     * the request's possibly executed attempts.
+     */
     void onCompleted(Attempt attempt, AttemptCompletion completion) {
         attempt.worker().inFlight--;
         attempt.state().inFlight--;
@@ -82,15 +85,20 @@
         idempotency.onAttemptCompleted(attempt, completion.outcome());
     }
 
-    /** Whether the overdue timer can be ignored: the request has ended, or the attempt is known not to have run. */
+    /**
+     * Whether the attempt's overdue timer can be ignored: its request has its final response and no attempt in flight,
+     * or the attempt is known not to have run. An attempt that ended but may have run, such as one with an error, is not
+     * settled while its request goes on.
+     */
     boolean isSettled(Attempt attempt) {
         RequestState state = attempt.state();
         return state.finished && state.inFlight == 0 || !state.possiblyExecuted.contains(attempt);
     }
 
     /**
-     * Whether an overdue attempt should be hedged or cancelled: it is the latest of its request, another one is
-     * allowed, and its worker is unresponsive or ejected.
+     * Whether an overdue attempt should be hedged or cancelled: it is the latest of its request, its worker is
+     * unresponsive or ejected, and another attempt is allowed by the retry budget, the maximum number of attempts and
+     * the request's effect.
      */
     boolean mayHedgeOrCancel(Attempt attempt) {
         RequestState state = attempt.state();
--- a/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheAwareDispatcher.java
@@ -17,7 +17,10 @@
 public final class CacheAwareDispatcher implements Dispatcher {
     private static final long EXPIRY_INTERVAL_NANOS = 500 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Ticks before the client's deadline at which a request without a response is ended. */
+    /**
+     * How long before the client's deadline a request without a response is ended, in multiples of {@link
+     * DispatcherSettings#tickNanos}.
+     */
     private static final int DEADLINE_MARGIN_TICKS = 2;
 
     private final DispatcherContext context;
@@ -322,8 +325,9 @@
     /**
      * Orders a load for a request that is expected soon.
      *
-     * <p>Departure from the source design: it acts where load orders are allowed and no copy is loaded, loading or
-     * ordered. It guards against a load within the request's deadline. It may hurt where the request does not come: the
+     * <p>Departure from the source design: it acts where load orders are allowed, none is pending, the limit of loads in
+     * flight is not reached, and no eligible worker has a copy loaded, loading or ordered. It guards against requests
+     * that spend a part of the time until their deadline on a load. It may hurt where the request does not come: the
      * load is wasted.
      */
     @Override
--- a/policy/src/main/java/wharfhinge/policy/CacheStatus.java
+++ b/policy/src/main/java/wharfhinge/policy/CacheStatus.java
@@ -1,8 +1,8 @@
 package wharfhinge.policy;
 
 /**
- * What a response says about the function on the worker: nothing, already loaded, loaded for this request, waited for a
- * load that was in progress, or failed to load.
+ * What a response says about the function on the worker. In the order of the constants: nothing; it was loaded already;
+ * it was loaded for this request; the request waited for a load that was in progress; it failed to load.
  */
 public enum CacheStatus {
     UNKNOWN,
--- a/policy/src/main/java/wharfhinge/policy/CachedFunction.java
+++ b/policy/src/main/java/wharfhinge/policy/CachedFunction.java
@@ -2,7 +2,10 @@
 
 import java.util.LinkedHashSet;
 
-/** A function that is believed to be loaded or loading on one worker. Holds state of {@link FunctionCacheIndex}. */
+/**
+ * A function that is believed to be loaded or loading on one worker. Holds state only; {@link FunctionCacheIndex} owns
+ * the instances.
+ */
 final class CachedFunction {
     final WorkerState worker;
     final String function;
@@ -16,10 +19,17 @@
     /** Whether a load order is pending or was sent and has not completed. */
     boolean loadOrdered;
 
+    /** When the load order was created; once it is sent, when it was sent. */
     long loadOrderedAt;
+
     long lastUsedAt;
+
+    /** Expected duration of a load. */
     long loadNanos;
+
     double memoryMb;
+
+    /** This dispatcher's attempts of the function in flight on the worker. */
     int inFlight;
 
     CachedFunction(WorkerState worker, String function) {
--- a/policy/src/main/java/wharfhinge/policy/ConcurrencyLimiter.java
+++ b/policy/src/main/java/wharfhinge/policy/ConcurrencyLimiter.java
@@ -1,13 +1,13 @@
 package wharfhinge.policy;
 
 /**
- * Limits this dispatcher's requests in flight on each worker. The limit follows the latency of responses relative to
- * the class's latency objective: fast responses increase it in steps, late responses and rejections decrease it. A
- * limit below one sets a minimum interval between sends.
+ * Limits this dispatcher's requests in flight on each worker. The limit follows the smoothed ratio of the responses'
+ * latency to the latency objective of their requests: a low ratio increases it in steps; a ratio near or above one, and
+ * each rejection, decreases it by a factor. A limit below one sets a minimum interval between sends.
  *
  * <p>Departure from the source design, which has a fixed limit and names its tuning as future work: it acts on each
- * response and rejection, and guards against limits that are too high for a slow worker or too low for a fast one. It
- * may hurt where functions are slow by nature, which makes their worker look saturated.
+ * response that involved no load and on each rejection, and guards against limits that are too high for a slow worker
+ * or too low for a fast one. It may hurt where functions are slow by nature, which makes their worker look saturated.
  */
 final class ConcurrencyLimiter {
     private static final double INITIAL_LIMIT = 8;
@@ -19,8 +19,8 @@
     private static final double DECREASE_FACTOR = 0.85;
 
     /**
-     * Factor by which a limit of at most one is decreased, and by whose inverse a limit below the factor is increased:
-     * responses are rare there.
+     * Factor that decreases a limit of at most one. Its inverse increases a limit that is below this factor. The steps
+     * are larger than those of larger limits, since a small limit allows few sends and so yields few responses.
      */
     private static final double SMALL_LIMIT_FACTOR = 0.5;
 
@@ -36,10 +36,13 @@
     /** Least weight of a sample in the smoothed latency. */
     private static final double LATENCY_SMOOTHING = 0.1;
 
-    /** Time constant by which a sample weighs more the longer ago the previous one was. */
+    /**
+     * Time constant of the smoothed latency: a sample weighs the more the longer ago the previous one was, and 1 - 1/e
+     * if that was one time constant ago.
+     */
     private static final long LATENCY_WINDOW_NANOS = 4000 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Weight of a sample in the mean of all workers. */
+    /** Weight of a sample in the mean ratio of latency to objective of all workers. */
     private static final double MEAN_SMOOTHING = 0.02;
 
     private static final double INITIAL_MEAN = 0.5;
@@ -72,13 +75,19 @@
                 && loadReports.isBelowSaturation(worker, tolerance);
     }
 
-    /** Whether the worker's recent responses were slower than the mean of all workers. */
+    /**
+     * Whether the worker has responded recently, and its smoothed ratio of latency to objective is above the mean of all
+     * workers.
+     */
     boolean isSlowerThanMean(WorkerState worker) {
         return context.now - worker.latencySampledAt < 2 * LATENCY_WINDOW_NANOS
                 && worker.latencyToObjective > meanLatencyToObjective;
     }
 
-    /** Updates the latency and the limit from a response of a loaded function. */
+    /**
+     * Updates the latency and the limit from a response to a request whose function, as far as known, did not have to be
+     * loaded.
+     */
     void onResponse(WorkerState worker, RequestState state, long tookNanos) {
         double latencyToObjective = tookNanos / (double) state.latencyObjectiveNanos;
         double weight = Math.max(
@@ -97,7 +106,10 @@
         }
     }
 
-    /** Decreases the limit after a rejection by the saturated worker. */
+    /**
+     * Decreases the limit after the worker rejected a request because it is saturated: to the number that was in flight
+     * including that request, if that is less, and then by a factor.
+     */
     void onSaturated(WorkerState worker) {
         worker.concurrencyLimit = Math.min(worker.concurrencyLimit, worker.inFlight + 1);
         decreaseLimit(worker);
@@ -113,9 +125,12 @@
      * Decreases the limit.
      *
      * <p>Departure from the source design: it acts on limits of at most one, which are reached where many dispatchers
-     * share a worker. A decrease then at least doubles this dispatcher's own interval between sends to the worker, so
-     * that it also slows down a dispatcher that sends seldom. It guards against many dispatchers that return too soon.
-     * It may hurt since one bad response leaves a good worker idle.
+     * share a worker. In groups that are not small, such a limit is first lowered to the number of requests that this
+     * dispatcher has in flight on the worker on average (the latency divided by the interval of its last two sends), but
+     * not below {@link DispatcherContext#smallGroupFactor}. It is then multiplied by {@link #SMALL_LIMIT_FACTOR}, but
+     * never falls below {@link #MIN_LIMIT}. Between these bounds a decrease at least doubles this dispatcher's interval
+     * between sends, so that it slows down even a dispatcher that sends seldom. It guards against many dispatchers that
+     * all send to a saturated worker again too soon. It may hurt since one bad response leaves a good worker idle.
      */
     private void decreaseLimit(WorkerState worker) {
         double ownMeanInFlight = Math.max(
--- a/policy/src/main/java/wharfhinge/policy/DecayingCounter.java
+++ b/policy/src/main/java/wharfhinge/policy/DecayingCounter.java
@@ -1,6 +1,9 @@
 package wharfhinge.policy;
 
-/** A count that decays exponentially over a time window, so that it reflects the recent past. Not thread-safe. */
+/**
+ * A count that decays exponentially, to 1/e within one time window, so that it reflects the recent past. Not
+ * thread-safe.
+ */
 class DecayingCounter {
     private final long windowNanos;
     private double count;
--- a/policy/src/main/java/wharfhinge/policy/Dispatcher.java
+++ b/policy/src/main/java/wharfhinge/policy/Dispatcher.java
@@ -15,7 +15,12 @@
         return List.of();
     }
 
-    /** The endpoint list changed, or arrived for the first time. */
+    /**
+     * The endpoint list changed, arrived for the first time, or could not be watched.
+     *
+     * @param revision number of the list's version after the update
+     * @param entries  what {@link EndpointUpdateMode} says; empty if the watch was rejected
+     */
     void onEndpointUpdate(long now, EndpointUpdateMode mode, long revision, List<Endpoint> entries);
 
     /**
@@ -57,7 +62,10 @@
     /** An attempt ended. */
     void onAttemptCompleted(long now, AttemptCompletion completion);
 
-    /** A load order or residency query completed; the worker has {@code count} copies of the function loaded. */
+    /**
+     * A load order, or a query by {@link DispatcherActions#ensureLoaded} with a count of 0, completed; the worker has
+     * {@code count} copies of the function loaded, or 0 if it did not report any.
+     */
     void onLoadCompleted(long now, String worker, String function, int count, Outcome outcome, long tookNanos);
 
     /**
--- a/policy/src/main/java/wharfhinge/policy/DispatcherActions.java
+++ b/policy/src/main/java/wharfhinge/policy/DispatcherActions.java
@@ -1,11 +1,17 @@
 package wharfhinge.policy;
 
-/** The actions of a dispatcher; each takes effect at the time of the event being handled. */
+/**
+ * The actions that a dispatcher can take; its caller implements them. Each takes effect at the time of the event being
+ * handled.
+ */
 public interface DispatcherActions {
-    /** Sends the request to the worker; a {@code timeoutNanos} of 0 stands for the client's deadline. */
+    /**
+     * Sends the request to the worker. The request's attempts are numbered from 0 in the order of these calls. An attempt
+     * times out after {@code timeoutNanos}, and at the client's deadline at the latest; 0 sets the deadline alone.
+     */
     void sendAttempt(String request, String worker, long timeoutNanos);
 
-    /** Cancels one attempt. */
+    /** Cancels the request's attempt of this number, unless its streamed response has started. */
     void cancelAttempt(String request, int attempt);
 
     /** Ends the request as rejected: a retry is harmless. A Retry-After of 0 is not passed on to the client. */
--- a/policy/src/main/java/wharfhinge/policy/DispatcherContext.java
+++ b/policy/src/main/java/wharfhinge/policy/DispatcherContext.java
@@ -10,7 +10,7 @@
 final class DispatcherContext {
     static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Group size up to which limits that are meant for a single dispatcher apply unchanged. */
+    /** Number of dispatchers sharing the workers up to which limits meant for a single dispatcher apply unchanged. */
     private static final double SMALL_GROUP_SIZE = 4;
 
     final DispatcherSettings settings;
@@ -20,8 +20,8 @@
     final Random random;
 
     /**
-     * Scale of limits that are meant for a single dispatcher: 1 in groups of up to {@link #SMALL_GROUP_SIZE}, inversely
-     * proportional to the group size in larger ones.
+     * Factor for limits that are meant for a single dispatcher: 1 where up to {@link #SMALL_GROUP_SIZE} dispatchers share
+     * the workers, inversely proportional to the size of the group of dispatchers where there are more.
      */
     final double smallGroupFactor;
 
--- a/policy/src/main/java/wharfhinge/policy/EligibilityFilter.java
+++ b/policy/src/main/java/wharfhinge/policy/EligibilityFilter.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * Selects the workers that may get the request being handled. Only the excluded workers are marked, with the generation
- * of the selection, so that a request costs nothing for the other workers.
+ * Selects the workers that may get the request being handled. Each selection has a number, its generation, and marks
+ * the workers that it excludes with that number. Marks of earlier generations have no effect, so that they need not be
+ * removed for each request.
  */
 final class EligibilityFilter {
-    /** Ejected workers are excluded as long as at least this share of the fleet remains. */
+    /** Share of the workers that are up which must remain eligible; otherwise no ejected worker is excluded. */
     private static final double MIN_REMAINING_SHARE = 0.5;
 
     private final WorkerRegistry registry;
@@ -68,7 +69,7 @@
         return eligibleCount > 0;
     }
 
-    /** Excludes workers that have no lease and cannot get one. */
+    /** Excludes workers whose lease is revoked, or is not valid and cannot be renewed by a query. */
     private void excludeWithoutLease() {
         boolean anyValid = leases.isAnyValid();
         for (WorkerState worker : registry.active()) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /** Excludes workers to which idempotency or slow start forbids to send the request. */
+    /** Excludes workers that must not get the request because of its effect or their slow start. */
     private void excludeForbidden(RequestState state) {
         boolean firstSend = state.possiblyExecuted.isEmpty() && !state.finished;
         List<WorkerState> workersToCheck = firstSend ? registry.restricted() : registry.active();
@@ -89,7 +90,7 @@
         }
     }
 
-    /** Excludes ejected workers, unless too few workers would remain. */
+    /** Excludes ejected workers that are not due for a trial by this request, unless too few workers would remain. */
     private void excludeEjected(RequestState state) {
         int ejected = 0;
         for (WorkerState worker : registry.restricted()) {
--- a/policy/src/main/java/wharfhinge/policy/EndpointLeases.java
+++ b/policy/src/main/java/wharfhinge/policy/EndpointLeases.java
@@ -3,26 +3,27 @@
 /**
  * Leases of the workers in the endpoint list: until when a worker that is listed as up may be sent new work.
  *
- * <p>While the source of the list confirms it, each confirmation renews all leases. Without confirmations, workers may
- * begin to drain without this dispatcher being told, and the drain grace period counts from then. Each worker then
- * needs a renewal of its own that is younger than the grace period: a request that it served, counted from when that
- * was sent, or a query of loaded copies that it answered over a connection opened for the query. A draining worker
- * rejects work, and either its listener or its answers to queries show the drain ({@code
- * docs/incidents/2026-12-02.md}).
+ * <p>While the source of the list confirms that it is current, each confirmation renews all leases. Without
+ * confirmations, workers may begin to drain without this dispatcher being told, and the drain grace period counts from
+ * then. Each worker then needs a renewal of its own that is younger than the grace period: a request that it served, or
+ * a query of loaded copies that it answered over a connection opened for the query; the age counts from when the request
+ * or the query was sent. Both exclude a draining worker, since it rejects requests, and either refuses new connections
+ * or rejects the query ({@code docs/incidents/2026-12-02.md}).
  *
  * <p>Departure from the source design: it acts only where the source of the list reports whether the list is current,
  * and either has not confirmed it for {@link #MAX_CONFIRMATION_AGE_NANOS} or has to be contacted again. It guards
  * against work sent to workers that drain or are gone, and against sending a worker that restarted unnoticed the load
  * of a warm one. It costs a query and a connection for a send to a worker whose lease was not renewed recently. Where
- * queries are not allowed, only workers that serve requests all the time stay in use; it hurts where requests are rare.
+ * queries are not allowed, only workers that serve requests all the time stay in use, or any worker once no lease is
+ * valid; it hurts where requests are rare.
  */
 final class EndpointLeases {
     /** Age at which a confirmation expires. A connected source sends one each second, so two are missing by then. */
     static final long MAX_CONFIRMATION_AGE_NANOS = 2200 * DispatcherContext.NANOS_PER_MILLI;
 
     /**
-     * Share of the drain grace period for which a lease is valid; the rest allows for pauses between a check and its
-     * write.
+     * Share of the drain grace period for which a lease is valid; the rest allows for pauses between the check of the
+     * lease and the write of the message.
      */
     private static final double VALID_SHARE = 0.9;
 
@@ -39,7 +40,10 @@
     /** Least time that a worker takes to stop and start again. */
     private static final long MIN_RESTART_NANOS = 1000 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** How long after the list was last current a worker that was never connected to is not suspected of a restart. */
+    /**
+     * As {@link #MIN_RESTART_NANOS}, but for a worker that was never connected to: how long it may go unobserved, without
+     * a current list, before it is suspected of a restart.
+     */
     private static final long MIN_RESTART_NEVER_CONNECTED_NANOS = 5000 * DispatcherContext.NANOS_PER_MILLI;
 
     private final DispatcherContext context;
@@ -55,11 +59,16 @@
      */
     private boolean freshnessReported;
 
+    /** Whether the last report of the source was a confirmation. */
     private boolean confirmed;
+
+    /** Time up to which the source has reported all changes, by its last confirmation. */
     private long confirmedAt;
+
+    /** Time until which the list counted as current; valid while {@link #confirmed} is false. */
     private long unconfirmedAt;
 
-    /** When the last revocation of any worker's lease ends. */
+    /** Latest end of any revocation of a worker's lease. */
     private long revocationsEndAt = WorkerState.NEVER;
 
     EndpointLeases(DispatcherContext context, WorkerRegistry registry, LoadQueries queries) {
@@ -101,7 +110,10 @@
         confirmed = false;
     }
 
-    /** Renews the lease: the worker served a request or answered a renewal query that was sent at {@code sentAt}. */
+    /**
+     * Renews the lease: the worker served a request or answered a renewal query that was sent at {@code sentAt}. Has no
+     * effect if that was before the lease was last revoked.
+     */
     private void renewLease(WorkerState worker, long sentAt) {
         if (!freshnessReported || sentAt <= worker.leaseRevokedAt) {
             return;
@@ -131,8 +143,8 @@
     }
 
     /**
-     * Revokes the lease of a worker that rejected work, refused a connection or did not answer. Returns false where the
-     * list is current, which leaves the lease valid.
+     * Revokes the lease of a worker that rejected work, refused or reset a connection, or did not answer a renewal
+     * query with success. Returns false, and leaves the lease valid, where the list counts as current.
      */
     private boolean revoke(WorkerState worker, Outcome outcome) {
         if (!freshnessReported || isListCurrent()) {
@@ -216,7 +228,7 @@
     }
 
     /**
-     * Whether the worker has a valid lease, or may be queried for a renewal.
+     * Whether the worker's lease is not revoked, and is valid or may be renewed by a query.
      *
      * @param anyValid the result of {@link #isAnyValid}: without queries, a worker without a lease is tried, over a new
      *     connection, only where no other worker has one
@@ -242,7 +254,7 @@
         }
     }
 
-    /** A query was answered. Returns whether it was one that renews a lease. */
+    /** A query was answered or failed. Returns whether it was one that renews a lease. */
     boolean onQueryAnswered(WorkerState worker, LoadQueries.Query query, Outcome outcome) {
         if (!query.renewsLease()) {
             return false;
--- a/policy/src/main/java/wharfhinge/policy/FunctionAssignment.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionAssignment.java
@@ -7,7 +7,7 @@
 
 /**
  * Assigns each recently requested function to one worker, by deferred acceptance: to the first of its preferred workers
- * whose memory holds it in addition to the functions that score better there.
+ * whose memory holds it in addition to the functions whose {@link PreferredWorkers#uniform} value there is higher.
  *
  * <p>Departure from the source design: it acts where the memory of workers is configured. A further copy of a function
  * is loaded only where the assigned functions leave memory for it, and a request that finds no copy elsewhere goes to
@@ -76,7 +76,8 @@
     }
 
     /**
-     * Whether the worker has memory for one more function in addition to those assigned to it and those cached on it.
+     * Whether the worker has {@code memoryMb} of memory in addition to what the functions assigned to it and those cached
+     * on it need.
      */
     boolean hasMemoryFor(WorkerState worker, double memoryMb) {
         return memoryMb
@@ -134,12 +135,14 @@
                 : preferred.head(stats.function, stats.hash, index + 1)[index];
     }
 
+    /** The function to be displaced first: the assigned one with the lowest {@link PreferredWorkers#uniform} value. */
     private static FunctionStats leastSuited(WorkerState worker) {
         return Collections.min(
                 worker.assignedFunctions,
                 Comparator.comparingDouble(stats -> PreferredWorkers.uniform(worker, stats.hash)));
     }
 
+    /** Ends the function's assignment. Always returns true, as {@link FunctionTraffic#removeIdle} requires. */
     private boolean unassign(FunctionStats stats) {
         WorkerState worker = stats.assignedWorker;
         if (worker != null && worker.assignedFunctions.remove(stats)) {
--- a/policy/src/main/java/wharfhinge/policy/FunctionCacheIndex.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionCacheIndex.java
@@ -36,13 +36,14 @@
     }
 
     /**
-     * Whether the function is believed to be loaded on the worker, so that a request does not wait for an ordered load.
+     * Whether a request sent to the worker would not wait for an ordered load: the function is believed to be loaded
+     * there, or an attempt that was sent there makes the worker load it.
      */
     boolean isLoaded(WorkerState worker, String function) {
         return isCached(worker, function) && !isLoading(worker, function);
     }
 
-    /** Whether the function is believed to be loaded on a worker that is up and not ejected. */
+    /** Whether the worker is up and not ejected, and {@link #isLoaded} is true. */
     boolean isUsable(WorkerState worker, String function) {
         return worker.up && !worker.ejected && isLoaded(worker, function);
     }
@@ -52,7 +53,10 @@
         return workersByFunction.computeIfAbsent(function, key -> new TreeSet<>(WorkerState.BY_ORDINAL));
     }
 
-    /** Records a use of the request's function on the worker; a new entry counts as loading. */
+    /**
+     * Records a use of the request's function on the worker. A new entry, made where there is none or it has expired, is
+     * not yet known to be loaded.
+     */
     CachedFunction recordUse(WorkerState worker, Request request) {
         CachedFunction cached = worker.cachedFunctions.get(request.function());
         if (cached == null || !isCached(worker, request.function())) {
--- a/policy/src/main/java/wharfhinge/policy/FunctionStats.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionStats.java
@@ -16,7 +16,7 @@
     final long hash;
     final double memoryMb;
 
-    /** The first of the function's preferred workers that has memory for it; null before it is assigned. */
+    /** The first of the function's preferred workers that has memory for it; null while there is none. */
     WorkerState assignedWorker;
 
     /** Index of {@link #assignedWorker} among the function's preferred workers. */
--- a/policy/src/main/java/wharfhinge/policy/FunctionTraffic.java
+++ b/policy/src/main/java/wharfhinge/policy/FunctionTraffic.java
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Removes functions that are hardly requested any more, passing each to {@code onRemoved}. Returns whether any was
-     * removed.
+     * Removes functions that are hardly requested any more, passing each to {@code onRemoved}; one for which that returns
+     * false stays. Returns whether any was removed.
      */
     boolean removeIdle(Predicate<FunctionStats> onRemoved) {
         return byFunction
