--- a/policy/src/main/java/wharfhinge/policy/IdempotencyGuard.java
+++ b/policy/src/main/java/wharfhinge/policy/IdempotencyGuard.java
@@ -10,7 +10,10 @@
         this.context = context;
     }
 
-    /** Whether the request may be sent to this worker now, given its attempts so far. */
+    /**
+     * Whether the request may be sent to this worker now: it has no attempt in flight, unless hedging is allowed, and
+     * its effect permits a repeat of the attempts that may have executed.
+     */
     boolean maySend(RequestState state, WorkerState worker) {
         if (state.finished || state.inFlight > 0 && !context.settings.limits().hedging()) {
             return false;
@@ -22,8 +25,8 @@
     }
 
     /**
-     * Whether all attempts that may have executed are in the worker's deduplication scope, and recent enough to be
-     * remembered.
+     * Whether the worker would discard the request as a repeat: all attempts that may have executed went to workers of
+     * its deduplication scope, and were sent less than the deduplication window, less two ticks, ago.
      */
     private boolean isDeduplicated(RequestState state, WorkerState worker) {
         RequestClass requestClass = state.requestClass;
--- a/policy/src/main/java/wharfhinge/policy/LeaseRenewal.java
+++ b/policy/src/main/java/wharfhinge/policy/LeaseRenewal.java
@@ -21,10 +21,13 @@
         }
         boolean queriedBefore = !state.leaseQueriedWorkers.add(worker);
         if (queriedBefore && leases.isValid(worker)) {
-            return false; // it answers more slowly than leases need renewal
+            // Sends now: a worker whose answers take longer than the time after which leases are renewed would be
+            // queried forever.
+            return false;
         }
         if (queriedBefore && worker.leaseQueriedAt != WorkerState.NEVER) {
-            queue.add(state); // it did not answer in time, and no other worker is left
+            // A query to the worker is unanswered, and the worker was chosen again since no other worker is left.
+            queue.add(state);
             return true;
         }
         leases.sendRenewalQuery(worker, state.function());
--- a/policy/src/main/java/wharfhinge/policy/LoadReportTracker.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadReportTracker.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 
 /**
- * Load that workers report with responses and probe replies: their requests in flight from all dispatchers. A report is
- * weighted by the share of the traffic that this dispatcher does not see itself, and decays to the mean of all reports
- * as it ages.
+ * Load that workers report with responses and probe replies: their requests in flight from all dispatchers, per unit of
+ * capacity. A report is weighted by the share of the traffic that this dispatcher does not see itself, and decays to the
+ * mean of all reports as it ages.
  */
 final class LoadReportTracker {
     /** The metric of a load report that holds the requests in flight. */
     static final String IN_FLIGHT_METRIC = "rif";
 
-    /** Time window over which a report decays. */
+    /** Time constant of the exponential decay of a report. */
     private static final long DECAY_WINDOW_NANOS = 3000 * DispatcherContext.NANOS_PER_MILLI;
 
     private static final double MEAN_SMOOTHING = 0.02;
@@ -42,7 +42,10 @@
         }
     }
 
-    /** Estimate of the worker's current requests in flight per unit of capacity. */
+    /**
+     * Estimate of the worker's current requests in flight from all dispatchers, per unit of capacity. It is the mean of
+     * all reports where the worker has reported none or this dispatcher has no peers.
+     */
     double load(WorkerState worker) {
         if (worker.reportedAt == 0 || context.peerTrafficShare == 0) {
             return meanLoad;
@@ -62,12 +65,15 @@
         return load(worker) <= tolerance * Math.max(SATURATED_MULTIPLE * meanLoad, MIN_SATURATION_LOAD);
     }
 
-    /** Whether the load is clearly above the mean. */
+    /** Whether the load is above {@link #BUSY_MULTIPLE} times the mean. */
     boolean isBusy(WorkerState worker) {
         return load(worker) > BUSY_MULTIPLE * meanLoad;
     }
 
-    /** Counts the worker as saturated, since its reply to a probe is late. */
+    /**
+     * Raises the worker's reported load to at least {@link #SATURATED_MULTIPLE} times the mean, as if reported now, since
+     * its reply to a probe is late. The worker then ranks behind others, but {@link #isBelowSaturation} may still hold.
+     */
     void assumeSaturated(WorkerState worker) {
         worker.reportedLoad = Math.max(worker.reportedLoad, SATURATED_MULTIPLE * meanLoad);
         worker.reportedAt = context.now;
--- a/policy/src/main/java/wharfhinge/policy/LoadScheduler.java
+++ b/policy/src/main/java/wharfhinge/policy/LoadScheduler.java
@@ -20,7 +20,7 @@
     private static final double DECREASE_FACTOR = 0.7;
     private static final double PROBABILITY_SMOOTHING = 0.05;
 
-    /** Multiple of the expected load time above which a load indicates an overloaded package store. */
+    /** Multiple of the expected load time above which an ordered load indicates an overloaded package store. */
     private static final double SLOW_LOAD_MULTIPLE = 3;
 
     /** Multiple of the expected load time after which a load order is abandoned. */
@@ -36,8 +36,8 @@
     private double inFlightLimit = INITIAL_LIMIT;
 
     /**
-     * Smoothed share of the sends to functions not known to be loaded that cause a load; peers keep most of them
-     * loaded.
+     * Smoothed share of the attempts with {@link Attempt#mayLoad} that did cause a load. It is below 1 where requests of
+     * peers keep functions loaded that this dispatcher does not know to be loaded.
      */
     private double loadProbability = 1;
 
@@ -51,7 +51,7 @@
         arrivalTimes.add(context.now);
     }
 
-    /** Whether no further load may be started. */
+    /** Whether the expected number of loads in flight has reached the limit, so that no further load may be started. */
     boolean isAtLimit() {
         return inFlight * loadProbability >= inFlightLimit;
     }
@@ -81,8 +81,8 @@
     }
 
     /**
-     * Orders a load of the function, which is sent once quota and limit allow it; does nothing if one is ordered
-     * already.
+     * Orders a load of the function. The order is sent once the worker's lease, the quota and the limit allow it. Does
+     * nothing if a load is ordered already.
      */
     void order(CachedFunction cached) {
         if (!cached.loadOrdered) {
@@ -97,7 +97,7 @@
         pendingOrders.remove(cached);
     }
 
-    /** Sends as many orders as quota and limit allow, starting with those that most requests wait for. */
+    /** Sends as many pending orders as quota and limit allow, those that most requests wait for first. */
     void sendPendingOrders() {
         List<CachedFunction> sendable = sendableOrders();
         while (!sendable.isEmpty() && inFlight < inFlightLimit && isWithinQuota()) {
@@ -114,7 +114,7 @@
 
     /**
      * The pending orders whose workers' leases need no renewal. The workers of the other orders are sent a renewal
-     * query.
+     * query, except those whose lease is revoked.
      */
     private List<CachedFunction> sendableOrders() {
         List<CachedFunction> sendable = new ArrayList<>(pendingOrders.size());
@@ -130,7 +130,7 @@
 
     /**
      * Whether one more order keeps this dispatcher's orders of the quota period within the quota, which grows with its
-     * requests of that period.
+     * requests of that period. Always true where no quota period is configured.
      */
     private boolean isWithinQuota() {
         removeOldTimes();
@@ -151,7 +151,10 @@
         }
     }
 
-    /** Updates the limit and the load probability from an attempt that may have loaded its function. */
+    /**
+     * Updates the limit and the load probability from an attempt that may have loaded its function. A connection failure
+     * changes neither, since it says nothing about loads.
+     */
     void onAttemptCompleted(Attempt attempt, AttemptCompletion completion) {
         if (!attempt.mayLoad()) {
             return;
--- a/policy/src/main/java/wharfhinge/policy/OutlierDetector.java
+++ b/policy/src/main/java/wharfhinge/policy/OutlierDetector.java
@@ -5,7 +5,7 @@
  *
  * <p>Either of two symptoms ejects a worker: a high smoothed failure rate, or several overdue attempts without a timely
  * response in between. After a pause that doubles with each failed trial, an ejected worker gets one idempotent first
- * send at a time (half-open state); a good response restores it.
+ * send at a time as a trial (half-open state); a timely response restores it.
  */
 final class OutlierDetector {
     /** Pause before the first trial. */
@@ -20,7 +20,7 @@
     /** Overdue attempts, with no timely response in between, at which a worker is ejected. */
     private static final int OVERDUE_LIMIT = 3;
 
-    /** Lateness at which an overdue timer indicates a stall of this process and not of the worker. */
+    /** Lateness of an overdue timer above which it indicates a stall of this process and not of the worker. */
     private static final long LOCAL_STALL_NANOS = 100 * DispatcherContext.NANOS_PER_MILLI;
 
     /**
@@ -60,7 +60,8 @@
     }
 
     /**
-     * Whether the worker is ejected and must not get this request: the request cannot be a trial, or no trial is due.
+     * Whether the worker is ejected and must not get this request: the request cannot be a trial, no trial is due, or
+     * {@link #TRIALS_PER_REQUEST} allows none.
      */
     boolean isBlocked(WorkerState worker, RequestState state) {
         return worker.ejected
@@ -81,7 +82,7 @@
         return attempt.worker().lastResponseAt <= attempt.sentAt();
     }
 
-    /** Counts an attempt that is overdue without a response. */
+    /** Counts an attempt that is overdue without a response, which may eject its worker; an overdue trial has failed. */
     void onOverdue(Attempt attempt) {
         WorkerState worker = attempt.worker();
         worker.overdueAttempts++;
@@ -111,7 +112,8 @@
             limiter.onSaturated(worker);
         }
         if (isInconclusive(attempt, outcome)) {
-            // A miss proves that the worker responds; a saturated worker may hang.
+            // A miss passes a trial, since the worker responded. The other inconclusive outcomes fail it: even a worker
+            // that rejects the attempt may be saturated because its requests hang.
             endTrial(attempt, outcome == Outcome.NOT_LOADED);
             return;
         }
@@ -132,8 +134,9 @@
     }
 
     /**
-     * Whether the outcome says nothing about the worker's health: it is a rejection, a miss, an error of the caller, or
-     * a timeout, which the count of overdue attempts already covers.
+     * Whether the outcome does not count towards the worker's failure rate: it is a rejection, a miss, an error of the
+     * caller, an attempt that was cancelled, superseded or not written, or a timeout, which the count of overdue attempts
+     * already covers.
      */
     private boolean isInconclusive(Attempt attempt, Outcome outcome) {
         boolean callerError = isCallerError(attempt, outcome);
@@ -148,8 +151,8 @@
      *
      * <p>Departure from the source design: it acts on errors of a function that no worker has served to this dispatcher
      * and that failed on another worker too. It guards against callers that request functions that do not exist, which
-     * would eject healthy workers. It may hurt where all workers fail new functions, until one of them serves the
-     * function.
+     * would eject healthy workers. It may hurt where all workers fail new functions: errors after those of the first
+     * worker count against none of them until one serves the function.
      */
     private boolean isCallerError(Attempt attempt, Outcome outcome) {
         FunctionStats function = traffic.find(attempt.state().function());
--- a/policy/src/main/java/wharfhinge/policy/OverdueAttemptHandler.java
+++ b/policy/src/main/java/wharfhinge/policy/OverdueAttemptHandler.java
@@ -24,7 +24,7 @@
         this.router = router;
     }
 
-    /** The attempt's overdue timer is due: if it has no response yet, its worker may hang. */
+    /** The attempt's overdue timer is due: if the attempt has no response yet, its worker may hang. */
     void onOverdueTimer(RequestState state, int attemptIndex) {
         Attempt attempt = state.attempts.get(attemptIndex);
         if (attempts.isSettled(attempt) || outliers.isLocalStall(attempt)) {
@@ -42,7 +42,10 @@
         }
     }
 
-    /** Sends the request to another worker while the attempt is still in flight. */
+    /**
+     * Sends the request to another worker while the attempt is still in flight; does nothing if no other worker is
+     * eligible, all are saturated, or the other worker's lease would have to be renewed first.
+     */
     private void hedge(RequestState state, Attempt attempt) {
         if (eligibility.select(state) && !eligibility.isEligible(attempt.worker()) && !admission.isFleetSaturated()) {
             WorkerState worker = ranker.rank(state);
--- a/policy/src/main/java/wharfhinge/policy/PendingReplies.java
+++ b/policy/src/main/java/wharfhinge/policy/PendingReplies.java
@@ -5,6 +5,7 @@
 
 /** Requests that wait for workers' replies to probes, residency queries or lease renewals before they are sent. */
 final class PendingReplies {
+    /** Longest wait of a request for replies. */
     static final long TIMEOUT_NANOS = 40 * DispatcherContext.NANOS_PER_MILLI;
 
     private final DispatcherContext context;
--- a/policy/src/main/java/wharfhinge/policy/PreferredWorkers.java
+++ b/policy/src/main/java/wharfhinge/policy/PreferredWorkers.java
@@ -66,7 +66,7 @@
         WorkerState first = null;
         double least = Double.POSITIVE_INFINITY;
         for (WorkerState worker : registry.active()) {
-            // -log(u) >= 1 - u shows for most workers, without a logarithm, that their score is not lower
+            // Since -log(u) >= 1 - u, most workers are found not to score lower without computing a logarithm.
             boolean worse = 1 - uniform(worker, functionHash) >= least * worker.capacity();
             double score = worse ? least : score(worker, functionHash);
             if (score < least && qualifies.test(worker)) {
--- a/policy/src/main/java/wharfhinge/policy/PriorityUnit.java
+++ b/policy/src/main/java/wharfhinge/policy/PriorityUnit.java
@@ -1,6 +1,6 @@
 package wharfhinge.policy;
 
-/** What a request's priority weight multiplies: each request as one, or its work. */
+/** What a priority weight is given for: each request, or the work of each request. No decision of this module reads it. */
 public enum PriorityUnit {
     REQUEST,
     WORK
--- a/policy/src/main/java/wharfhinge/policy/ProbeCoordinator.java
+++ b/policy/src/main/java/wharfhinge/policy/ProbeCoordinator.java
@@ -5,15 +5,15 @@
 /**
  * Probes the two highest-ranked workers before the first send of a request, unless they reported their load recently.
  *
- * <p>Departure from the source design: it acts where probes report load, the group is large and the fleet is not
- * overloaded. It guards against many dispatchers that send to the same busy worker, whatever keeps it busy. It costs
- * two probes for each request, and the reply timeout where a reply is late.
+ * <p>Departure from the source design: it acts where probes report load, the group of dispatchers is large and the fleet
+ * is not overloaded. It guards against many dispatchers that send to the same busy worker, whatever keeps it busy. It
+ * costs up to two probes for each request, and the reply timeout where a reply is late.
  */
 final class ProbeCoordinator {
     /** Age up to which a load report makes a probe unnecessary. */
     private static final long FRESH_REPORT_NANOS = 300 * DispatcherContext.NANOS_PER_MILLI;
 
-    /** Value of {@link DispatcherContext#smallGroupFactor} below which a group counts as large. */
+    /** Value of {@link DispatcherContext#smallGroupFactor} below which a group of dispatchers counts as large. */
     private static final double LARGE_GROUP_FACTOR = 0.5;
 
     private final DispatcherContext context;
@@ -80,7 +80,7 @@
         replies.add(state);
     }
 
-    /** Ends the request's wait for replies: workers that have not replied to their probes count as saturated. */
+    /** Ends the request's wait for replies: workers that have not replied to their probes count as busy. */
     void onWaitEnded(RequestState state) {
         if (enabled) {
             state.awaitedWorkers.forEach(loadReports::assumeSaturated);
--- a/policy/src/main/java/wharfhinge/policy/RequestQueue.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestQueue.java
@@ -51,7 +51,10 @@
         }
     }
 
-    /** Whether the request can no longer be served in time, so that it is ended now and not only at its deadline. */
+    /**
+     * Whether the expected service time, and the load time where the awaited load order is still pending, reach beyond
+     * the request's deadline. Such a request is ended now and not only at its deadline.
+     */
     boolean cannotMeetDeadline(RequestState state) {
         boolean orderPending = state.awaitedLoad != null && loads.isPending(state.awaitedLoad);
         double neededNanos =
--- a/policy/src/main/java/wharfhinge/policy/RequestRouter.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestRouter.java
@@ -89,8 +89,8 @@
     }
 
     /**
-     * Whether the request may be sent to the worker: that causes no load beyond the limit on loads, and neither the
-     * fleet nor the worker is saturated.
+     * Whether the request may be sent to the worker: it causes no load beyond the limit on loads, the fleet is not
+     * saturated, and neither is the worker where it has the function loaded.
      */
     private boolean isAdmitted(RequestState state, WorkerState worker) {
         String function = state.function();
@@ -147,7 +147,10 @@
         }
     }
 
-    /** Ends the request without success: rejected where a retry is harmless, failed otherwise. */
+    /**
+     * Ends the request without success: rejected where a retry is harmless, failed otherwise. A request that cannot be
+     * rejected stays open while it has an attempt in flight, until shortly before its deadline.
+     */
     void rejectOrFail(RequestState state) {
         long marginNanos = IN_FLIGHT_MARGIN_TICKS * context.settings.tickNanos();
         if (idempotency.mayReject(state)) {
--- a/policy/src/main/java/wharfhinge/policy/RequestState.java
+++ b/policy/src/main/java/wharfhinge/policy/RequestState.java
@@ -16,21 +16,24 @@
     /** The class's latency objective, or the client's remaining time where that is less. */
     final long latencyObjectiveNanos;
 
-    /** The function's share of this dispatcher's requests before this one. */
+    /** The function's share of this dispatcher's recent requests, without this one. */
     final double trafficShare;
 
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    /** Attempts that may have been executed: those not proved to have had no effect. */
+    /** Attempts that may have been executed: all but those whose outcome proves that they were not. */
     final List<Attempt> possiblyExecuted = new ArrayList<>(2);
 
-    /** Workers on which the request failed, or that did not reply to it; avoided while there are others. */
+    /**
+     * Workers on which an attempt failed or is overdue, on which the awaited load was dropped, or whose lease query is
+     * unanswered; avoided while there are others.
+     */
     final Set<WorkerState> triedWorkers = new LinkedHashSet<>();
 
     /** Workers whose reply to a probe or a residency query the request waits for. */
     final Set<WorkerState> awaitedWorkers = new LinkedHashSet<>();
 
-    /** Workers that were sent a query to renew their lease for this request. */
+    /** Workers whose lease renewal the request waits for, or has waited for. */
     final Set<WorkerState> leaseQueriedWorkers = new LinkedHashSet<>();
 
     /** The worker whose lease the request waits for, or null. */
@@ -43,7 +46,7 @@
     boolean streaming;
     boolean finished;
 
-    /** Whether probes or residency queries were sent for the request; this happens at most once. */
+    /** Whether probes or residency queries were considered for the request; this happens at most once. */
     boolean queried;
 
     /** Whether the request was selected on arrival to be shed. */
--- a/policy/src/main/java/wharfhinge/policy/ResidencyQueries.java
+++ b/policy/src/main/java/wharfhinge/policy/ResidencyQueries.java
@@ -4,15 +4,15 @@
  * Asks a function's preferred workers whether they have a copy, by load orders with a count of 0, before the first send
  * of a request.
  *
- * <p>Departure from the source design: it acts in small groups whose workers load on demand, for a function that is
- * believed to be loaded nowhere. It guards a dispatcher that was restarted, or whose endpoint list changed, against
- * loading functions that already have a copy. It costs messages, and the reply timeout where a worker does not answer
- * and none that answers has a copy.
+ * <p>Departure from the source design: it acts in small groups of dispatchers, where workers load on demand and load
+ * orders are allowed, for a function that no eligible worker is believed to have loaded. It guards a dispatcher that
+ * was restarted, or whose endpoint list changed, against loading functions that already have a copy. It costs messages,
+ * and the reply timeout where a worker does not answer and none that answers has a copy.
  */
 final class ResidencyQueries {
     private static final int MAX_WORKERS_QUERIED = 5;
 
-    /** How long an answer that a worker has no copy is relied on. */
+    /** How long after an answer that a worker has no copy no further queries for the function are sent. */
     private static final long ABSENCE_VALID_NANOS = FunctionCacheIndex.DEFAULT_LOAD_NANOS;
 
     private final DispatcherContext context;
@@ -50,7 +50,7 @@
                 && !context.loadsOnlyByOrder;
     }
 
-    /** Whether workers should be queried before the request, which was ranked just now, is sent. */
+    /** Whether workers should be queried before the request is sent. The request must be the one ranked last. */
     boolean isNeeded(RequestState state) {
         if (!enabled || state.queried) {
             return false;
@@ -62,7 +62,8 @@
     }
 
     /**
-     * Queries the function's most preferred workers, each at most once at a time, and makes the request wait for them.
+     * Queries those of the function's most preferred workers that are eligible, except where a query of the function is in
+     * flight already, and makes the request wait for the answers.
      */
     void send(RequestState state) {
         state.queried = replies.add(state);
@@ -95,7 +96,10 @@
         }
     }
 
-    /** Records an answer for one waiting request. Returns whether the request need not wait any longer. */
+    /**
+     * Records an answer for one waiting request. Returns whether its wait is over: the worker has a copy, or was the last
+     * one awaited.
+     */
     boolean completesWait(RequestState state, WorkerState worker, String function, boolean loaded) {
         return state.function().equals(function)
                 && state.awaitedWorkers.remove(worker)
--- a/policy/src/main/java/wharfhinge/policy/SendCondition.java
+++ b/policy/src/main/java/wharfhinge/policy/SendCondition.java
@@ -1,7 +1,8 @@
 package wharfhinge.policy;
 
 /**
- * The condition under which a message may be written to a worker while the endpoint list is not known to be current.
+ * The condition under which a message may be written to a worker, so that a worker that drains unnoticed, since the
+ * endpoint list is stale, gets no new work.
  *
  * @param notAfter        time of the dispatcher's clock from which on the message's first byte must not be written
  * @param onNewConnection whether the message has to be written to a connection that is opened for it
--- a/policy/src/main/java/wharfhinge/policy/ServiceTimeEstimate.java
+++ b/policy/src/main/java/wharfhinge/policy/ServiceTimeEstimate.java
@@ -1,8 +1,8 @@
 package wharfhinge.policy;
 
 /**
- * Estimate of the time in which a loaded function serves a request of one class, per unit of reported cost where costs
- * are reported. Until the first sample it is a quarter of the class's latency objective.
+ * Estimate of the time in which a loaded function serves a request of one class. It is proportional to the request's
+ * cost where that is reported. Until the first sample it is a quarter of the class's latency objective.
  */
 final class ServiceTimeEstimate {
     /** Least weight of a new sample, so that the estimate follows changes of the workload. */
--- a/policy/src/main/java/wharfhinge/policy/SlowStartBudget.java
+++ b/policy/src/main/java/wharfhinge/policy/SlowStartBudget.java
@@ -1,15 +1,14 @@
 package wharfhinge.policy;
 
 /**
- * Token bucket of each worker that is warming up (slow start). Its rate is the configured multiple of the worker's
- * present share of the responses that a warm worker gives to this dispatcher. Responses are counted and not arrivals:
- * summed over all dispatchers, responses never exceed the capacity, whereas clients that repeat rejected requests would
- * inflate arrivals.
+ * Token bucket of each worker that is warming up (slow start); a token allows one request. Its rate is the rate of
+ * responses that this dispatcher gets from a warm worker, times the share of that traffic that the worker may have at its
+ * present age, times the configured overload factor. Responses are counted and not arrivals: summed over all
+ * dispatchers, responses never exceed the capacity, whereas clients that repeat rejected requests would inflate arrivals.
  */
 final class SlowStartBudget {
     /**
-     * Share of the configured multiple that is used, since random variation and unequal traffic of peers add to the
-     * rate.
+     * Share of the overload factor that is used, since random variation and unequal traffic of peers add to the rate.
      */
     private static final double SAFETY_MARGIN = 0.6;
 
@@ -26,7 +25,7 @@
         this.rules = context.settings.protectionRules();
     }
 
-    /** Counts an attempt whose outcome says something about the worker: served or failed. */
+    /** Counts the attempt as a response if it was served. */
     void onAttemptOutcome(boolean served) {
         responses.add(served ? 1 : 0, context.now);
     }
@@ -37,13 +36,16 @@
         }
     }
 
-    /** Refills the worker's bucket. Returns whether the worker may get one more request. */
+    /**
+     * Whether the worker may get one more request: it is not warming up, or has a token after its bucket was refilled.
+     */
     boolean hasToken(WorkerState worker) {
         if (!registry.isWarmingUp(worker)) {
             return true;
         }
         double ratePerNano = ratePerNano(worker);
-        // A fleet that warms up as a whole gives no responses to derive a rate from: the group gets at least one token.
+        // A fleet that warms up as a whole gives no responses to derive a rate from: all dispatchers of the group
+        // together get at least one token for each worker in the time of a slow start.
         double minRatePerNano = 1.0 / rules.slowStartNanos() / Math.max(1, context.settings.groupSize());
         refill(worker, Math.max(ratePerNano, minRatePerNano), ratePerNano > minRatePerNano);
         return worker.slowStartTokens >= 1;
@@ -63,12 +65,12 @@
     }
 
     /**
-     * Adds the tokens since the last refill.
+     * Adds the tokens that have accrued since the last refill, up to the bucket's capacity.
      *
      * <p>Departure from the source design: it acts where this dispatcher's share of an overload window is below one
      * token. Unused tokens then expire after a window. It guards against dispatchers that sent nothing for seconds and
-     * then all send in one window. It may hurt where requests for the worker are rarer than a window: the worker then
-     * gets fewer than it could serve. The token of a fleet that warms up as a whole does not expire.
+     * then all send in one window. It may hurt where requests for the worker are rarer than one in a window: the worker
+     * then gets fewer than it could serve. The token of a fleet that warms up as a whole does not expire.
      */
     private void refill(WorkerState worker, double ratePerNano, boolean aboveMinimum) {
         double tokensPerWindow = ratePerNano * rules.overloadWindowNanos();
--- a/policy/src/main/java/wharfhinge/policy/WorkerRanker.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerRanker.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * The worker to send the request to, or null. Where functions are loaded by order only, this may order a further
-     * copy.
+     * The worker to send the request to, or null if none is eligible. Where functions are loaded by order only, this may
+     * order a further copy.
      */
     WorkerState rank(RequestState state) {
         String function = state.function();
@@ -75,7 +75,7 @@
             return available;
         }
         if (!context.loadsOnlyByOrder) {
-            // A load of the function is ordered there: another preferred worker would load a second copy.
+            // Prefers a worker on which a load is already ordered: any other worker would load a second copy.
             WorkerState loading = fewestInFlight(
                     candidates, function, worker -> cache.isLoading(worker, function) && isBelowLimit(worker));
             if (loading != null) {
@@ -114,8 +114,8 @@
      * Whether to order a further copy although one is available.
      *
      * <p>Departure from the source design: it acts where functions are loaded by order only, no load is in flight or
-     * pending, and the available worker reports more in flight than its capacity and than most others. It guards
-     * against hot functions that overload the workers that have them. At worst a load is wasted.
+     * pending, and the available worker is busy, with an estimated load of more than one request in flight per unit of
+     * capacity. It guards against hot functions that overload the workers that have them. At worst a load is wasted.
      */
     private boolean shouldOrderFurtherCopy(WorkerState available) {
         return context.loadsOnlyByOrder && loads.isIdle() && isBusy(available) && loadReports.load(available) > 1;
@@ -160,8 +160,9 @@
     }
 
     /**
-     * The best worker with a copy, for which a further copy is ordered where none is loading. If no copy is loaded, a
-     * worker that is loading one; null if copies are loaded but all are saturated.
+     * The best worker that has the function loaded and is below its limit. A further copy is then ordered on the target,
+     * unless there is no target or a copy is loading already. If no copy is loaded, the result is a worker that is loading
+     * one, or null; it is null too if copies are loaded but their workers are all at their limits.
      */
     private WorkerState copyAndOrderFurther(RequestState state, WorkerState target) {
         String function = state.function();
@@ -179,7 +180,8 @@
     }
 
     /**
-     * The worker to use where no copy is available: one to load on, else a saturated copy, the assigned worker, or any.
+     * The worker to use where no copy is available: the load target, else a worker at its limit that has the function
+     * loaded, else the assigned worker, else the first preferred one that is below its limit, else any.
      */
     private WorkerState fallbackWorker(RequestState state, WorkerState assigned, WorkerState target) {
         if (target != null) {
@@ -210,12 +212,12 @@
     }
 
     /**
-     * How many preferred workers count as having the function.
+     * How many preferred workers count as having the function; 0 where the departure does not act.
      *
-     * <p>Departure from the source design: a function with a share of all requests needs that share of the workers. It
-     * acts where the share, multiplied by the share of sends that peers make, fills two workers or more, and workers
-     * load on demand. It guards against dispatchers that all fill one worker. It may hurt where the share is
-     * overestimated, which wastes memory.
+     * <p>Departure from the source design: a function with a share of all requests gets that share of the eligible
+     * workers, multiplied by {@link #PREFERRED_PER_FILLED_WORKER} and by the share of sends that peers make. It acts
+     * where this gives two workers or more, and workers load on demand. It guards against dispatchers that all fill one
+     * worker. It may hurt where the share is overestimated, which wastes memory.
      */
     private int preferredCount(RequestState state) {
         double share = Math.min(1, PREFERRED_PER_FILLED_WORKER * context.peerTrafficShare * state.trafficShare);
@@ -223,7 +225,7 @@
         return context.loadsOnlyByOrder || count < 2 ? 0 : count;
     }
 
-    /** The given number of preferred workers, and the candidates, in the order in which they were first listed. */
+    /** The given number of eligible preferred workers, and the candidates, in the order in which they were first listed. */
     private List<WorkerState> candidatesAndPreferred(RequestState state, int count) {
         preferredCandidates.clear();
         for (int head = EXTRA_PREFERRED + 2 * count; preferredCandidates.size() < count; head *= 2) {
@@ -275,10 +277,11 @@
     /**
      * Compares workers by this dispatcher's requests in flight; the lesser one is preferred.
      *
-     * <p>Departure from the source design: it acts among equals, as most workers are where there are many dispatchers.
-     * Busy workers come last; then, except in small groups, which see enough of the traffic themselves, workers with
-     * the function come first; then the least reported load decides. It guards against queues that peers caused and
-     * that own sends do not show. It may hurt where functions are slow by nature, or reports lag.
+     * <p>Departure from the source design: it acts among workers with equally many requests in flight, as most are
+     * where there are many dispatchers. Busy workers come last; then, except in small groups, which see enough of the
+     * traffic themselves, workers with the function come first; then the least reported load decides. It guards against
+     * queues that peers caused and that own sends do not show. It may hurt where functions are slow by nature, or
+     * reports lag.
      */
     private int compare(WorkerState first, WorkerState second, String function) {
         if (first.inFlight != second.inFlight) {
@@ -291,7 +294,7 @@
         return order != 0 ? order : Double.compare(loadReports.load(first), loadReports.load(second));
     }
 
-    /** Whether the worker is busy by its reported load, or where none is reported by its latency. */
+    /** Whether the worker is busy, judged by its reported load, or by its latency where it has reported none. */
     private boolean isBusy(WorkerState worker) {
         return worker.reportedAt > 0 ? loadReports.isBusy(worker) : limiter.isSlowerThanMean(worker);
     }
--- a/policy/src/main/java/wharfhinge/policy/WorkerRegistry.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerRegistry.java
@@ -36,12 +36,12 @@
         return byId.values();
     }
 
-    /** The workers that were up at the last {@link #refreshActive}, in the order of the list. */
+    /** The workers that were up when the list was last recalculated, in the order in which they were first listed. */
     List<WorkerState> active() {
         return active;
     }
 
-    /** Those of {@link #active} that are ejected or warming up; all others may get any first send. */
+    /** Those of {@link #active} that are ejected or warming up; no other needs these checks before a first send. */
     List<WorkerState> restricted() {
         return restricted;
     }
@@ -116,8 +116,9 @@
     }
 
     /**
-     * Recalculates {@link #active} and {@link #restricted} if a worker was added, removed, ejected or restored, or has
-     * warmed up since. Returns whether the endpoint list changed since the last recalculation.
+     * Recalculates {@link #active} and {@link #restricted} if, since the last recalculation, the endpoint list changed
+     * or a worker was ejected, restored, suspected of a restart or has warmed up. Returns whether the endpoint list
+     * changed since the last recalculation.
      */
     boolean refreshActive() {
         if (context.now < activeValidUntil) {
--- a/policy/src/main/java/wharfhinge/policy/WorkerState.java
+++ b/policy/src/main/java/wharfhinge/policy/WorkerState.java
@@ -60,7 +60,7 @@
     long lastSentAt;
     long sendIntervalNanos;
 
-    // ConcurrencyLimiter: smoothed latency, in nanoseconds and as a multiple of the class's latency objective
+    // ConcurrencyLimiter: smoothed latency, in nanoseconds and as a multiple of the request's latency objective
     double concurrencyLimit;
     double latencyNanos;
     double latencyToObjective;
@@ -111,7 +111,7 @@
         return startedAt() > 0 && now - startedAt() < slowStartNanos;
     }
 
-    /** When the worker started, as listed or as suspected; 0 if it started long ago. */
+    /** When the worker started, as listed or as suspected, whichever is later; 0 if it started long ago. */
     long startedAt() {
         return Math.max(endpoint.startedAt(), suspectedStartAt);
     }
