--- a/app/src/main/java/wharfhinge/app/StandInCommand.java
+++ b/app/src/main/java/wharfhinge/app/StandInCommand.java
@@ -59,7 +59,8 @@
         return workers;
     }
 
-    private static void reportWorker(EndpointServiceEmulator roster, String worker, Scenario scenario, int workerIndex) {
+    private static void reportWorker(
+            EndpointServiceEmulator roster, String worker, Scenario scenario, int workerIndex) {
         var workerSpec = scenario.worker(workerIndex, false);
         roster.report(new RosterEntry(
                 worker,
